--- a/crates/bodies/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -1,12 +1,12 @@
 //! What each tier costs: bodies of one size go in and are read once, or twice, as after a failed attempt.
 //!
-//!     cargo bench -p dahliaspoke-bodies
+//!     cargo bench -p dahliaspoke-body-store
 //!
 //! `plain` is what the door did before: one growing buffer, copied once to send it.
 
-use dahliaspoke_bodies::plan::{ClassRules, Rules};
-use dahliaspoke_bodies::spool::{Body, Pace, Pull, Spool, Wake};
-use dahliaspoke_bodies::store::{offset, Folder, Segment, Store};
+use dahliaspoke_body_store::plan::{ClassRules, Rules};
+use dahliaspoke_body_store::spool::{Body, Pace, Pull, Spool, Wake};
+use dahliaspoke_body_store::store::{offset, Folder, Segment, Store};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::fs::File;
@@ -67,7 +67,7 @@
 fn spool(how: How, store: Option<Arc<dyn Store>>) -> Spool {
     let class = ClassRules {
         repeats: true,
-        worth: 1.0,
+        priority_weight: 1.0,
         memory_share: if how == How::Memory { 1.0 } else { 0.0 },
         files_share: 1.0,
         largest: 64 * MB,
@@ -81,7 +81,7 @@
 /// Waits for the disk where there is nothing else to do.
 fn wait(spool: &mut Spool) {
     while spool.take().is_some() {}
-    spool.ready(0.0);
+    spool.on_ready(0.0);
     std::thread::yield_now();
 }
 
@@ -125,7 +125,7 @@
             kept |= matches!(wake, Wake::Kept(_));
         }
         if count == 0 && !kept {
-            spool.ready(0.0);
+            spool.on_ready(0.0);
             std::thread::yield_now();
         }
     }
--- a/crates/bodies/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -42,7 +42,7 @@
     /// that never ran, and give way first.
     pub repeats: bool,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Most of the memory that its bodies may hold (0 to 1).
     pub memory_share: f64,
     /// Most of the files that its bodies may hold (0 to 1).
@@ -162,6 +162,7 @@
 
 impl Plan {
     /// With nothing held.
+    #[must_use]
     pub fn new(rules: Rules) -> Self {
         let classes = rules.classes.len();
         Self {
@@ -178,26 +179,31 @@
     }
 
     /// What has happened so far, by class.
+    #[must_use]
     pub fn figures(&self) -> &[Figures] {
         &self.figures
     }
 
     /// The largest body that a class may have (bytes).
+    #[must_use]
     pub fn largest(&self, class: usize) -> u64 {
         self.rules.classes[class].largest
     }
 
     /// A body that is held.
+    #[must_use]
     pub fn get(&self, id: BodyId) -> Option<&Held> {
         self.held.get(&id)
     }
 
     /// Bytes held in memory, and in files.
+    #[must_use]
     pub fn used(&self) -> [u64; 2] {
         self.used
     }
 
     /// Chunks of windows that are taken, by arrivals and by replays.
+    #[must_use]
     pub fn windows(&self) -> (usize, usize) {
         (self.arrivals, self.replays)
     }
@@ -371,11 +377,12 @@
 
     /// What keeping a body in memory is worth (worth a byte and second): a small one is as likely to be needed
     /// again as a large one, and takes less; one whose time is nearly over gives its room back by itself.
+    #[must_use]
     pub fn value(&self, now: f64, held: &Held) -> f64 {
         let rules = &self.rules.classes[held.class];
         let counts = if rules.repeats { 1.0 } else { UNREPEATED };
         let left = (held.deadline - now).max(SOON);
-        counts * rules.worth / (held.length.max(1) as f64 * left)
+        counts * rules.priority_weight / (held.length.max(1) as f64 * left)
     }
 
     /// A demotion has ended: the body is in its file, or stays in memory.
@@ -413,6 +420,7 @@
     }
 
     /// Whether a reader may begin: of a body that is here whole, or the only one of a body that is passed on.
+    #[must_use]
     pub fn readable(&self, id: BodyId) -> bool {
         self.held.get(&id).is_some_and(|h| if h.tier == Tier::Passed { h.readers == 0 } else { h.whole })
     }
--- a/crates/bodies/src/spool.rs
+++ b/crates/body-store/src/spool.rs
@@ -94,11 +94,13 @@
 
 impl Body {
     /// Its name.
+    #[must_use]
     pub fn id(&self) -> BodyId {
         self.0.id
     }
 
     /// Its length (bytes).
+    #[must_use]
     pub fn length(&self) -> u64 {
         self.0.length
     }
@@ -338,21 +340,25 @@
     }
 
     /// Readable when a disk has done something: [`Spool::ready`] is to be called then.
+    #[must_use]
     pub fn bell(&self) -> BorrowedFd<'_> {
         self.bell.as_fd()
     }
 
     /// What has happened so far, by class.
+    #[must_use]
     pub fn figures(&self) -> &[Figures] {
         self.plan.figures()
     }
 
     /// What has been decided, to look at.
+    #[must_use]
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
     /// Bytes that are in memory now, whatever for.
+    #[must_use]
     pub fn resident(&self) -> u64 {
         let bytes = |c: &Content| {
             let here: usize = c.chunks.iter().map(Chunk::resident).sum();
@@ -362,6 +368,7 @@
     }
 
     /// Whether no call to the disk is under way.
+    #[must_use]
     pub fn is_quiet(&self) -> bool {
         self.disk.as_ref().is_none_or(|disk| disk.errands.is_empty())
     }
@@ -434,16 +441,19 @@
     }
 
     /// Whether all of a body is here and kept.
+    #[must_use]
     pub fn is_kept(&self, id: BodyId) -> bool {
         self.plan.get(id).is_some_and(|held| held.whole && held.tier != Tier::Passed)
     }
 
     /// The largest body that a class may have (bytes).
+    #[must_use]
     pub fn largest(&self, class: usize) -> u64 {
         self.plan.largest(class)
     }
 
     /// Bytes of a body that have come.
+    #[must_use]
     pub fn came(&self, id: BodyId) -> u64 {
         self.contents.get(&id).map_or(0, |content| content.came)
     }
@@ -655,6 +665,7 @@
     }
 
     /// When a call to the disk counts as one that hangs, if one is under way (seconds on the caller's clock).
+    #[must_use]
     pub fn next(&self) -> Option<f64> {
         let oldest = self.disk.as_ref()?.errands.values().find_map(|(since, errand)| match errand {
             Errand::Write { body, .. } => {
@@ -667,7 +678,7 @@
     }
 
     /// Lets go of what was dropped, and looks for calls that hang. To be called each turn of the loop.
-    pub fn alarm(&mut self, now: f64) {
+    pub fn on_timer(&mut self, now: f64) {
         self.collect(now);
         while self.next().is_some_and(|at| at <= now) {
             self.plan.files_fail(now + self.pace.again);
@@ -686,13 +697,13 @@
     }
 
     /// What the disk has done.
-    pub fn ready(&mut self, now: f64) {
+    pub fn on_ready(&mut self, now: f64) {
         let _ = rustix::io::read(&self.bell, &mut [0; 8]); // it only rings
         while let Some((number, done)) = self.disk.as_ref().and_then(|disk| disk.done.try_recv().ok()) {
             let errand = self.disk.as_mut().and_then(|disk| disk.errands.remove(&number));
             match (errand.map(|e| e.1), done) {
                 (Some(Errand::Write { body, at, slot }), Done::Wrote(end)) => {
-                    self.wrote(now, body, at, slot, end.is_ok())
+                    self.wrote(now, body, at, slot, end.is_ok());
                 }
                 (Some(Errand::Read { body, at }), Done::Read(end)) => self.was_read(body, at, end),
                 (_, Done::Ended(slots)) => {
--- a/crates/bodies/src/store.rs
+++ b/crates/body-store/src/store.rs
@@ -22,6 +22,7 @@
 }
 
 /// Where a slot begins (bytes).
+#[must_use]
 pub fn offset(slot: u32) -> u64 {
     u64::from(slot) * CHUNK as u64
 }
@@ -88,6 +89,7 @@
     }
 
     /// In that file, which may be any: `/dev/full` fails every write.
+    #[must_use]
     pub fn on(file: File) -> Self {
         Self { file, _folder: None }
     }
--- a/crates/bodies/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -1,15 +1,15 @@
 //! The plan against a plain model: whatever happens in whatever order, the invariants of its page hold.
 
-use dahliaspoke_bodies::plan::*;
+use dahliaspoke_body_store::plan::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const MB: u64 = 1 << 20;
 
 fn rules() -> Rules {
-    let class = |repeats, worth, memory_share, pass| ClassRules {
+    let class = |repeats, priority_weight, memory_share, pass| ClassRules {
         repeats,
-        worth,
+        priority_weight,
         memory_share,
         files_share: 0.75,
         largest: 8 * MB,
--- a/crates/bodies/tests/spool.rs
+++ b/crates/body-store/tests/spool.rs
@@ -1,9 +1,9 @@
 //! The spool over disks that fail on purpose. No verdict hangs on how long something takes: the test's own
 //! clock says when a call hangs, and the disk waits for the test.
 
-use dahliaspoke_bodies::plan::*;
-use dahliaspoke_bodies::spool::*;
-use dahliaspoke_bodies::store::*;
+use dahliaspoke_body_store::plan::*;
+use dahliaspoke_body_store::spool::*;
+use dahliaspoke_body_store::store::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_core::{RngCore, SeedableRng};
@@ -96,7 +96,7 @@
 fn rules(memory: u64) -> Rules {
     let class = |repeats, pass| ClassRules {
         repeats,
-        worth: 1.0,
+        priority_weight: 1.0,
         memory_share: 1.0,
         files_share: 1.0,
         largest: 64 * MB,
@@ -121,8 +121,8 @@
     /// Lets the disk do what it has been asked for, as long as it does.
     fn turn(&mut self) {
         std::thread::sleep(Duration::from_micros(200));
-        self.spool.ready(self.now);
-        self.spool.alarm(self.now);
+        self.spool.on_ready(self.now);
+        self.spool.on_timer(self.now);
     }
 
     fn admit(&mut self, class: usize, length: usize) -> Result<(Body, Tier), Refusal> {
@@ -224,7 +224,7 @@
     }
     assert!(got[0] == text && got[1] == text);
     drop((body, readers));
-    world.spool.alarm(0.0);
+    world.spool.on_timer(0.0);
     world.settle();
 }
 
@@ -272,7 +272,7 @@
     world.disk.full.store(false, Ordering::SeqCst);
     assert_eq!(world.admit(0, MB as usize).map(|b| b.1), Ok(Tier::File));
     drop((body, kept));
-    world.spool.alarm(world.now);
+    world.spool.on_timer(world.now);
     world.settle();
 }
 
@@ -290,7 +290,7 @@
     assert_eq!(tier, Tier::File);
     spool.push(0.0, body.id(), &pattern(5, CHUNK));
     let wake = loop {
-        spool.ready(0.0);
+        spool.on_ready(0.0);
         match spool.take() {
             Some(wake @ Wake::Passed(_)) => break wake,
             _ => std::thread::sleep(Duration::from_micros(200)),
@@ -325,7 +325,7 @@
     );
     assert!(world.spool.next().is_some_and(|at| at == PACE.hangs));
     world.now = PACE.hangs;
-    world.spool.alarm(world.now);
+    world.spool.on_timer(world.now);
     assert_eq!(world.spool.take(), Some(Wake::Lost(body.id())), "it is given up: nothing ran");
     drop(body);
     // While it hangs, others pass it by.
@@ -383,7 +383,7 @@
         assert!(world.read(body).as_ref() == Ok(text));
     }
     drop((bodies, last));
-    world.spool.alarm(0.0);
+    world.spool.on_timer(0.0);
     world.settle();
 }
 
@@ -399,7 +399,7 @@
     let last = readers[8].id;
     let mut readers = readers;
     readers.remove(0);
-    world.spool.alarm(0.0);
+    world.spool.on_timer(0.0);
     let wakes: Vec<Wake> = std::iter::from_fn(|| world.spool.take()).collect();
     assert!(wakes.contains(&Wake::Data(last)), "{wakes:?}");
     assert_ne!(world.spool.pull(0.0, &readers[7]), Pull::Lost);
@@ -457,7 +457,7 @@
     }
     assert_eq!(world.spool.figures()[0].refused + world.spool.figures()[0].too_large, 1);
     drop(body);
-    world.spool.alarm(0.0);
+    world.spool.on_timer(0.0);
     world.settle();
 }
 
@@ -502,10 +502,7 @@
         for (seed, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Admit(length, open) => {
-                    let taken = match open {
-                        true => world.spool.admit_open(world.now, 0, world.now + 10.0).ok(),
-                        false => world.admit(0, length).ok().map(|taken| taken.0),
-                    };
+                    let taken = if open { world.spool.admit_open(world.now, 0, world.now + 10.0).ok() } else { world.admit(0, length).ok().map(|taken| taken.0) };
                     bodies.extend(taken.map(|body| (body, pattern(seed as u64, length), 0)));
                 }
                 Step::Push(at, count) if !bodies.is_empty() => {
@@ -552,7 +549,7 @@
             prop_assert!(world.spool.resident() <= bound, "{} over {bound}", world.spool.resident());
         }
         drop((bodies, readers));
-        world.spool.alarm(world.now);
+        world.spool.on_timer(world.now);
         world.settle();
     }
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -134,6 +134,7 @@
 
 impl Store {
     /// These members; calls are given up at that point in time.
+    #[must_use]
     pub fn new(members: Vec<SocketAddr>, until: Instant) -> Self {
         Self { members, until, turn: 0 }
     }
@@ -179,6 +180,7 @@
     }
 
     /// Asks each member for itself.
+    #[must_use]
     pub fn each(&self, words: &[&str]) -> Vec<(SocketAddr, Result<Answer, String>)> {
         let ask = |member: &SocketAddr| {
             let left = self.until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
--- a/crates/quorum/src/disk.rs
+++ b/crates/raft/src/disk.rs
@@ -6,8 +6,8 @@
 //! A record says how much of its segment was synced before it was written. A spoilt record before such a point is
 //! damage, and the member does not start; one behind all of them is a write that was cut off, and is cut away.
 
-use crate::message::{open as unseal, seal, Entry, Hard, Snapshot};
-use crate::raft::{Saved, Store};
+use crate::message::{open as unseal, seal, Entry, HardState, Snapshot};
+use crate::raft::{PersistentState, WriteBatch};
 use crate::{Id, Index, Term};
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
@@ -117,10 +117,10 @@
 #[derive(Serialize, Deserialize)]
 enum Record {
     /// All that counts.
-    Checkpoint { hard: Hard, snapshot: (Index, Term), base: (Index, Term), entries: Vec<Entry> },
+    Checkpoint { hard: HardState, snapshot: (Index, Term), base: (Index, Term), entries: Vec<Entry> },
     /// What was stored after.
     Stored {
-        hard: Option<Hard>,
+        hard: Option<HardState>,
         snapshot: Option<(Index, Term)>,
         reset: bool,
         truncate: Option<Index>,
@@ -132,7 +132,7 @@
 /// The log of one member.
 pub struct DiskLog {
     disk: Box<dyn Disk>,
-    saved: Saved,
+    saved: PersistentState,
     segment: u64,
     length: u64,
     /// What a checkpoint took: a segment that is nearly all checkpoint is not followed by another yet.
@@ -223,8 +223,8 @@
         }
         let first = found.is_none();
         let (number, saved, length, format) = found.unwrap_or_else(|| {
-            let hard = Hard { id: new().max(1), ..Hard::default() };
-            (0, Saved { hard, ..Saved::default() }, 0, FORMAT)
+            let hard = HardState { id: new().max(1), ..HardState::default() };
+            (0, PersistentState { hard, ..PersistentState::default() }, 0, FORMAT)
         });
         let mut log = Self { disk, saved, segment: number, length, checkpoint: 0, broken: false };
         if first || format != FORMAT {
@@ -238,13 +238,18 @@
     }
 
     /// What is on disk.
-    pub fn saved(&self) -> &Saved {
+    #[must_use]
+    pub fn saved(&self) -> &PersistentState {
         &self.saved
     }
 
     /// A segment's content: what it comes to, its length up to where it is whole, its form. `None` where it does not
     /// begin whole.
-    fn replay(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> Result<Option<(Saved, u64, u32)>, String> {
+    fn replay(
+        disk: &mut dyn Disk,
+        name: &str,
+        bytes: &[u8],
+    ) -> Result<Option<(PersistentState, u64, u32)>, String> {
         let Some(head) = bytes.get(..8) else { return Ok(None) };
         if &head[..4] != MAGIC {
             return Ok(None);
@@ -260,7 +265,7 @@
             return Ok(None);
         };
         at = next;
-        let mut saved = Saved { hard, snapshot: Arc::default(), base, entries };
+        let mut saved = PersistentState { hard, snapshot: Arc::default(), base, entries };
         let mut latest = told;
         while at < bytes.len() {
             let Some((record, _, next)) = read(bytes, at, format) else {
@@ -278,7 +283,7 @@
             latest = snapshot.unwrap_or(latest);
             let held =
                 snapshot.map(|(index, term)| Arc::new(Snapshot { index, term, ..Snapshot::default() }));
-            saved.take(&Store { number: 0, hard, snapshot: held, reset, truncate, entries, compact });
+            saved.take(&WriteBatch { number: 0, hard, snapshot: held, reset, truncate, entries, compact });
         }
         if latest != (0, 0) {
             let file = snapshot(latest);
@@ -301,7 +306,7 @@
     ///
     /// # Errors
     /// Of the system. None of it may be taken to be on disk then.
-    pub fn write(&mut self, stores: &[Store]) -> io::Result<()> {
+    pub fn write(&mut self, stores: &[WriteBatch]) -> io::Result<()> {
         if self.broken {
             return Err(io::Error::other("an earlier write has failed; what is on disk is not known"));
         }
@@ -310,7 +315,7 @@
         done
     }
 
-    fn write_now(&mut self, stores: &[Store]) -> io::Result<()> {
+    fn write_now(&mut self, stores: &[WriteBatch]) -> io::Result<()> {
         for snapshot in stores.iter().filter_map(|store| store.snapshot.as_ref()) {
             self.put(&self::snapshot((snapshot.index, snapshot.term)), &seal(&**snapshot))?;
         }
@@ -357,7 +362,7 @@
     /// Begins the next segment with all that counts.
     fn checkpoint(&mut self) -> io::Result<()> {
         let next = self.segment + 1;
-        let Saved { hard, snapshot, base, entries } = self.saved.clone();
+        let PersistentState { hard, snapshot, base, entries } = self.saved.clone();
         let all = Record::Checkpoint { hard, snapshot: (snapshot.index, snapshot.term), base, entries };
         let mut bytes = [&MAGIC[..], &FORMAT.to_le_bytes()].concat();
         bytes.extend_from_slice(&record(&all, 0));
--- a/crates/quorum/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -3,14 +3,14 @@
 //! - [`raft`]: consensus, pure: events in, orders out; no I/O, no clock, no threads;
 //! - [`message`]: what members say to each other, typed, versioned, with a sum;
 //! - [`disk`]: the log and the snapshots in files; [`writer`]: the same on a thread of its own;
-//! - [`machine`]: the configuration that the log's entries make: keys with versions, compare-and-set, history.
+//! - [`state_machine`]: the configuration that the log's entries make: keys with versions, compare-and-set, history.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod disk;
-pub mod machine;
 pub mod message;
 pub mod raft;
+pub mod state_machine;
 pub mod writer;
 
 mod log;
--- a/crates/quorum/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -40,7 +40,7 @@
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum EntryKind {
     /// Nothing: a leader's first.
     Empty,
     /// A command of the machine's.
@@ -57,23 +57,26 @@
     /// The term in which a leader took it.
     pub term: Term,
     /// What it says.
-    pub kind: Kind,
+    pub kind: EntryKind,
 }
 
 impl Entry {
     /// Bytes that it holds, about.
+    #[must_use]
     pub fn size(&self) -> usize {
         32 + match &self.kind {
-            Kind::Empty => 0,
-            Kind::Data(data) => data.len(),
-            Kind::Members(members) => members.values().map(|m| 32 + m.name.len() + m.address.len()).sum(),
+            EntryKind::Empty => 0,
+            EntryKind::Data(data) => data.len(),
+            EntryKind::Members(members) => {
+                members.values().map(|m| 32 + m.name.len() + m.address.len()).sum()
+            }
         }
     }
 }
 
 /// What a member must not forget, beside the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// Its own number.
     pub id: Id,
     /// Which log this is, drawn when it was founded; 0 before.
@@ -100,7 +103,7 @@
 
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Would you vote for me in this term? Nothing is promised.
     PreVote {
         /// The asker's last entry.
@@ -132,7 +135,7 @@
         /// Which round of the leader's this is.
         round: u64,
         /// The entries, in order, without gaps.
-        entries: Vec<Sealed>,
+        entries: Vec<WireEntry>,
     },
     /// They are on disk, or do not fit.
     AppendReply {
@@ -176,15 +179,15 @@
 
 /// An entry in a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sealed(pub Entry);
+pub struct WireEntry(pub Entry);
 
-impl PartialOrd for Sealed {
+impl PartialOrd for WireEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Sealed {
+impl Ord for WireEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0.index, self.0.term).cmp(&(other.0.index, other.0.term))
     }
@@ -192,7 +195,7 @@
 
 /// A message with its addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Envelope {
+pub struct Message {
     /// Which log it is about.
     pub cluster: u64,
     /// Who says it.
@@ -202,28 +205,28 @@
     /// The sender's term; of a pre-vote the one that it would stand in.
     pub term: Term,
     /// What it says.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum DecodeError {
     /// Of a version that this program does not speak.
     Version(u8),
     /// The sum is another.
-    Spoilt,
+    Corrupt,
     /// The sum is right, and it is no message.
     Malformed,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unread::Version(version) => {
+            DecodeError::Version(version) => {
                 write!(f, "a message of version {version}; this program speaks {VERSION}")
             }
-            Unread::Spoilt => write!(f, "a message whose sum is wrong"),
-            Unread::Malformed => write!(f, "no message"),
+            DecodeError::Corrupt => write!(f, "a message whose sum is wrong"),
+            DecodeError::Malformed => write!(f, "no message"),
         }
     }
 }
@@ -243,13 +246,13 @@
 ///
 /// # Errors
 /// Where they are of another version, spoilt, or no such value.
-pub fn open<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, Unread> {
-    let (head, body) = bytes.split_at_checked(5).ok_or(Unread::Malformed)?;
+pub fn open<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, DecodeError> {
+    let (head, body) = bytes.split_at_checked(5).ok_or(DecodeError::Malformed)?;
     if head[0] != VERSION {
-        return Err(Unread::Version(head[0]));
+        return Err(DecodeError::Version(head[0]));
     }
     if head[1..] != crc32fast::hash(body).to_le_bytes() {
-        return Err(Unread::Spoilt);
+        return Err(DecodeError::Corrupt);
     }
-    postcard::from_bytes(body).map_err(|_| Unread::Malformed)
+    postcard::from_bytes(body).map_err(|_| DecodeError::Malformed)
 }
--- a/crates/quorum/src/raft.rs
+++ b/crates/raft/src/raft.rs
@@ -2,20 +2,22 @@
 //! that steps down without a majority, reads by rounds (read index), members changed one at a time, learners, snapshots in
 //! pieces, hand-over.
 //!
-//! Events in, orders out. The caller carries out [`Order`]s in their order and says when a [`Order::Store`] is on disk;
+//! Events in, orders out. The caller carries out [`Action`]s in their order and says when a [`Action::Store`] is on disk;
 //! what promises something (a vote, an acknowledgement) is held back here until then.
 
 use crate::log::Log;
-use crate::message::{seal, Body, Entry, Envelope, Hard, Kind, Member, Members, Sealed, Snapshot};
+use crate::message::{
+    seal, Entry, EntryKind, HardState, Member, Members, Message, MessageBody, Snapshot, WireEntry,
+};
 use crate::progress::{Flow, Progress};
 use crate::{Id, Index, Micros, Term};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 /// Members that count in majorities, at the most.
-pub const VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 /// Members of all kinds, at the most.
-pub const MEMBERS: usize = 14;
+pub const MAX_MEMBERS: usize = 14;
 
 /// Times and sizes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -44,12 +46,13 @@
     /// Draws the times of elections.
     pub seed: u64,
     /// A fault that a test plants.
-    #[cfg(feature = "flaws")]
-    pub flaw: Option<Flaw>,
+    #[cfg(feature = "planted-faults")]
+    pub planted_fault: Option<PlantedFault>,
 }
 
 impl Options {
     /// What suits members in one hall or in halls of one town.
+    #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             heartbeat: 50_000,
@@ -63,16 +66,16 @@
             tail: 256,
             tail_bytes: 2 << 20,
             seed,
-            #[cfg(feature = "flaws")]
-            flaw: None,
+            #[cfg(feature = "planted-faults")]
+            planted_fault: None,
         }
     }
 }
 
 /// Faults that a test plants, to see that it would catch them.
-#[cfg(feature = "flaws")]
+#[cfg(feature = "planted-faults")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Flaw {
+pub enum PlantedFault {
     /// A vote is told before it is on disk.
     VoteNotStored,
     /// An entry of an older term counts once a majority has it.
@@ -85,11 +88,11 @@
     SnapshotForgets,
 }
 
-macro_rules! flawed {
-    ($self:ident, $flaw:ident) => {{
-        #[cfg(feature = "flaws")]
-        let is = $self.options.flaw == Some(Flaw::$flaw);
-        #[cfg(not(feature = "flaws"))]
+macro_rules! is_planted {
+    ($self:ident, $planted_fault:ident) => {{
+        #[cfg(feature = "planted-faults")]
+        let is = $self.options.planted_fault == Some(PlantedFault::$planted_fault);
+        #[cfg(not(feature = "planted-faults"))]
         let is = false;
         is
     }};
@@ -112,9 +115,9 @@
     /// Time has passed.
     Tick,
     /// A message has come.
-    Message(Envelope),
+    Message(Message),
     /// The store of that number is on disk, and all before it.
-    Stored(u64),
+    Persisted(u64),
     /// A member without a log founds one, alone.
     Found {
         /// Which log this will be; not 0.
@@ -124,27 +127,27 @@
         /// Its own address.
         address: String,
     },
-    /// Somebody wants this in the log. Answered by [`Order::Apply`] or [`Order::Refused`] with the same ticket.
+    /// Somebody wants this in the log. Answered by [`Action::Apply`] or [`Action::Refused`] with the same ticket.
     Propose {
         /// The caller's own number for it.
-        ticket: u64,
+        proposal_id: u64,
         /// A command of the machine's.
         data: Arc<Vec<u8>>,
     },
-    /// Somebody wants to read what counts now. Answered by [`Order::Read`] or [`Order::Refused`].
+    /// Somebody wants to read what counts now. Answered by [`Action::Read`] or [`Action::Refused`].
     Read {
         /// The caller's own number for it.
-        ticket: u64,
+        proposal_id: u64,
     },
     /// Somebody wants other members. Answered as a proposal is.
     Change {
         /// The caller's own number for it.
-        ticket: u64,
+        proposal_id: u64,
         /// Which.
         change: Change,
     },
     /// Another member is to lead.
-    HandOver(Id),
+    TransferLeadership(Id),
     /// The machine, as it is after that entry, is kept in place of the entries.
     Snapshot {
         /// The last entry in it: one that was applied.
@@ -156,7 +159,7 @@
 
 /// Why something was not done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refusal {
+pub enum ProposeError {
     /// This member does not lead; that one may. Nothing was done.
     NotLeader(Option<Id>),
     /// Too much is under way. Nothing was done.
@@ -171,11 +174,11 @@
 
 /// What goes to disk, whole and in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Store {
+pub struct WriteBatch {
     /// Its number, from 1.
     pub number: u64,
     /// In place of what was there.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// A snapshot; where entries of another history were held, they go with it.
     pub snapshot: Option<Arc<Snapshot>>,
     /// All entries held go: the snapshot begins anew.
@@ -188,7 +191,7 @@
     pub compact: Option<Index>,
 }
 
-impl Store {
+impl WriteBatch {
     fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -196,41 +199,41 @@
 
 /// What the caller does.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Put this on disk, then say [`Event::Stored`].
-    Store(Store),
+pub enum Action {
+    /// Put this on disk, then say [`Event::Persisted`].
+    Persist(WriteBatch),
     /// Send this; it may be lost.
-    Send(Envelope),
-    /// This entry counts. `ticket` is of one that was proposed here.
+    Send(Message),
+    /// This entry counts. `proposal_id` is of one that was proposed here.
     Apply {
         /// The entry.
         entry: Entry,
         /// Whose it is.
-        ticket: Option<u64>,
+        proposal_id: Option<u64>,
     },
     /// The machine is this from here on.
     Restore(Arc<Snapshot>),
     /// All entries up to `index` were applied before this order: read now.
     Read {
         /// Whose it is.
-        ticket: u64,
+        proposal_id: u64,
         /// What the read is as of.
         index: Index,
     },
     /// It was not done.
-    Refused {
+    Rejected {
         /// Whose it is.
-        ticket: u64,
+        proposal_id: u64,
         /// Why.
-        why: Refusal,
+        why: ProposeError,
     },
 }
 
 /// What is on disk when a member starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Saved {
+pub struct PersistentState {
     /// The latest that was stored.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The latest that was stored.
     pub snapshot: Arc<Snapshot>,
     /// The entry before the first one held, and its term.
@@ -239,9 +242,9 @@
     pub entries: Vec<Entry>,
 }
 
-impl Saved {
+impl PersistentState {
     /// What is on disk after a store.
-    pub fn take(&mut self, store: &Store) {
+    pub fn take(&mut self, store: &WriteBatch) {
         if let Some(hard) = &store.hard {
             self.hard = hard.clone();
         }
@@ -289,7 +292,7 @@
 /// What waits for the disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Held {
-    Send(Envelope),
+    Send(Message),
     /// One's own vote in that term.
     Vote(Term),
     /// The last entry that is in the store.
@@ -309,7 +312,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Raft {
     options: Options,
-    hard: Hard,
+    hard: HardState,
     log: Log,
     snapshot: Arc<Snapshot>,
     /// Who the members are from which entry on; the last one counts, whether committed or not.
@@ -327,7 +330,7 @@
     stood: u64,
     now: Micros,
     /// Proposals by entry: term and ticket.
-    tickets: BTreeMap<Index, (Term, u64)>,
+    proposal_ids: BTreeMap<Index, (Term, u64)>,
     incoming: Option<Incoming>,
     /// The snapshot as it is sent, encoded once.
     outgoing: Option<(Index, Arc<Vec<u8>>)>,
@@ -338,11 +341,11 @@
     durable: Index,
     held: VecDeque<(u64, Held)>,
     /// What this event has changed and said so far.
-    dirty: Store,
-    outbox: Vec<(bool, Envelope)>,
+    dirty: WriteBatch,
+    outbox: Vec<(bool, Message)>,
 }
 
-/// SplitMix64's step.
+/// `SplitMix64`'s step.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -352,12 +355,13 @@
 
 impl Raft {
     /// A member with what it has on disk; a new one has its drawn number there and nothing else.
-    pub fn new(options: Options, saved: Saved, now: Micros) -> Self {
-        let Saved { hard, snapshot, base, entries } = saved;
+    #[must_use]
+    pub fn new(options: Options, saved: PersistentState, now: Micros) -> Self {
+        let PersistentState { hard, snapshot, base, entries } = saved;
         let mut members = vec![(snapshot.index, snapshot.members.clone())];
         let mut log = Log::new(base.0, base.1);
         for entry in entries {
-            if let Kind::Members(held) = &entry.kind {
+            if let EntryKind::Members(held) = &entry.kind {
                 if entry.index > snapshot.index {
                     members.push((entry.index, held.clone()));
                 }
@@ -379,14 +383,14 @@
             stand_at: 0,
             stood: 0,
             now,
-            tickets: BTreeMap::new(),
+            proposal_ids: BTreeMap::new(),
             incoming: None,
             outgoing: None,
             issued: 0,
             stored: 0,
             durable,
             held: VecDeque::new(),
-            dirty: Store::default(),
+            dirty: WriteBatch::default(),
             outbox: Vec::new(),
         };
         raft.wait_for_leader();
@@ -394,72 +398,86 @@
     }
 
     /// Its own number.
+    #[must_use]
     pub fn id(&self) -> Id {
         self.hard.id
     }
 
     /// Which log this is; 0 before one was founded or joined.
+    #[must_use]
     pub fn cluster(&self) -> u64 {
         self.hard.cluster
     }
 
     /// The latest term that it has heard of.
+    #[must_use]
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
     /// Who leads, as far as it knows.
+    #[must_use]
     pub fn leader(&self) -> Option<Id> {
         self.leader
     }
 
     /// Whether it leads, as far as it knows.
+    #[must_use]
     pub fn leads(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
     /// The last entry that counts, as far as it knows.
+    #[must_use]
     pub fn commit(&self) -> Index {
         self.commit
     }
 
     /// The last entry that it holds.
+    #[must_use]
     pub fn last(&self) -> Index {
         self.log.last()
     }
 
     /// An entry that it holds in memory.
+    #[must_use]
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.get(index)
     }
 
     /// The entry before the first that it holds in memory.
+    #[must_use]
     pub fn base(&self) -> Index {
         self.log.base()
     }
 
     /// The snapshot that it holds.
+    #[must_use]
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
     /// The members as the last entry about them says, whether it counts yet or not.
+    #[must_use]
     pub fn members(&self) -> &Members {
         static NONE: Members = Members::new();
         self.members.last().map_or(&NONE, |(_, members)| members)
     }
 
     /// The entry that says who the [`members`](Self::members) are, while it does not count yet: it may be undone.
+    #[must_use]
     pub fn changing(&self) -> Option<Index> {
         self.members.last().map(|(index, _)| *index).filter(|index| *index > self.commit)
     }
 
     /// How long ago the leader was last heard of, or, at the leader, a majority (us).
+    #[must_use]
     pub fn silence(&self, now: Micros) -> Micros {
         now.saturating_sub(if self.leads() { self.majority_heard() } else { self.heard })
     }
 
     /// Entries that a member is known to have on disk; only a leader knows.
+    #[must_use]
     pub fn matched(&self, id: Id) -> Option<Index> {
         match &self.role {
             Role::Leader(_) if id == self.hard.id => Some(self.durable),
@@ -469,6 +487,7 @@
     }
 
     /// When [`Event::Tick`] is due.
+    #[must_use]
     pub fn next(&self) -> Micros {
         match &self.role {
             Role::Leader(lead) => lead.beat_at.min(self.majority_heard() + self.options.election),
@@ -478,27 +497,27 @@
     }
 
     /// Takes an event.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Order>) {
+    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         // At the moment of the act: the process may have slept since the last word of the others.
         self.lapse(out);
         match event {
             Event::Tick => self.tick(),
             Event::Message(message) => self.message(message, out),
-            Event::Stored(number) => self.on_disk(number, out),
+            Event::Persisted(number) => self.on_disk(number, out),
             Event::Found { cluster, name, address } => self.found(cluster, name, address),
-            Event::Propose { ticket, data } => self.propose(ticket, Kind::Data(data), out),
-            Event::Read { ticket } => self.read(ticket, out),
-            Event::Change { ticket, change } => self.change(ticket, change, out),
-            Event::HandOver(to) => self.hand_over(to),
+            Event::Propose { proposal_id, data } => self.propose(proposal_id, EntryKind::Data(data), out),
+            Event::Read { proposal_id } => self.read(proposal_id, out),
+            Event::Change { proposal_id, change } => self.change(proposal_id, change, out),
+            Event::TransferLeadership(to) => self.hand_over(to),
             Event::Snapshot { index, data } => self.compact(index, data),
         }
         self.settle(out);
     }
 
     /// Stands for election now, whatever it has heard: for the checking of the model.
-    #[cfg(feature = "flaws")]
-    pub fn stand_now(&mut self, out: &mut Vec<Order>) {
+    #[cfg(feature = "planted-faults")]
+    pub fn campaign(&mut self, out: &mut Vec<Action>) {
         if self.votes() && !self.leads() {
             self.stand(true);
         }
@@ -539,39 +558,49 @@
         self.stand_at = self.now + self.options.election + spread;
     }
 
-    fn say(&mut self, to: Id, body: Body) {
+    fn say(&mut self, to: Id, body: MessageBody) {
         self.say_in(self.hard.term, to, body);
     }
 
-    fn say_in(&mut self, term: Term, to: Id, body: Body) {
+    fn say_in(&mut self, term: Term, to: Id, body: MessageBody) {
         // What promises something waits until that is on disk.
         let promise = match &body {
-            Body::Vote { .. } | Body::VoteReply(true) => !flawed!(self, VoteNotStored),
-            Body::AppendReply { fits: true, .. } | Body::PieceReply { .. } => !flawed!(self, AckNotStored),
+            MessageBody::Vote { .. } | MessageBody::VoteReply(true) => !is_planted!(self, VoteNotStored),
+            MessageBody::AppendReply { fits: true, .. } | MessageBody::PieceReply { .. } => {
+                !is_planted!(self, AckNotStored)
+            }
             _ => false,
         };
-        let envelope = Envelope { cluster: self.hard.cluster, from: self.hard.id, to, term, body };
-        self.outbox.push((promise, envelope));
+        let message = Message { cluster: self.hard.cluster, from: self.hard.id, to, term, body };
+        self.outbox.push((promise, message));
     }
 
-    fn follow(&mut self, term: Term, leader: Option<Id>, out: &mut Vec<Order>) {
+    fn follow(&mut self, term: Term, leader: Option<Id>, out: &mut Vec<Action>) {
         if term > self.hard.term {
             (self.hard.term, self.hard.vote) = (term, None);
             self.dirty.hard = Some(self.hard.clone());
         }
         if let Role::Leader(lead) = std::mem::replace(&mut self.role, Role::Follower) {
             // What was asked here may count under another leader, or not: nobody knows.
-            let tickets = std::mem::take(&mut self.tickets).into_values().map(|(_, ticket)| ticket);
-            let reads = lead.reads.iter().map(|(ticket, ..)| *ticket);
-            out.extend(tickets.map(|ticket| Order::Refused { ticket, why: Refusal::Unknown }));
-            out.extend(reads.map(|ticket| Order::Refused { ticket, why: Refusal::NotLeader(leader) }));
+            let proposal_ids =
+                std::mem::take(&mut self.proposal_ids).into_values().map(|(_, proposal_id)| proposal_id);
+            let reads = lead.reads.iter().map(|(proposal_id, ..)| *proposal_id);
+            out.extend(
+                proposal_ids.map(|proposal_id| Action::Rejected { proposal_id, why: ProposeError::Unknown }),
+            );
+            out.extend(
+                reads.map(|proposal_id| Action::Rejected {
+                    proposal_id,
+                    why: ProposeError::NotLeader(leader),
+                }),
+            );
         }
         self.leader = leader;
         self.wait_for_leader();
     }
 
     /// A leader that has not heard a majority for too long is none.
-    fn lapse(&mut self, out: &mut Vec<Order>) {
+    fn lapse(&mut self, out: &mut Vec<Action>) {
         if self.leads() && self.majority_heard() + self.options.election <= self.now {
             self.follow(self.hard.term, None, out);
         }
@@ -600,14 +629,14 @@
         }
     }
 
-    fn message(&mut self, message: Envelope, out: &mut Vec<Order>) {
-        let Envelope { cluster, from, to, term, body } = message;
+    fn message(&mut self, message: Message, out: &mut Vec<Action>) {
+        let Message { cluster, from, to, term, body } = message;
         if to != self.hard.id || from == to || cluster == 0 {
             return;
         }
         if self.hard.cluster != cluster {
             // One that has no log yet joins that of the first leader that speaks to it; any other is not meant.
-            let leads = matches!(body, Body::Append { .. } | Body::Piece { .. });
+            let leads = matches!(body, MessageBody::Append { .. } | MessageBody::Piece { .. });
             if self.hard.cluster != 0 || !leads {
                 return;
             }
@@ -616,16 +645,16 @@
         }
         let led = self.leader.is_some() && self.heard + self.options.election > self.now || self.leads();
         match body {
-            Body::PreVote { last, last_term } => {
+            MessageBody::PreVote { last, last_term } => {
                 let granted = !led && term > self.hard.term && self.is_up_to_date(last, last_term);
                 let reply = if granted { term } else { self.hard.term };
-                return self.say_in(reply, from, Body::PreVoteReply(granted));
+                return self.say_in(reply, from, MessageBody::PreVoteReply(granted));
             }
             // One that cannot hear the leader, or was removed, must not disturb those that can.
-            Body::Vote { handed: false, .. } if led && term > self.hard.term => return,
-            Body::PreVoteReply(true) => {}
+            MessageBody::Vote { handed: false, .. } if led && term > self.hard.term => return,
+            MessageBody::PreVoteReply(true) => {}
             _ if term > self.hard.term => {
-                let leads = matches!(body, Body::Append { .. } | Body::Piece { .. });
+                let leads = matches!(body, MessageBody::Append { .. } | MessageBody::Piece { .. });
                 self.follow(term, leads.then_some(from), out);
             }
             _ => {}
@@ -633,33 +662,35 @@
         if term < self.hard.term {
             // A leader of the past is told, and so is one that stands for it.
             return match body {
-                Body::Append { prev, round, .. } => {
-                    self.say(from, Body::AppendReply { fits: false, index: prev, hint: 0, round });
+                MessageBody::Append { prev, round, .. } => {
+                    self.say(from, MessageBody::AppendReply { fits: false, index: prev, hint: 0, round });
                 }
-                Body::Piece { index, round, .. } => {
-                    self.say(from, Body::PieceReply { index, have: 0, round })
+                MessageBody::Piece { index, round, .. } => {
+                    self.say(from, MessageBody::PieceReply { index, have: 0, round });
                 }
-                Body::Vote { .. } => self.say(from, Body::VoteReply(false)),
+                MessageBody::Vote { .. } => self.say(from, MessageBody::VoteReply(false)),
                 _ => {}
             };
         }
         match body {
-            Body::PreVote { .. } => {}
-            Body::PreVoteReply(granted) => self.heard_before(from, term, granted),
-            Body::Vote { last, last_term, .. } => self.vote(from, last, last_term),
-            Body::VoteReply(granted) => self.heard_vote(from, granted),
-            Body::Append { prev, prev_term, commit, round, entries } => {
+            MessageBody::PreVote { .. } => {}
+            MessageBody::PreVoteReply(granted) => self.heard_before(from, term, granted),
+            MessageBody::Vote { last, last_term, .. } => self.vote(from, last, last_term),
+            MessageBody::VoteReply(granted) => self.heard_vote(from, granted),
+            MessageBody::Append { prev, prev_term, commit, round, entries } => {
                 self.led_by(from, out);
                 self.append((from, round), (prev, prev_term), commit, entries);
             }
-            Body::Piece { index, term, whole, at, bytes, round } => {
+            MessageBody::Piece { index, term, whole, at, bytes, round } => {
                 self.led_by(from, out);
                 self.piece((from, round), Incoming { index, term, whole, bytes }, at, out);
             }
-            Body::AppendReply { fits, index, hint, round } => self.appended(from, fits, index, hint, round),
-            Body::PieceReply { index, have, round } => self.has_piece(from, index, have, round),
-            Body::TimeoutNow if self.votes() && self.leader == Some(from) => self.stand(true),
-            Body::TimeoutNow => {}
+            MessageBody::AppendReply { fits, index, hint, round } => {
+                self.appended(from, fits, index, hint, round);
+            }
+            MessageBody::PieceReply { index, have, round } => self.has_piece(from, index, have, round),
+            MessageBody::TimeoutNow if self.votes() && self.leader == Some(from) => self.stand(true),
+            MessageBody::TimeoutNow => {}
         }
     }
 
@@ -677,7 +708,7 @@
         if self.voters().count() == 1 {
             return self.stand(false);
         }
-        let body = Body::PreVote { last: self.log.last(), last_term: self.log.last_term() };
+        let body = MessageBody::PreVote { last: self.log.last(), last_term: self.log.last_term() };
         for id in self.other_voters() {
             self.say_in(self.hard.term + 1, id, body.clone());
         }
@@ -706,7 +737,7 @@
         self.role = Role::Candidate(BTreeSet::new());
         self.stood += 1;
         self.wait_for_leader();
-        let body = Body::Vote { last: self.log.last(), last_term: self.log.last_term(), handed };
+        let body = MessageBody::Vote { last: self.log.last(), last_term: self.log.last_term(), handed };
         for id in self.other_voters() {
             self.say(id, body.clone());
         }
@@ -724,7 +755,7 @@
             }
             self.wait_for_leader();
         }
-        self.say(from, Body::VoteReply(granted));
+        self.say(from, MessageBody::VoteReply(granted));
     }
 
     fn heard_vote(&mut self, from: Id, granted: bool) {
@@ -748,7 +779,7 @@
             hand_over: None,
         }));
         // Entries of older terms count only with one of its own.
-        self.take(Kind::Empty);
+        self.take(EntryKind::Empty);
         self.watch_members();
         self.beat();
     }
@@ -767,7 +798,7 @@
     }
 
     /// Puts an entry behind the others.
-    fn take(&mut self, kind: Kind) -> Index {
+    fn take(&mut self, kind: EntryKind) -> Index {
         let entry = Entry { index: self.log.last() + 1, term: self.hard.term, kind };
         let index = entry.index;
         self.hold(entry);
@@ -775,91 +806,91 @@
     }
 
     fn hold(&mut self, entry: Entry) {
-        if let Kind::Members(members) = &entry.kind {
+        if let EntryKind::Members(members) = &entry.kind {
             self.members.push((entry.index, members.clone()));
         }
         self.dirty.entries.push(entry.clone());
         self.log.push(entry);
     }
 
-    fn propose(&mut self, ticket: u64, kind: Kind, out: &mut Vec<Order>) {
-        let refuse = |why| Order::Refused { ticket, why };
+    fn propose(&mut self, proposal_id: u64, kind: EntryKind, out: &mut Vec<Action>) {
+        let refuse = |why| Action::Rejected { proposal_id, why };
         let Role::Leader(lead) = &self.role else {
-            return out.push(refuse(Refusal::NotLeader(self.leader)));
+            return out.push(refuse(ProposeError::NotLeader(self.leader)));
         };
         if let Some((to, _)) = lead.hand_over {
-            return out.push(refuse(Refusal::NotLeader(Some(to))));
+            return out.push(refuse(ProposeError::NotLeader(Some(to))));
         }
         let bytes = self.log.bytes_after(self.commit);
         if self.log.last() - self.commit >= self.options.uncommitted || bytes > self.options.uncommitted_bytes
         {
-            return out.push(refuse(Refusal::Busy));
+            return out.push(refuse(ProposeError::Busy));
         }
         let index = self.take(kind);
-        self.tickets.insert(index, (self.hard.term, ticket));
+        self.proposal_ids.insert(index, (self.hard.term, proposal_id));
         self.watch_members();
         self.send_all();
     }
 
-    fn change(&mut self, ticket: u64, change: Change, out: &mut Vec<Order>) {
+    fn change(&mut self, proposal_id: u64, change: Change, out: &mut Vec<Action>) {
         let mut members = self.members().clone();
         let why = if !self.leads() {
-            Some(Refusal::NotLeader(self.leader))
+            Some(ProposeError::NotLeader(self.leader))
         } else if self.changing().is_some() {
-            Some(Refusal::NotNow("another change of members is under way"))
+            Some(ProposeError::NotNow("another change of members is under way"))
         } else if self.log.term(self.commit) != Some(self.hard.term) {
             // Two leaders might each change by one, from different beginnings.
-            Some(Refusal::NotNow("the leader is new: nothing of its term counts yet"))
+            Some(ProposeError::NotNow("the leader is new: nothing of its term counts yet"))
         } else {
             let late = |id| self.matched(id).is_none_or(|m| m + self.options.window < self.log.last());
             match change {
-                Change::Promote(_) if self.voters().count() >= VOTERS => {
-                    Some(Refusal::NotNow("there are as many voters as there may be"))
+                Change::Promote(_) if self.voters().count() >= MAX_VOTERS => {
+                    Some(ProposeError::NotNow("there are as many voters as there may be"))
                 }
-                Change::Add(..) if members.len() >= MEMBERS => {
-                    Some(Refusal::NotNow("there are as many members as there may be"))
+                Change::Add(..) if members.len() >= MAX_MEMBERS => {
+                    Some(ProposeError::NotNow("there are as many members as there may be"))
                 }
                 Change::Add(id, name, address) => {
                     let known = members.contains_key(&id);
                     members.entry(id).or_insert(Member { name, address, votes: false });
-                    known.then_some(Refusal::NotNow("it is a member"))
+                    known.then_some(ProposeError::NotNow("it is a member"))
                 }
-                Change::Promote(id) if late(id) => Some(Refusal::NotNow("it has too few entries yet")),
+                Change::Promote(id) if late(id) => Some(ProposeError::NotNow("it has too few entries yet")),
                 Change::Promote(id) => match members.get_mut(&id) {
                     Some(member) if !member.votes => {
                         member.votes = true;
                         None
                     }
-                    _ => Some(Refusal::NotNow("it is no learner")),
+                    _ => Some(ProposeError::NotNow("it is no learner")),
                 },
                 Change::Remove(id) => {
                     let held = members.remove(&id);
                     let last = members.values().all(|m| !m.votes);
-                    (held.is_none() || last).then_some(Refusal::NotNow("it is no member, or the last"))
+                    (held.is_none() || last).then_some(ProposeError::NotNow("it is no member, or the last"))
                 }
             }
         };
         match why {
-            Some(why) => out.push(Order::Refused { ticket, why }),
-            None => self.propose(ticket, Kind::Members(members), out),
+            Some(why) => out.push(Action::Rejected { proposal_id, why }),
+            None => self.propose(proposal_id, EntryKind::Members(members), out),
         }
     }
 
-    fn read(&mut self, ticket: u64, out: &mut Vec<Order>) {
+    fn read(&mut self, proposal_id: u64, out: &mut Vec<Action>) {
         let (commit, leader) = (self.commit, self.leader);
-        let alone = flawed!(self, ReadAlone);
+        let alone = is_planted!(self, ReadAlone);
         let Role::Leader(lead) = &mut self.role else {
-            return out.push(Order::Refused { ticket, why: Refusal::NotLeader(leader) });
+            return out.push(Action::Rejected { proposal_id, why: ProposeError::NotLeader(leader) });
         };
         if alone {
-            return out.push(Order::Read { ticket, index: commit });
+            return out.push(Action::Read { proposal_id, index: commit });
         }
         if lead.reads.len() as u64 >= self.options.uncommitted {
-            return out.push(Order::Refused { ticket, why: Refusal::Busy });
+            return out.push(Action::Rejected { proposal_id, why: ProposeError::Busy });
         }
         // A round that begins now: answers to it show that nobody else led when the read was asked for.
         lead.round += 1;
-        lead.reads.push_back((ticket, commit, lead.round));
+        lead.reads.push_back((proposal_id, commit, lead.round));
         self.beat();
     }
 
@@ -878,7 +909,7 @@
         let Role::Leader(lead) = &self.role else { return };
         let Some((to, _)) = lead.hand_over else { return };
         if lead.others.get(&to).is_some_and(|p| p.matched == self.log.last()) {
-            self.say(to, Body::TimeoutNow);
+            self.say(to, MessageBody::TimeoutNow);
         }
     }
 
@@ -944,8 +975,8 @@
             }
             // `prev` is held: the base at least.
             let prev_term = self.log.term(prev).unwrap_or_default();
-            let entries = entries.into_iter().map(Sealed).collect();
-            self.say(id, Body::Append { prev, prev_term, commit, round, entries });
+            let entries = entries.into_iter().map(WireEntry).collect();
+            self.say(id, MessageBody::Append { prev, prev_term, commit, round, entries });
             if !more {
                 return;
             }
@@ -960,7 +991,7 @@
         let from = (at as usize).min(bytes.len());
         let to = (from + self.options.piece).min(bytes.len());
         let (index, term, whole) = (self.snapshot.index, self.snapshot.term, bytes.len() as u64);
-        self.say(id, Body::Piece { index, term, whole, at, bytes: bytes[from..to].to_vec(), round });
+        self.say(id, MessageBody::Piece { index, term, whole, at, bytes: bytes[from..to].to_vec(), round });
     }
 
     /// Something was heard of a member.
@@ -1005,7 +1036,7 @@
 
     // --- what a follower does
 
-    fn led_by(&mut self, leader: Id, out: &mut Vec<Order>) {
+    fn led_by(&mut self, leader: Id, out: &mut Vec<Action>) {
         // In a term there is one leader at most, so this member does not lead.
         self.heard = self.now;
         if self.leader != Some(leader) || !matches!(self.role, Role::Follower) {
@@ -1019,7 +1050,7 @@
         (from, round): (Id, u64),
         (prev, prev_term): (Index, Term),
         commit: Index,
-        entries: Vec<Sealed>,
+        entries: Vec<WireEntry>,
     ) {
         let base = self.log.base();
         // What a snapshot covers is the same as the leader's: it counted.
@@ -1029,10 +1060,10 @@
                 Some(_) => self.log.first_of_term(prev) - 1,
                 None => self.log.last(),
             };
-            return self.say(from, Body::AppendReply { fits: false, index: prev, hint, round });
+            return self.say(from, MessageBody::AppendReply { fits: false, index: prev, hint, round });
         }
         let mut last = prev;
-        for Sealed(entry) in entries {
+        for WireEntry(entry) in entries {
             if entry.index != last + 1 {
                 break; // a gap: no leader sends that
             }
@@ -1050,7 +1081,7 @@
         }
         let known = last.max(base);
         self.commit = self.commit.max(commit.min(known));
-        self.say(from, Body::AppendReply { fits: true, index: known, hint: 0, round });
+        self.say(from, MessageBody::AppendReply { fits: true, index: known, hint: 0, round });
     }
 
     fn truncate(&mut self, from: Index) {
@@ -1067,11 +1098,11 @@
         self.dirty.truncate = Some(self.dirty.truncate.map_or(from, |at| at.min(from)));
     }
 
-    fn piece(&mut self, (from, round): (Id, u64), piece: Incoming, at: u64, out: &mut Vec<Order>) {
+    fn piece(&mut self, (from, round): (Id, u64), piece: Incoming, at: u64, out: &mut Vec<Action>) {
         let index = piece.index;
         if index <= self.commit {
             // All that is in it counts here already.
-            return self.say(from, Body::PieceReply { index, have: piece.whole, round });
+            return self.say(from, MessageBody::PieceReply { index, have: piece.whole, round });
         }
         if piece.whole > self.options.snapshot {
             return;
@@ -1091,14 +1122,14 @@
             self.incoming = None;
             let right = read.ok().filter(|s| s.index == index && s.term == piece.term);
             let Some(snapshot) = right else {
-                return self.say(from, Body::PieceReply { index, have: 0, round });
+                return self.say(from, MessageBody::PieceReply { index, have: 0, round });
             };
             self.restore(Arc::new(snapshot), out);
         }
-        self.say(from, Body::PieceReply { index, have, round });
+        self.say(from, MessageBody::PieceReply { index, have, round });
     }
 
-    fn restore(&mut self, snapshot: Arc<Snapshot>, out: &mut Vec<Order>) {
+    fn restore(&mut self, snapshot: Arc<Snapshot>, out: &mut Vec<Action>) {
         let index = snapshot.index;
         let follows = self.log.term(index) == Some(snapshot.term);
         self.members.retain(|(at, _)| follows && *at > index);
@@ -1116,7 +1147,7 @@
         (self.commit, self.applied) = (index, index);
         self.snapshot = snapshot.clone();
         self.dirty.snapshot = Some(snapshot.clone());
-        out.push(Order::Restore(snapshot));
+        out.push(Action::Restore(snapshot));
     }
 
     // --- the log, the disk, what counts
@@ -1129,7 +1160,7 @@
         self.dirty.hard = Some(self.hard.clone());
         let myself = Member { name, address, votes: true };
         let members = Members::from([(self.hard.id, myself)]);
-        self.take(Kind::Members(members));
+        self.take(EntryKind::Members(members));
         self.stand_at = self.now;
         self.ask_before();
     }
@@ -1143,7 +1174,7 @@
         let at = self.members.iter().rposition(|(from, _)| *from <= index).unwrap_or_default();
         let mut members = self.members[at].1.clone();
         self.members.drain(..at);
-        if flawed!(self, SnapshotForgets) {
+        if is_planted!(self, SnapshotForgets) {
             members = Members::new();
         }
         self.snapshot = Arc::new(Snapshot { index, term, members, data });
@@ -1156,11 +1187,11 @@
         }
     }
 
-    fn on_disk(&mut self, number: u64, out: &mut Vec<Order>) {
+    fn on_disk(&mut self, number: u64, out: &mut Vec<Action>) {
         self.stored = self.stored.max(number.min(self.issued));
         while self.held.front().is_some_and(|(at, _)| *at <= self.stored) {
             match self.held.pop_front() {
-                Some((_, Held::Send(envelope))) => out.push(Order::Send(envelope)),
+                Some((_, Held::Send(message))) => out.push(Action::Send(message)),
                 Some((_, Held::Last(last))) => self.durable = last,
                 Some((_, Held::Vote(term))) if term == self.hard.term => self.heard_vote(self.hard.id, true),
                 _ => {}
@@ -1169,20 +1200,20 @@
     }
 
     /// Ends an event: what has changed goes to disk, what was said goes out or waits for that, what counts is applied.
-    fn settle(&mut self, out: &mut Vec<Order>) {
+    fn settle(&mut self, out: &mut Vec<Action>) {
         self.count();
         if !self.dirty.is_empty() {
             self.issued += 1;
             let mut store = std::mem::take(&mut self.dirty);
             store.number = self.issued;
             self.held.push_back((self.issued, Held::Last(self.log.last())));
-            out.push(Order::Store(store));
+            out.push(Action::Persist(store));
         }
-        for (promise, envelope) in std::mem::take(&mut self.outbox) {
+        for (promise, message) in std::mem::take(&mut self.outbox) {
             if promise && self.stored < self.issued {
-                self.held.push_back((self.issued, Held::Send(envelope)));
+                self.held.push_back((self.issued, Held::Send(message)));
             } else {
-                out.push(Order::Send(envelope));
+                out.push(Action::Send(message));
             }
         }
         self.apply(out);
@@ -1192,10 +1223,10 @@
     fn count(&mut self) {
         let Role::Leader(lead) = &self.role else { return };
         let own = self.hard.id;
-        let durable = if flawed!(self, AckNotStored) { self.log.last() } else { self.durable };
+        let durable = if is_planted!(self, AckNotStored) { self.log.last() } else { self.durable };
         let has = |id| if id == own { durable } else { lead.others.get(&id).map_or(0, |p| p.matched) };
         let index = self.by_majority(has);
-        let of_term = self.log.term(index) == Some(self.hard.term) || flawed!(self, CommitOlderTerm);
+        let of_term = self.log.term(index) == Some(self.hard.term) || is_planted!(self, CommitOlderTerm);
         if index > self.commit && of_term {
             self.commit = index;
             // The others hear of it at once: what they serve is not older than need be.
@@ -1219,25 +1250,26 @@
         }
     }
 
-    fn apply(&mut self, out: &mut Vec<Order>) {
+    fn apply(&mut self, out: &mut Vec<Action>) {
         let mut removed = false;
         while self.applied < self.commit {
             self.applied += 1;
             let Some(entry) = self.log.get(self.applied).cloned() else { continue };
-            let mine = self.tickets.remove(&entry.index);
-            let ticket = mine.filter(|(term, _)| *term == entry.term).map(|(_, ticket)| ticket);
-            if let Some((_, ticket)) = mine.filter(|(term, _)| *term != entry.term) {
-                out.push(Order::Refused { ticket, why: Refusal::Lost });
+            let mine = self.proposal_ids.remove(&entry.index);
+            let proposal_id =
+                mine.filter(|(term, _)| *term == entry.term).map(|(_, proposal_id)| proposal_id);
+            if let Some((_, proposal_id)) = mine.filter(|(term, _)| *term != entry.term) {
+                out.push(Action::Rejected { proposal_id, why: ProposeError::Lost });
             }
-            if let Kind::Members(members) = &entry.kind {
+            if let EntryKind::Members(members) = &entry.kind {
                 removed |= !members.contains_key(&self.hard.id);
             }
-            out.push(Order::Apply { entry, ticket });
+            out.push(Action::Apply { entry, proposal_id });
         }
         if let Role::Leader(lead) = &mut self.role {
             while lead.reads.front().is_some_and(|(.., round)| *round == 0) {
-                if let Some((ticket, index, _)) = lead.reads.pop_front() {
-                    out.push(Order::Read { ticket, index: index.max(self.commit) });
+                if let Some((proposal_id, index, _)) = lead.reads.pop_front() {
+                    out.push(Action::Read { proposal_id, index: index.max(self.commit) });
                 }
             }
         }
--- a/crates/quorum/src/machine.rs
+++ b/crates/raft/src/state_machine.rs
@@ -3,7 +3,7 @@
 //!
 //! All members apply the same commands in the same order and come to the same state; nothing here depends on time.
 
-use crate::message::{open, seal, Unread};
+use crate::message::{open, seal, DecodeError};
 use crate::Index;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,19 +11,19 @@
 use std::sync::Arc;
 
 /// Bytes of a key.
-pub const KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 /// Bytes of a value.
-pub const VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 /// Keys.
-pub const KEYS: usize = 4096;
+pub const MAX_KEYS: usize = 4096;
 /// Bytes of all keys and values.
-pub const TOTAL: usize = 8 << 20;
+pub const MAX_TOTAL_BYTES: usize = 8 << 20;
 /// Changes that the history holds, and bytes of them.
 pub const HISTORY: (usize, usize) = (1024, 4 << 20);
 /// Sessions whose last outcome is remembered; beyond, the one that was quiet for longest is forgotten.
-pub const SESSIONS: usize = 4096;
+pub const MAX_SESSIONS: usize = 4096;
 /// Parts of one command.
-pub const OPS: usize = 64;
+pub const MAX_OPS: usize = 64;
 
 /// A part of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -49,6 +49,7 @@
 
 impl Command {
     /// As an entry holds it.
+    #[must_use]
     pub fn to_bytes(&self) -> Arc<Vec<u8>> {
         Arc::new(seal(self))
     }
@@ -86,7 +87,7 @@
 
 /// One key's change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Changed {
+pub struct KeyChange {
     /// The entry that made it.
     pub version: Index,
     /// Which key.
@@ -95,7 +96,7 @@
     pub value: Option<Arc<str>>,
 }
 
-impl Changed {
+impl KeyChange {
     fn size(&self) -> usize {
         64 + self.key.len() + self.value.as_ref().map_or(0, |v| v.len())
     }
@@ -111,10 +112,10 @@
 
 /// The state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Machine {
+pub struct StateMachine {
     values: BTreeMap<String, Value>,
     bytes: usize,
-    history: VecDeque<Changed>,
+    history: VecDeque<KeyChange>,
     history_bytes: usize,
     /// Changes up to there are not in the history any more.
     forgotten: Index,
@@ -122,12 +123,12 @@
     applied: Index,
 }
 
-impl Machine {
+impl StateMachine {
     /// From a snapshot.
     ///
     /// # Errors
     /// Where it is none.
-    pub fn restore(data: &[u8]) -> Result<Self, Unread> {
+    pub fn restore(data: &[u8]) -> Result<Self, DecodeError> {
         if data.is_empty() {
             return Ok(Self::default());
         }
@@ -135,16 +136,19 @@
     }
 
     /// For a snapshot.
+    #[must_use]
     pub fn save(&self) -> Arc<Vec<u8>> {
         Arc::new(seal(self))
     }
 
     /// The last entry that was applied.
+    #[must_use]
     pub fn applied(&self) -> Index {
         self.applied
     }
 
     /// What a key holds.
+    #[must_use]
     pub fn get(&self, key: &str) -> Option<&Value> {
         self.values.get(key)
     }
@@ -155,7 +159,8 @@
     }
 
     /// The changes after that version, oldest first; `None` where some of them are forgotten: then one starts anew.
-    pub fn since(&self, version: Index) -> Option<impl Iterator<Item = &Changed>> {
+    #[must_use]
+    pub fn since(&self, version: Index) -> Option<impl Iterator<Item = &KeyChange>> {
         let from = self.history.partition_point(|changed| changed.version <= version);
         (version >= self.forgotten).then(|| self.history.range(from..))
     }
@@ -165,21 +170,26 @@
     /// # Errors
     /// With key and reason.
     pub fn check(command: &Command) -> Result<(), String> {
-        if command.ops.is_empty() || command.ops.len() > OPS {
-            return Err(format!("a command has 1 to {OPS} parts, not {}", command.ops.len()));
+        if command.ops.is_empty() || command.ops.len() > MAX_OPS {
+            return Err(format!("a command has 1 to {MAX_OPS} parts, not {}", command.ops.len()));
         }
         let keys: BTreeSet<&String> = command.ops.iter().map(|op| &op.key).collect();
         if keys.len() < command.ops.len() {
             return Err("a command names each key once".into());
         }
         for Op { key, value, .. } in &command.ops {
-            let plain = !key.is_empty() && key.len() <= KEY && key.chars().all(|c| !c.is_control());
+            let plain = !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.chars().all(|c| !c.is_control());
             if !plain {
                 let shown: String = key.chars().filter(|c| !c.is_control()).take(40).collect();
-                return Err(format!("{shown}: a key has 1 to {KEY} bytes and no control characters"));
+                return Err(format!(
+                    "{shown}: a key has 1 to {MAX_KEY_BYTES} bytes and no control characters"
+                ));
             }
-            if let Some(value) = value.as_ref().filter(|value| value.len() > VALUE) {
-                return Err(format!("{key}: a value has {VALUE} bytes at the most, not {}", value.len()));
+            if let Some(value) = value.as_ref().filter(|value| value.len() > MAX_VALUE_BYTES) {
+                return Err(format!(
+                    "{key}: a value has {MAX_VALUE_BYTES} bytes at the most, not {}",
+                    value.len()
+                ));
             }
         }
         Ok(())
@@ -215,7 +225,7 @@
         let outcome = self.carry_out(index, &command);
         let session = Session { serial: command.serial, outcome: outcome.clone(), at: index };
         self.sessions.insert(command.session, session);
-        if self.sessions.len() > SESSIONS {
+        if self.sessions.len() > MAX_SESSIONS {
             let oldest = self.sessions.iter().min_by_key(|(_, s)| s.at).map(|(id, _)| *id);
             oldest.map(|id| self.sessions.remove(&id));
         }
@@ -240,8 +250,10 @@
             keys += usize::from(held.is_none() && value.is_some());
         }
         let grows = bytes > self.bytes || keys > self.values.len();
-        if grows && (keys > KEYS || bytes > TOTAL) {
-            return Outcome::Refused(format!("the store is full: {KEYS} keys and {TOTAL} bytes at the most"));
+        if grows && (keys > MAX_KEYS || bytes > MAX_TOTAL_BYTES) {
+            return Outcome::Refused(format!(
+                "the store is full: {MAX_KEYS} keys and {MAX_TOTAL_BYTES} bytes at the most"
+            ));
         }
         for Op { key, value, .. } in &command.ops {
             let old = match value {
@@ -252,12 +264,12 @@
                 None => self.values.remove(key),
             };
             self.bytes -= old.map_or(0, |old| key.len() + old.text.len());
-            self.remember(Changed { version: index, key: key.clone(), value: value.clone() });
+            self.remember(KeyChange { version: index, key: key.clone(), value: value.clone() });
         }
         Outcome::Done(index)
     }
 
-    fn remember(&mut self, changed: Changed) {
+    fn remember(&mut self, changed: KeyChange) {
         self.history_bytes += changed.size();
         self.history.push_back(changed);
         let (most, bytes) = HISTORY;
--- a/crates/quorum/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -1,8 +1,8 @@
 //! The log on disk: cut at each byte, spoilt at each byte, syncs that fail or lie, a full disk, the form before.
 
-use dahliaspoke_quorum::disk::{Disk, DiskLog, Folder, SEGMENT};
-use dahliaspoke_quorum::message::{Entry, Hard, Kind, Snapshot};
-use dahliaspoke_quorum::raft::{Saved, Store};
+use dahliaspoke_raft::disk::{Disk, DiskLog, Folder, SEGMENT};
+use dahliaspoke_raft::message::{Entry, EntryKind, HardState, Snapshot};
+use dahliaspoke_raft::raft::{PersistentState, WriteBatch};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -148,37 +148,43 @@
 }
 
 fn entry(index: u64, term: u64, bytes: usize) -> Entry {
-    Entry { index, term, kind: Kind::Data(Arc::new(vec![index as u8; bytes])) }
+    Entry { index, term, kind: EntryKind::Data(Arc::new(vec![index as u8; bytes])) }
 }
 
-fn appends(number: u64, first: u64, count: u64) -> Store {
+fn appends(number: u64, first: u64, count: u64) -> WriteBatch {
     let entries = (first..first + count).map(|index| entry(index, 2, 40)).collect();
-    Store { number, entries, ..Store::default() }
+    WriteBatch { number, entries, ..WriteBatch::default() }
 }
 
-fn with_snapshot(number: u64, index: u64) -> Store {
+fn with_snapshot(number: u64, index: u64) -> WriteBatch {
     let snapshot = Snapshot { index, term: 2, data: Arc::new(vec![7; 300]), ..Snapshot::default() };
-    Store { number, snapshot: Some(Arc::new(snapshot)), compact: Some(index - 2), ..Store::default() }
+    WriteBatch {
+        number,
+        snapshot: Some(Arc::new(snapshot)),
+        compact: Some(index - 2),
+        ..WriteBatch::default()
+    }
 }
 
 /// Votes, entries, an overwritten end, a snapshot, a snapshot that begins anew.
-fn stores() -> Vec<Store> {
-    let hard = |term, vote| Some(Hard { id: 5, cluster: 9, term, vote });
+fn stores() -> Vec<WriteBatch> {
+    let hard = |term, vote| Some(HardState { id: 5, cluster: 9, term, vote });
     let anew = Snapshot { index: 40, term: 3, data: Arc::new(vec![8; 200]), ..Snapshot::default() };
     vec![
-        Store { number: 1, hard: hard(2, Some(5)), ..appends(1, 1, 6) },
-        Store { number: 2, truncate: Some(5), entries: vec![entry(5, 3, 10)], ..Store::default() },
+        WriteBatch { number: 1, hard: hard(2, Some(5)), ..appends(1, 1, 6) },
+        WriteBatch { number: 2, truncate: Some(5), entries: vec![entry(5, 3, 10)], ..WriteBatch::default() },
         appends(3, 6, 3),
         with_snapshot(4, 6),
-        Store { number: 5, hard: hard(4, None), ..Store::default() },
-        Store { number: 6, snapshot: Some(Arc::new(anew)), reset: true, ..Store::default() },
-        Store { number: 7, entries: vec![entry(41, 4, 20)], ..Store::default() },
+        WriteBatch { number: 5, hard: hard(4, None), ..WriteBatch::default() },
+        WriteBatch { number: 6, snapshot: Some(Arc::new(anew)), reset: true, ..WriteBatch::default() },
+        WriteBatch { number: 7, entries: vec![entry(41, 4, 20)], ..WriteBatch::default() },
     ]
 }
 
 /// What is on disk after so many of them.
-fn after(count: usize) -> Saved {
-    let mut saved = Saved { hard: Hard { id: 5, ..Hard::default() }, ..Saved::default() };
+fn after(count: usize) -> PersistentState {
+    let mut saved =
+        PersistentState { hard: HardState { id: 5, ..HardState::default() }, ..PersistentState::default() };
     stores()[..count].iter().for_each(|store| saved.take(store));
     saved
 }
@@ -304,8 +310,11 @@
     let size = 1 << 20;
     let mut expected = log.saved().clone();
     for index in 1..=3 * SEGMENT / size {
-        let mut store =
-            Store { number: index, entries: vec![entry(index, 2, size as usize)], ..Store::default() };
+        let mut store = WriteBatch {
+            number: index,
+            entries: vec![entry(index, 2, size as usize)],
+            ..WriteBatch::default()
+        };
         if index % 5 == 0 {
             store.snapshot = with_snapshot(0, index).snapshot;
             store.compact = Some(index - 2);
@@ -335,7 +344,7 @@
     disk.append("log-0000000000000007", &bytes).expect("written");
     let log = open(&disk).expect("it is read");
     assert_eq!(log.saved().hard.id, 5);
-    let data = Kind::Data(Arc::new(vec![1, 2, 3]));
+    let data = EntryKind::Data(Arc::new(vec![1, 2, 3]));
     assert_eq!(log.saved().entries, [Entry { index: 1, term: 2, kind: data }]);
     assert_eq!(disk.file("log-").0, "log-0000000000000008");
     let mut newer = Memory::default();
--- a/crates/quorum/tests/large.rs
+++ b/crates/raft/tests/large.rs
@@ -1,7 +1,7 @@
 //! A large snapshot goes over in pieces.
 
-use dahliaspoke_quorum::message::{Entry, Hard, Kind, Member, Members, Snapshot};
-use dahliaspoke_quorum::raft::{Event, Options, Order, Raft, Saved};
+use dahliaspoke_raft::message::{Entry, EntryKind, HardState, Member, Members, Snapshot};
+use dahliaspoke_raft::raft::{Action, Event, Options, PersistentState, Raft};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -9,17 +9,22 @@
 fn a_snapshot_of_megabytes_comes_over_with_each_piece_sent_about_once() {
     let member = |n: u64| (n, Member { name: format!("m{n}"), address: String::new(), votes: true });
     let members: Members = (1..=3).map(member).collect();
-    let hard = |id| Hard { id, cluster: 9, term: 1, vote: None };
+    let hard = |id| HardState { id, cluster: 9, term: 1, vote: None };
     let data = Arc::new((0..5_000_000u32).map(|n| (n % 251) as u8).collect::<Vec<_>>());
     let snapshot = Arc::new(Snapshot { index: 60, term: 1, members: members.clone(), data });
-    let first = Entry { index: 1, term: 1, kind: Kind::Members(members) };
-    let late = Saved { hard: hard(3), entries: vec![first], ..Saved::default() };
-    let full = |id| Saved { hard: hard(id), snapshot: snapshot.clone(), base: (60, 1), entries: Vec::new() };
+    let first = Entry { index: 1, term: 1, kind: EntryKind::Members(members) };
+    let late = PersistentState { hard: hard(3), entries: vec![first], ..PersistentState::default() };
+    let full = |id| PersistentState {
+        hard: hard(id),
+        snapshot: snapshot.clone(),
+        base: (60, 1),
+        entries: Vec::new(),
+    };
     let mut rafts: Vec<Raft> =
         [full(1), full(2), late].into_iter().map(|saved| Raft::new(Options::new(1), saved, 0)).collect();
     let mut orders = Vec::new();
-    rafts[0].stand_now(&mut orders);
-    let mut queue: VecDeque<(usize, Order)> = orders.drain(..).map(|order| (0, order)).collect();
+    rafts[0].campaign(&mut orders);
+    let mut queue: VecDeque<(usize, Action)> = orders.drain(..).map(|order| (0, order)).collect();
     let (mut now, mut sent, mut restored) = (0, 0, false);
     for _ in 0..20_000 {
         let Some((at, order)) = queue.pop_front() else {
@@ -29,12 +34,12 @@
             continue;
         };
         let (to, event) = match order {
-            Order::Send(message) => {
+            Action::Send(message) => {
                 sent += usize::from(message.to == 3);
                 (message.to as usize - 1, Event::Message(message))
             }
-            Order::Store(store) => (at, Event::Stored(store.number)),
-            Order::Restore(held) => {
+            Action::Persist(store) => (at, Event::Persisted(store.number)),
+            Action::Restore(held) => {
                 restored |= at == 2 && *held == *snapshot;
                 continue;
             }
--- a/crates/quorum/tests/machine.rs
+++ b/crates/raft/tests/machine.rs
@@ -1,6 +1,9 @@
 //! The configuration's machine beside a plain map.
 
-use dahliaspoke_quorum::machine::{Command, Machine, Op, Outcome, HISTORY, KEY, SESSIONS, TOTAL, VALUE};
+use dahliaspoke_raft::state_machine::{
+    Command, Op, Outcome, StateMachine, HISTORY, MAX_KEY_BYTES, MAX_SESSIONS, MAX_TOTAL_BYTES,
+    MAX_VALUE_BYTES,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -12,8 +15,8 @@
     Command { session, serial, ops }
 }
 
-fn apply(machine: &mut Machine, index: u64, command: &Command) -> Outcome {
-    machine.apply(index, &command.to_bytes())
+fn apply(state_machine: &mut StateMachine, index: u64, command: &Command) -> Outcome {
+    state_machine.apply(index, &command.to_bytes())
 }
 
 /// Session, serial, and parts: key, value, expected version.
@@ -29,7 +32,7 @@
     /// watcher that reads the history has what the map has.
     #[test]
     fn commands_do_what_a_map_would(commands in draw(), cut in 0usize..40) {
-        let mut machine = Machine::default();
+        let mut state_machine = StateMachine::default();
         let mut map: BTreeMap<String, (u64, String)> = BTreeMap::new();
         let mut last: BTreeMap<u64, (u64, Outcome)> = BTreeMap::new();
         let mut watcher: BTreeMap<String, String> = BTreeMap::new();
@@ -40,9 +43,9 @@
                 key: format!("k{key}"), value: value.map(|v| v.to_string().into()), expect,
             }).collect();
             let command = command(session, serial, ops.clone());
-            let told = apply(&mut machine, index, &command);
+            let told = apply(&mut state_machine, index, &command);
             if at == cut {
-                machine = Machine::restore(&machine.save()).expect("it was written here");
+                state_machine = StateMachine::restore(&state_machine.save()).expect("it was written here");
             }
             let twice = ops.len() == 2 && ops[0].key == ops[1].key;
             let other = ops.iter().find_map(|op| {
@@ -71,15 +74,15 @@
                     last.insert(session, (serial, told));
                 }
             }
-            for changed in machine.since(seen).expect("nothing is forgotten yet") {
+            for changed in state_machine.since(seen).expect("nothing is forgotten yet") {
                 match &changed.value {
                     Some(value) => watcher.insert(changed.key.clone(), value.to_string()),
                     None => watcher.remove(&changed.key),
                 };
             }
-            seen = machine.applied();
+            seen = state_machine.applied();
         }
-        let held: Vec<_> = machine.all("").map(|(k, v)| (k.clone(), (v.version, v.text.to_string()))).collect();
+        let held: Vec<_> = state_machine.all("").map(|(k, v)| (k.clone(), (v.version, v.text.to_string()))).collect();
         prop_assert_eq!(&held, &map.clone().into_iter().collect::<Vec<_>>());
         let plain: BTreeMap<_, _> = map.into_iter().map(|(key, (_, value))| (key, value)).collect();
         prop_assert_eq!(watcher, plain);
@@ -88,61 +91,63 @@
     /// Bytes that are no command change nothing and are refused, by every member alike.
     #[test]
     fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut machine = Machine::default();
-        prop_assert!(matches!(machine.apply(1, &bytes), Outcome::Refused(_)));
-        prop_assert_eq!(machine.all("").count(), 0);
-        prop_assert!(Machine::restore(&bytes).is_err() || bytes.is_empty());
+        let mut state_machine = StateMachine::default();
+        prop_assert!(matches!(state_machine.apply(1, &bytes), Outcome::Refused(_)));
+        prop_assert_eq!(state_machine.all("").count(), 0);
+        prop_assert!(StateMachine::restore(&bytes).is_err() || bytes.is_empty());
     }
 }
 
 #[test]
 fn what_is_too_large_is_refused_with_key_and_reason() {
-    let refused = |ops: Vec<Op>| Machine::check(&command(0, 0, ops)).expect_err("refused");
+    let refused = |ops: Vec<Op>| StateMachine::check(&command(0, 0, ops)).expect_err("refused");
     let large = refused(vec![set("settings", &"x".repeat(5 << 20), None)]);
-    assert!(large.starts_with("settings: ") && large.contains(&VALUE.to_string()), "{large}");
-    assert!(refused(vec![set(&"k".repeat(KEY + 1), "", None)]).contains("a key has"));
+    assert!(large.starts_with("settings: ") && large.contains(&MAX_VALUE_BYTES.to_string()), "{large}");
+    assert!(refused(vec![set(&"k".repeat(MAX_KEY_BYTES + 1), "", None)]).contains("a key has"));
     assert!(refused(vec![set("a\nb", "", None)]).contains("control"));
     assert!(refused(vec![]).contains("parts"));
 }
 
 #[test]
 fn the_store_is_full_and_shrinks_again() {
-    let mut machine = Machine::default();
-    let value = "x".repeat(VALUE);
+    let mut state_machine = StateMachine::default();
+    let value = "x".repeat(MAX_VALUE_BYTES);
     let mut index = 0;
-    let mut put = |machine: &mut Machine, key: &str, value: Option<&str>| {
+    let mut put = |state_machine: &mut StateMachine, key: &str, value: Option<&str>| {
         index += 1;
         let op = Op { key: key.into(), value: value.map(Into::into), expect: None };
-        apply(machine, index, &command(0, 0, vec![op]))
+        apply(state_machine, index, &command(0, 0, vec![op]))
     };
-    let full =
-        (0..20).find(|n| matches!(put(&mut machine, &format!("k{n}"), Some(&value)), Outcome::Refused(_)));
-    assert_eq!(full, Some(TOTAL / VALUE - 1));
-    assert!(matches!(put(&mut machine, "k0", None), Outcome::Done(_)));
-    assert!(matches!(put(&mut machine, "other", Some(&value)), Outcome::Done(_)));
+    let full = (0..20)
+        .find(|n| matches!(put(&mut state_machine, &format!("k{n}"), Some(&value)), Outcome::Refused(_)));
+    assert_eq!(full, Some(MAX_TOTAL_BYTES / MAX_VALUE_BYTES - 1));
+    assert!(matches!(put(&mut state_machine, "k0", None), Outcome::Done(_)));
+    assert!(matches!(put(&mut state_machine, "other", Some(&value)), Outcome::Done(_)));
 }
 
 #[test]
 fn a_watcher_whose_changes_are_forgotten_starts_anew() {
-    let mut machine = Machine::default();
+    let mut state_machine = StateMachine::default();
     let most = HISTORY.0 as u64;
     for index in 1..=most + 10 {
-        apply(&mut machine, index, &command(0, 0, vec![set("k", &index.to_string(), None)]));
+        apply(&mut state_machine, index, &command(0, 0, vec![set("k", &index.to_string(), None)]));
     }
-    assert!(machine.since(9).is_none());
-    assert_eq!(machine.since(10).map(Iterator::count), Some(HISTORY.0));
-    assert_eq!(machine.since(most + 10).map(Iterator::count), Some(0));
+    assert!(state_machine.since(9).is_none());
+    assert_eq!(state_machine.since(10).map(Iterator::count), Some(HISTORY.0));
+    assert_eq!(state_machine.since(most + 10).map(Iterator::count), Some(0));
 }
 
 #[test]
 fn sessions_are_bounded_and_an_unknown_one_is_not_guessed_at() {
-    let mut machine = Machine::default();
-    for n in 1..=SESSIONS as u64 + 1 {
-        apply(&mut machine, n, &command(n, 1, vec![set("k", "v", None)]));
+    let mut state_machine = StateMachine::default();
+    for n in 1..=MAX_SESSIONS as u64 + 1 {
+        apply(&mut state_machine, n, &command(n, 1, vec![set("k", "v", None)]));
     }
-    let again = |machine: &mut Machine, session, serial| {
-        apply(machine, 9999, &command(session, serial, vec![set("k", "w", None)]))
+    let again = |state_machine: &mut StateMachine, session, serial| {
+        apply(state_machine, 9999, &command(session, serial, vec![set("k", "w", None)]))
     };
-    assert_eq!(again(&mut machine, 2, 1), Outcome::Done(2));
-    assert!(matches!(again(&mut machine, 1, 2), Outcome::Refused(why) if why.contains("may have been done")));
+    assert_eq!(again(&mut state_machine, 2, 1), Outcome::Done(2));
+    assert!(
+        matches!(again(&mut state_machine, 1, 2), Outcome::Refused(why) if why.contains("may have been done"))
+    );
 }
--- a/crates/quorum/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -1,9 +1,9 @@
 //! The pure core under a model checker: every order of deliveries, losses, syncs, crashes and elections within bounds.
-//! `STATES=20000000 cargo test --release -p dahliaspoke-quorum --test model -- --nocapture` for the long campaign.
+//! `STATES=20000000 cargo test --release -p dahliaspoke-raft --test model -- --nocapture` for the long campaign.
 
-use dahliaspoke_quorum::message::{Entry, Envelope, Hard, Kind, Member, Members, Snapshot};
-use dahliaspoke_quorum::raft::{Event, Flaw, Options, Order, Raft, Saved, Store};
-use dahliaspoke_quorum::{Id, Index, Term};
+use dahliaspoke_raft::message::{Entry, EntryKind, HardState, Member, Members, Message, Snapshot};
+use dahliaspoke_raft::raft::{Action, Event, Options, PersistentState, PlantedFault, Raft, WriteBatch};
+use dahliaspoke_raft::{Id, Index, Term};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -17,14 +17,14 @@
     proposals: usize,
     crashes: usize,
     doubled: usize,
-    flaw: Option<Flaw>,
+    planted_fault: Option<PlantedFault>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     rafts: Vec<Raft>,
-    disks: Vec<(Saved, VecDeque<Store>)>,
-    net: BTreeSet<Envelope>,
+    disks: Vec<(PersistentState, VecDeque<WriteBatch>)>,
+    net: BTreeSet<Message>,
     /// Entries that some member was told count.
     counted: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, Id>,
@@ -37,8 +37,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Act {
     Stand(usize),
-    Deliver(Envelope),
-    Double(Envelope),
+    Deliver(Message),
+    Double(Message),
     Sync(usize),
     Crash(usize),
     Propose(usize),
@@ -47,23 +47,23 @@
 impl Bounds {
     fn options(&self) -> Options {
         // One entry a message: the most orders in which they may come.
-        Options { flaw: self.flaw, batch: 1, ..Options::new(1) }
+        Options { planted_fault: self.planted_fault, batch: 1, ..Options::new(1) }
     }
 
-    fn carry_out(&self, world: &mut World, at: usize, orders: Vec<Order>) {
+    fn carry_out(&self, world: &mut World, at: usize, orders: Vec<Action>) {
         for order in orders {
             match order {
-                Order::Store(store) => world.disks[at].1.push_back(store),
-                Order::Send(message) => {
+                Action::Persist(store) => world.disks[at].1.push_back(store),
+                Action::Send(message) => {
                     world.net.insert(message);
                 }
-                Order::Apply { entry, .. } => {
+                Action::Apply { entry, .. } => {
                     let held = world.counted.entry(entry.index).or_insert_with(|| entry.clone());
                     if *held != entry {
                         world.wrong = Some("two entries count at one place");
                     }
                 }
-                Order::Restore(_) | Order::Read { .. } | Order::Refused { .. } => {}
+                Action::Restore(_) | Action::Read { .. } | Action::Rejected { .. } => {}
             }
         }
         let raft = &world.rafts[at];
@@ -100,14 +100,14 @@
     fn init_states(&self) -> Vec<World> {
         let member = |n| (n, Member { name: format!("m{n}"), address: String::new(), votes: true });
         let members: Members = (1..=self.members as Id).map(member).collect();
-        let first = Entry { index: 1, term: 1, kind: Kind::Members(members) };
-        let saved = |n| Saved {
-            hard: Hard { id: n, cluster: 9, term: 1, vote: None },
+        let first = Entry { index: 1, term: 1, kind: EntryKind::Members(members) };
+        let saved = |n| PersistentState {
+            hard: HardState { id: n, cluster: 9, term: 1, vote: None },
             snapshot: Arc::new(Snapshot::default()),
             base: (0, 0),
             entries: vec![first.clone()],
         };
-        let all: Vec<Saved> = (1..=self.members as Id).map(saved).collect();
+        let all: Vec<PersistentState> = (1..=self.members as Id).map(saved).collect();
         vec![World {
             rafts: all.iter().map(|saved| Raft::new(self.options(), saved.clone(), 0)).collect(),
             disks: all.into_iter().map(|saved| (saved, VecDeque::new())).collect(),
@@ -149,7 +149,7 @@
         let mut orders = Vec::new();
         let at = match act {
             Act::Stand(at) => {
-                world.rafts[at].stand_now(&mut orders);
+                world.rafts[at].campaign(&mut orders);
                 at
             }
             Act::Deliver(message) | Act::Double(message) if message.to == 0 => return None,
@@ -169,7 +169,7 @@
                 let (saved, writes) = &mut world.disks[at];
                 let store = writes.pop_front()?;
                 saved.take(&store);
-                world.rafts[at].handle(0, Event::Stored(store.number), &mut orders);
+                world.rafts[at].handle(0, Event::Persisted(store.number), &mut orders);
                 at
             }
             Act::Crash(at) => {
@@ -182,7 +182,7 @@
             Act::Propose(at) => {
                 world.proposed += 1;
                 let data = Arc::new(vec![world.proposed as u8]);
-                world.rafts[at].handle(0, Event::Propose { ticket: 0, data }, &mut orders);
+                world.rafts[at].handle(0, Event::Propose { proposal_id: 0, data }, &mut orders);
                 at
             }
         };
@@ -216,7 +216,8 @@
     path.last_state().wrong
 }
 
-const BOUNDS: Bounds = Bounds { members: 3, term: 3, proposals: 1, crashes: 1, doubled: 1, flaw: None };
+const BOUNDS: Bounds =
+    Bounds { members: 3, term: 3, proposals: 1, crashes: 1, doubled: 1, planted_fault: None };
 
 #[test]
 fn three_members_within_bounds_are_safe() {
@@ -226,14 +227,14 @@
 #[test]
 fn a_vote_that_is_not_stored_is_caught() {
     let bounds = Bounds { term: 2, proposals: 0, crashes: 1, doubled: 0, ..BOUNDS };
-    let wrong = check(Bounds { flaw: Some(Flaw::VoteNotStored), ..bounds }, 5_000_000);
+    let wrong = check(Bounds { planted_fault: Some(PlantedFault::VoteNotStored), ..bounds }, 5_000_000);
     assert_eq!(wrong, Some("two leaders in a term"));
 }
 
 #[test]
 fn an_acknowledgement_before_the_disk_is_caught() {
     let bounds = Bounds { term: 3, proposals: 0, crashes: 1, doubled: 0, ..BOUNDS };
-    let wrong = check(Bounds { flaw: Some(Flaw::AckNotStored), ..bounds }, 5_000_000);
+    let wrong = check(Bounds { planted_fault: Some(PlantedFault::AckNotStored), ..bounds }, 5_000_000);
     assert!(wrong.is_some());
 }
 
@@ -247,7 +248,7 @@
 
     /// All that one has to say to another now, and all that comes on its disk.
     fn hears(&mut self, from: usize, to: usize) {
-        let said: Vec<Envelope> = self.1.net.iter().cloned().collect();
+        let said: Vec<Message> = self.1.net.iter().cloned().collect();
         for message in said.into_iter().filter(|m| (m.from, m.to) == (from as Id + 1, to as Id + 1)) {
             self.act(Act::Deliver(message));
         }
@@ -277,8 +278,8 @@
 }
 
 /// Figure 8 of the paper: an entry of an older term is on a majority and is overwritten all the same.
-fn figure_8(flaw: Option<Flaw>) -> Option<&'static str> {
-    let bounds = Bounds { members: 5, term: 9, flaw, ..BOUNDS };
+fn figure_8(planted_fault: Option<PlantedFault>) -> Option<&'static str> {
+    let bounds = Bounds { members: 5, term: 9, planted_fault, ..BOUNDS };
     let mut play = Play(bounds, bounds.init_states().remove(0));
     play.leads(0, 2, &[1, 2]);
     play.hears(0, 1);
@@ -297,5 +298,5 @@
 #[test]
 fn a_commit_of_an_older_term_is_caught() {
     assert_eq!(figure_8(None), None);
-    assert_eq!(figure_8(Some(Flaw::CommitOlderTerm)), Some("a leader lacks an entry that counts"));
+    assert_eq!(figure_8(Some(PlantedFault::CommitOlderTerm)), Some("a leader lacks an entry that counts"));
 }
--- a/crates/quorum/tests/schedules.rs
+++ b/crates/raft/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of the pure core with faults: at most one leader a term, one entry at each place, histories
-//! linearizable. `SCHEDULES=10000 cargo test --release -p dahliaspoke-quorum --test schedules` for the long campaign.
+//! linearizable. `SCHEDULES=10000 cargo test --release -p dahliaspoke-raft --test schedules` for the long campaign.
 
-use dahliaspoke_quorum::raft::Flaw;
+use dahliaspoke_raft::raft::PlantedFault;
 
 mod sim;
 use sim::{run, Plan, Report};
@@ -42,24 +42,24 @@
 }
 
 /// The first seed on which the fault shows.
-fn shows(flaw: Flaw, seeds: u64) -> Option<(u64, String)> {
+fn shows(planted_fault: PlantedFault, seeds: u64) -> Option<(u64, String)> {
     (1..=seeds).find_map(|seed| {
-        let plan = Plan { flaw: Some(flaw), crashes: 2.5, ..Plan::new(seed) };
+        let plan = Plan { planted_fault: Some(planted_fault), crashes: 2.5, ..Plan::new(seed) };
         run(plan).wrong.map(|wrong| (seed, wrong))
     })
 }
 
 #[test]
 fn a_read_without_a_majority_is_caught() {
-    println!("{:?}", shows(Flaw::ReadAlone, 300).expect("an old read"));
+    println!("{:?}", shows(PlantedFault::ReadAlone, 300).expect("an old read"));
 }
 
 #[test]
 fn an_acknowledgement_before_the_disk_is_caught() {
-    println!("{:?}", shows(Flaw::AckNotStored, 300).expect("a lost write"));
+    println!("{:?}", shows(PlantedFault::AckNotStored, 300).expect("a lost write"));
 }
 
 #[test]
 fn a_snapshot_that_forgets_the_members_is_caught() {
-    println!("{:?}", shows(Flaw::SnapshotForgets, 10).expect("other members than the log says"));
+    println!("{:?}", shows(PlantedFault::SnapshotForgets, 10).expect("other members than the log says"));
 }
--- a/crates/quorum/tests/sim/mod.rs
+++ b/crates/raft/tests/sim/mod.rs
@@ -2,11 +2,13 @@
 //! was not synced, members that stop, crash, jump in time, join and leave; clients with a history. All of it from a seed.
 #![allow(dead_code)]
 
-use dahliaspoke_quorum::machine::{Command, Machine, Op, Outcome};
-use dahliaspoke_quorum::message::{Entry, Envelope, Kind, Members};
-use dahliaspoke_quorum::raft::{Change, Event, Flaw, Options, Order, Raft, Refusal, Saved, Store};
-use dahliaspoke_quorum::{Id, Index, Micros, Term};
-use dahliaspoke_rig::history::{is_linearizable, Answer, Call, Op as Done};
+use dahliaspoke_raft::message::{Entry, EntryKind, Members, Message};
+use dahliaspoke_raft::raft::{
+    Action, Change, Event, Options, PersistentState, PlantedFault, ProposeError, Raft, WriteBatch,
+};
+use dahliaspoke_raft::state_machine::{Command, Op, Outcome, StateMachine};
+use dahliaspoke_raft::{Id, Index, Micros, Term};
+use dahliaspoke_test_harness::history::{is_linearizable, Answer, Call, Op as Done};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -32,7 +34,7 @@
     /// Members in the end, the founder included.
     pub members: usize,
     pub span: Micros,
-    pub flaw: Option<Flaw>,
+    pub planted_fault: Option<PlantedFault>,
     /// Members come and go.
     pub churn: bool,
     /// Crashes a second of virtual time.
@@ -42,16 +44,16 @@
 impl Plan {
     pub fn new(seed: u64) -> Self {
         let members = [3, 5, 7][(seed % 3) as usize];
-        Self { seed, members, span: 8_000 * MS, flaw: None, churn: seed % 4 == 0, crashes: 1.0 }
+        Self { seed, members, span: 8_000 * MS, planted_fault: None, churn: seed % 4 == 0, crashes: 1.0 }
     }
 }
 
 struct Node {
     raft: Option<Raft>,
-    saved: Saved,
+    saved: PersistentState,
     /// What is on its way to the disk: when it is there.
-    writes: VecDeque<(Micros, Store)>,
-    machine: Machine,
+    writes: VecDeque<(Micros, WriteBatch)>,
+    state_machine: StateMachine,
     /// Sleeps until then; what comes waits.
     sleeps: Micros,
     /// Its clock is ahead by so much.
@@ -70,7 +72,7 @@
 }
 
 enum Doing {
-    Deliver(Envelope),
+    Deliver(Message),
     Disk(usize),
     Wake(usize),
     Start(usize),
@@ -85,7 +87,7 @@
     serial: u64,
     /// The call that is open: when it was made, on which key, which; how often it was said.
     open: Option<(Micros, usize, Call, u32)>,
-    ticket: u64,
+    proposal_id: u64,
     until: Micros,
     guess: usize,
 }
@@ -99,8 +101,8 @@
     nodes: Vec<Node>,
     links: BTreeMap<(usize, usize), Link>,
     clients: Vec<Client>,
-    tickets: BTreeMap<u64, usize>,
-    ticket: u64,
+    proposal_ids: BTreeMap<u64, usize>,
+    proposal_id: u64,
     history: BTreeMap<usize, Vec<Done>>,
     told: BTreeMap<usize, Index>,
     leaders: BTreeMap<Term, Id>,
@@ -109,7 +111,7 @@
     values: u64,
 }
 
-const KEYS: usize = 2;
+const MAX_KEYS: usize = 2;
 
 /// Numbers of members by position.
 fn id(at: usize) -> Id {
@@ -141,14 +143,14 @@
     fn new(plan: Plan) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let nodes = (0..plan.members).map(|at| {
-            let mut saved = Saved::default();
+            let mut saved = PersistentState::default();
             saved.hard.id = id(at);
-            let machine = Machine::default();
+            let state_machine = StateMachine::default();
             let writes = VecDeque::new();
-            Node { raft: None, saved, writes, machine, sleeps: 0, ahead: 0, starts: 0, disk_ms: 3 }
+            Node { raft: None, saved, writes, state_machine, sleeps: 0, ahead: 0, starts: 0, disk_ms: 3 }
         });
         let client =
-            |n| Client { session: n as u64 + 1, serial: 0, open: None, ticket: 0, until: 0, guess: 0 };
+            |n| Client { session: n as u64 + 1, serial: 0, open: None, proposal_id: 0, until: 0, guess: 0 };
         let mut sim = Self {
             plan,
             now: 0,
@@ -158,8 +160,8 @@
             nodes: nodes.collect(),
             links: BTreeMap::new(),
             clients: (0..4).map(client).collect(),
-            tickets: BTreeMap::new(),
-            ticket: 0,
+            proposal_ids: BTreeMap::new(),
+            proposal_id: 0,
             history: BTreeMap::new(),
             told: BTreeMap::new(),
             leaders: BTreeMap::new(),
@@ -243,11 +245,11 @@
         }
         let mut options = Options::new(self.plan.seed);
         (options.tail, options.piece, options.window, options.batch) = (4, 100, 8, 300);
-        options.flaw = self.plan.flaw;
+        options.planted_fault = self.plan.planted_fault;
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
         node.raft = Some(Raft::new(options, node.saved.clone(), clock));
-        node.machine = Machine::restore(&node.saved.snapshot.data).expect("it was written here");
+        node.state_machine = StateMachine::restore(&node.saved.snapshot.data).expect("it was written here");
         node.starts = self.now;
         self.at(MS, Doing::Wake(at));
     }
@@ -277,7 +279,7 @@
         }
         if let Some((_, store)) = self.nodes[at].writes.pop_front() {
             self.nodes[at].saved.take(&store);
-            self.tell(at, Event::Stored(store.number));
+            self.tell(at, Event::Persisted(store.number));
         }
     }
 
@@ -298,9 +300,9 @@
         }
     }
 
-    fn carry_out(&mut self, at: usize, order: Order) {
+    fn carry_out(&mut self, at: usize, order: Action) {
         match order {
-            Order::Store(store) => {
+            Action::Persist(store) => {
                 let wait = (1 + self.below(self.nodes[at].disk_ms * 2)) * MS / 2;
                 let last = self.nodes[at].writes.back().map_or(0, |(when, _)| *when);
                 let when = (self.now + wait).max(last);
@@ -308,30 +310,31 @@
                 let after = when - self.now;
                 self.at(after, Doing::Disk(at));
             }
-            Order::Send(message) => self.send(at, message),
-            Order::Apply { entry, ticket } => self.apply(at, entry, ticket),
-            Order::Restore(snapshot) => {
+            Action::Send(message) => self.send(at, message),
+            Action::Apply { entry, proposal_id } => self.apply(at, entry, proposal_id),
+            Action::Restore(snapshot) => {
                 self.report.snapshots += 1;
-                self.nodes[at].machine = Machine::restore(&snapshot.data).expect("it was written here");
+                self.nodes[at].state_machine =
+                    StateMachine::restore(&snapshot.data).expect("it was written here");
             }
-            Order::Read { ticket, .. } => {
-                let Some(n) = self.tickets.remove(&ticket) else { return };
+            Action::Read { proposal_id, .. } => {
+                let Some(n) = self.proposal_ids.remove(&proposal_id) else { return };
                 let key = self.clients[n].open.as_ref().map_or(0, |open| open.1);
-                let held = self.nodes[at].machine.get(&format!("k{key}"));
+                let held = self.nodes[at].state_machine.get(&format!("k{key}"));
                 let held = held.map(|value| (value.version, value.text.to_string()));
-                self.answer(n, ticket, Some(Answer::Held(held)));
+                self.answer(n, proposal_id, Some(Answer::Held(held)));
             }
-            Order::Refused { ticket, why } => {
-                let Some(n) = self.tickets.remove(&ticket) else { return };
-                if let Refusal::NotLeader(Some(leader)) = why {
+            Action::Rejected { proposal_id, why } => {
+                let Some(n) = self.proposal_ids.remove(&proposal_id) else { return };
+                if let ProposeError::NotLeader(Some(leader)) = why {
                     self.clients[n].guess = leader as usize - 1;
                 }
-                self.answer(n, ticket, None);
+                self.answer(n, proposal_id, None);
             }
         }
     }
 
-    fn apply(&mut self, at: usize, entry: Entry, ticket: Option<u64>) {
+    fn apply(&mut self, at: usize, entry: Entry, proposal_id: Option<u64>) {
         match self.applied.get(&entry.index) {
             Some(other) if *other != entry => {
                 let index = entry.index;
@@ -343,25 +346,25 @@
             }
         }
         let mut outcome = None;
-        if let Kind::Data(data) = &entry.kind {
-            outcome = Some(self.nodes[at].machine.apply(entry.index, data));
+        if let EntryKind::Data(data) = &entry.kind {
+            outcome = Some(self.nodes[at].state_machine.apply(entry.index, data));
         }
-        if let Some(n) = ticket.and_then(|ticket| self.tickets.remove(&ticket)) {
+        if let Some(n) = proposal_id.and_then(|proposal_id| self.proposal_ids.remove(&proposal_id)) {
             let answer = match outcome {
                 Some(Outcome::Done(version)) => Some(Answer::Done(version)),
                 Some(Outcome::Other(..)) => Some(Answer::Other),
                 _ => None,
             };
-            self.answer(n, ticket.unwrap_or_default(), answer);
+            self.answer(n, proposal_id.unwrap_or_default(), answer);
         }
         // Members are kept on disk by a snapshot now and then.
         if entry.index % 16 == 0 {
-            let data = self.nodes[at].machine.save();
+            let data = self.nodes[at].state_machine.save();
             self.tell(at, Event::Snapshot { index: entry.index, data });
             let held = self.nodes[at].raft.as_ref().map(|raft| raft.snapshot().clone());
             let Some(held) = held.filter(|held| held.index == entry.index) else { return };
             let said = |entry: &Entry| match &entry.kind {
-                Kind::Members(members) => Some(members.clone()),
+                EntryKind::Members(members) => Some(members.clone()),
                 _ => None,
             };
             let members: Option<Members> = self.applied.range(..=held.index).rev().find_map(|(_, e)| said(e));
@@ -371,7 +374,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, message: Envelope) {
+    fn send(&mut self, from: usize, message: Message) {
         let to = message.to as usize - 1;
         let link = self.links.get(&(from, to)).copied().unwrap_or_default();
         let times = 1 + usize::from(self.chance(link.doubled));
@@ -382,8 +385,8 @@
             let wait = (200 + self.below(1500)) + self.below(link.delay_ms + 1) * MS;
             let wait = wait.max(link.held.saturating_sub(self.now));
             // It goes as it would on a wire: written and read.
-            let bytes = dahliaspoke_quorum::message::seal(&message);
-            let read = dahliaspoke_quorum::message::open(&bytes).expect("it was written here");
+            let bytes = dahliaspoke_raft::message::seal(&message);
+            let read = dahliaspoke_raft::message::open(&bytes).expect("it was written here");
             self.at(wait, Doing::Deliver(read));
         }
     }
@@ -391,18 +394,18 @@
     fn client(&mut self, n: usize) {
         self.at(2 * MS + self.now % 7 * MS, Doing::Client(n));
         let due = self.clients[n].until <= self.now;
-        let waits = self.tickets.values().any(|client| *client == n);
+        let waits = self.proposal_ids.values().any(|client| *client == n);
         if self.clients[n].open.is_some() && waits && !due {
             return;
         }
         if waits {
             // Its time is up.
-            let ticket = self.clients[n].ticket;
-            self.tickets.remove(&ticket);
-            self.answer(n, ticket, None);
+            let proposal_id = self.clients[n].proposal_id;
+            self.proposal_ids.remove(&proposal_id);
+            self.answer(n, proposal_id, None);
         }
         if self.clients[n].open.is_none() {
-            let key = self.below(KEYS as u64) as usize;
+            let key = self.below(MAX_KEYS as u64) as usize;
             self.values += 1;
             let value = format!("v{}", self.values);
             let call = match self.below(3) {
@@ -420,14 +423,14 @@
         if self.chance(0.1) {
             self.clients[n].guess = self.below(self.plan.members as u64) as usize;
         }
-        self.ticket += 1;
-        let ticket = self.ticket;
-        self.tickets.insert(ticket, n);
-        (self.clients[n].ticket, self.clients[n].until) = (ticket, self.now + 400 * MS);
+        self.proposal_id += 1;
+        let proposal_id = self.proposal_id;
+        self.proposal_ids.insert(proposal_id, n);
+        (self.clients[n].proposal_id, self.clients[n].until) = (proposal_id, self.now + 400 * MS);
         let (value, expect) = match call {
             Call::Read => {
                 let guess = self.clients[n].guess;
-                return self.tell(guess, Event::Read { ticket });
+                return self.tell(guess, Event::Read { proposal_id });
             }
             Call::Write(value) => (value, None),
             Call::Swap(version, value) => (value, Some(version)),
@@ -436,12 +439,12 @@
         let client = &self.clients[n];
         let command = Command { session: client.session, serial: client.serial, ops: vec![op] };
         let guess = client.guess;
-        self.tell(guess, Event::Propose { ticket, data: command.to_bytes() });
+        self.tell(guess, Event::Propose { proposal_id, data: command.to_bytes() });
     }
 
     /// A client hears, or does not: then it says the same again, and gives up in the end.
-    fn answer(&mut self, n: usize, ticket: u64, answer: Option<Answer>) {
-        if self.clients[n].ticket != ticket {
+    fn answer(&mut self, n: usize, proposal_id: u64, answer: Option<Answer>) {
+        if self.clients[n].proposal_id != proposal_id {
             return;
         }
         let now = self.now;
@@ -517,7 +520,7 @@
         }
         if let Some(leader) = self.leading() {
             if a != leader && self.chance(0.1) {
-                self.tell(leader, Event::HandOver(id(a)));
+                self.tell(leader, Event::TransferLeadership(id(a)));
             }
         }
     }
@@ -547,9 +550,9 @@
         }
         if let Some(change) = change {
             self.report.changes += 1;
-            self.ticket += 1;
-            let ticket = self.ticket;
-            self.tell(leader, Event::Change { ticket, change });
+            self.proposal_id += 1;
+            let proposal_id = self.proposal_id;
+            self.tell(leader, Event::Change { proposal_id, change });
         }
     }
 }
--- a/crates/lab/benches/queue.rs
+++ b/crates/simulator/benches/queue.rs
@@ -1,8 +1,8 @@
 //! The wheel against the heap: so many events are set, and each that comes sets one more, at times as in a run.
 //!
-//!     cargo bench -p dahliaspoke-lab --bench queue
+//!     cargo bench -p dahliaspoke-simulator --bench queue
 
-use dahliaspoke_lab::queue::{Heap, Wheel};
+use dahliaspoke_simulator::queue::{Heap, Wheel};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Instant;
--- a/crates/lab/src/account.rs
+++ b/crates/simulator/src/account.rs
@@ -169,6 +169,7 @@
     }
 
     /// By second of the coordinators' clock.
+    #[must_use]
     pub fn moments(&self) -> &BTreeMap<i64, Moment> {
         &self.moments
     }
--- a/crates/lab/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -37,6 +37,7 @@
 
 impl Shape {
     /// The rate at a share of the run, over the mean.
+    #[must_use]
     pub fn at(self, share: f64, seconds: f64) -> f64 {
         match self {
             Shape::Steady => 1.0,
@@ -51,6 +52,7 @@
 
 /// The points, in order. Gaps are drawn in units of the mean and stretched by the rate as it is, so that the count
 /// is the rate times the span in the mean, whatever the shape.
+#[must_use]
 pub fn schedule(rate: f64, seconds: f64, shape: Shape, gaps: Gaps, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let heavy = Gamma::new(1.0 / 9.0, 9.0);
--- a/crates/lab/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -9,7 +9,7 @@
 //! | attempts | more than the most that one request may have; two out at once where that is not allowed |
 
 use crate::{micros, seconds, Micros};
-use dahliaspoke::interface::{Effect, Group, Lifecycle, Outcome, Settings};
+use dahliaspoke::policy::{DedupScope, Idempotency, Lifecycle, Outcome, Settings};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -51,6 +51,7 @@
 
 impl Ramp {
     /// Calls over the budget that are no chance: two deviations of it, and two.
+    #[must_use]
     pub fn beyond(self) -> f64 {
         self.calls - self.budget - 2.0 * self.budget.sqrt() - 2.0
     }
@@ -81,6 +82,7 @@
 
 impl Auditor {
     /// `grace` is what a drain leaves (s).
+    #[must_use]
     pub fn new(settings: Settings, grace: f64) -> Self {
         Self {
             settings,
@@ -148,19 +150,20 @@
             }
         }
         let most = self.settings.max_attempts as usize;
-        let copies = self.settings.may_copy;
+        let copies = self.settings.may_hedge;
         let Some(state) = self.requests.get_mut(&request) else {
             return self.breaks("answers", now, format!("a send for {request}, which was never taken"));
         };
         let class = &self.settings.classes[state.class];
         let ran = |a: &&Attempt| !a.outcome.is_some_and(Outcome::never_ran);
-        let window = micros(class.memory_span);
-        let allowed = match class.effect {
-            Effect::Repeatable => true,
-            Effect::Once => state.attempts.iter().filter(ran).count() == 0,
+        let window = micros(class.dedup_window);
+        let allowed = match class.idempotency {
+            Idempotency::Always => true,
+            Idempotency::Never => state.attempts.iter().filter(ran).count() == 0,
             // Where the group is all of them, any engine drops it.
-            Effect::Keyed => {
-                class.group != Group::All || state.attempts.iter().filter(ran).all(|a| now <= a.sent + window)
+            Idempotency::WithKey => {
+                class.dedup_scope != DedupScope::All
+                    || state.attempts.iter().filter(ran).all(|a| now <= a.sent + window)
             }
         };
         let over = state.over;
@@ -194,13 +197,14 @@
         sent.retain(|(at, ..)| *at + 10_000_000 > now);
         sent.push((now, work, knew));
         let s = &self.settings;
-        let from = now.saturating_sub(micros(s.fall_window));
+        let from = now.saturating_sub(micros(s.overload_window));
         let told: f64 = sent.iter().filter(|(at, _, k)| *k && *at >= from).map(|(_, work, _)| work).sum();
         let mean = self.reached.0 / self.reached.1;
-        let warmed = (seconds(now.saturating_sub(started)) / s.cold_for.max(1e-9)).min(1.0);
+        let warmed = (seconds(now.saturating_sub(started)) / s.warmup_time.max(1e-9)).min(1.0);
         let capacity = s.kinds.first().map_or(1.0, |kind| kind.cores) * 1000.0;
-        let capacity = capacity * (s.cold_share + (1.0 - s.cold_share) * warmed);
-        let ramp = Ramp { calls: told / mean, budget: s.fall_multiple * capacity * s.fall_window / mean };
+        let capacity = capacity * (s.initial_capacity_share + (1.0 - s.initial_capacity_share) * warmed);
+        let ramp =
+            Ramp { calls: told / mean, budget: s.overload_multiple * capacity * s.overload_window / mean };
         if self.ramp.is_none_or(|widest| ramp.beyond() > widest.beyond()) {
             self.ramp = Some(ramp);
         }
@@ -246,10 +250,10 @@
         };
         let class = &self.settings.classes[state.class];
         let ran = state.attempts.iter().any(|a| !a.outcome.is_some_and(Outcome::never_ran));
-        let harmless = match class.effect {
-            Effect::Repeatable => true,
-            Effect::Keyed => !ran || class.group == Group::All,
-            Effect::Once => !ran,
+        let harmless = match class.idempotency {
+            Idempotency::Always => true,
+            Idempotency::WithKey => !ran || class.dedup_scope == DedupScope::All,
+            Idempotency::Never => !ran,
         };
         let (twice, late) = (state.over, now > state.deadline + slack && !state.left);
         state.over = true;
--- a/crates/lab/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -5,7 +5,7 @@
 //! advanced to the time of an event, changed, and its paces are reckoned anew.
 
 use crate::{seconds, Micros};
-use dahliaspoke::interface::{Note, Report};
+use dahliaspoke::policy::{LoadReport, Progress};
 use serde::Deserialize;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -40,7 +40,8 @@
     /// From a start until it is warm (s).
     pub cold_s: f64,
     /// A cold engine falls over when sent so many times its present capacity ...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ... for so long (s).
     pub fall_s: f64,
 }
@@ -61,7 +62,7 @@
             warm_gain: 0.5,
             cold_from: 0.4,
             cold_s: 12.0,
-            fall_multiple: 3.0,
+            overload_multiple: 3.0,
             fall_s: 3.0,
         }
     }
@@ -145,6 +146,7 @@
 
 impl Engine {
     /// One that has been up for long.
+    #[must_use]
     pub fn new(spec: Spec) -> Self {
         Self {
             spec,
@@ -183,11 +185,13 @@
     }
 
     /// When it last started, if that was not before the run.
+    #[must_use]
     pub fn started(&self) -> Option<Micros> {
         self.started
     }
 
     /// Share of its capacity that it has.
+    #[must_use]
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = seconds(now - started) / self.spec.cold_s.max(1e-9);
@@ -195,6 +199,7 @@
     }
 
     /// Work a second with all cores (ms).
+    #[must_use]
     pub fn capacity(&self, now: Micros) -> f64 {
         1000.0 * self.spec.cores * self.spec.speed * self.warmth(now)
     }
@@ -205,7 +210,7 @@
         let from = now.saturating_sub(crate::micros(self.spec.fall_s));
         let window = || self.sent.iter().filter(|(at, _)| *at >= from).map(|(_, work)| *work);
         let sent = window().sum::<f64>() - window().fold(0.0, f64::max);
-        sent / (self.spec.fall_multiple * self.capacity(now) * self.spec.fall_s)
+        sent / (self.spec.overload_multiple * self.capacity(now) * self.spec.fall_s)
     }
 
     /// Is sent a query.
@@ -352,12 +357,13 @@
     }
 
     /// What it tells of itself.
-    pub fn report(&self) -> Report {
+    #[must_use]
+    pub fn report(&self) -> LoadReport {
         let moving = || self.running.values().filter(|r| !r.stands);
         let cores: f64 = moving().map(|r| r.job.threads * (1.0 - r.job.io)).sum();
         let disks: f64 = moving().map(|r| r.job.threads * r.job.io).sum();
         let memory: f64 = self.running.values().map(|r| r.memory).sum();
-        Report {
+        LoadReport {
             util: Some((cores / self.spec.cores).min(1.0)),
             queue: Some(self.line.len() as f64),
             memory: Some((memory / self.spec.memory_mb).min(1.0)),
@@ -366,28 +372,31 @@
     }
 
     /// What it tells of each query that runs.
-    pub fn notes(&mut self, now: Micros) -> Vec<(u64, Note)> {
+    pub fn notes(&mut self, now: Micros) -> Vec<(u64, Progress)> {
         self.advance(now);
         let mut notes = Vec::new();
         for (tag, run) in &self.running {
             let missing = run.job.memory - run.memory;
             if missing > 0.0 {
-                notes.push((*tag, Note::Spills(missing)));
+                notes.push((*tag, Progress::Spills(missing)));
             }
-            notes.push(match run.stands {
-                true => (*tag, Note::WaitsForLoad),
-                false => (*tag, Note::Done((1.0 - run.left / run.whole.max(1e-9)).clamp(0.0, 1.0))),
+            notes.push(if run.stands {
+                (*tag, Progress::WaitsForLoad)
+            } else {
+                (*tag, Progress::Done((1.0 - run.left / run.whole.max(1e-9)).clamp(0.0, 1.0)))
             });
         }
         notes
     }
 
     /// Queries that it has.
+    #[must_use]
     pub fn load(&self) -> usize {
         self.running.len() + self.line.len()
     }
 
     /// How long work of a query would take that came now, roughly (s): what an all-knowing policy looks at.
+    #[must_use]
     pub fn outlook(&self, now: Micros) -> f64 {
         if !self.up || self.hangs {
             return f64::INFINITY;
@@ -399,6 +408,7 @@
 }
 
 /// Shares `all` out by weight; nobody gets more than it asks for. The part of what each asked for.
+#[must_use]
 pub fn share(all: f64, asks: &[(f64, f64)]) -> Vec<f64> {
     if asks.iter().map(|ask| ask.0).sum::<f64>() <= all {
         return vec![1.0; asks.len()];
--- a/crates/lab/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -86,6 +86,7 @@
 
 impl Difference {
     /// Of paired goals.
+    #[must_use]
     pub fn of(pairs: &[(f64, f64)]) -> Self {
         let differences: Vec<f64> = pairs.iter().map(|(base, other)| other - base).collect();
         let (mean, half) = interval(&differences);
@@ -93,6 +94,7 @@
     }
 
     /// In a word.
+    #[must_use]
     pub fn verdict(&self) -> &'static str {
         if self.mean - self.half > 0.0 {
             "better"
@@ -105,6 +107,7 @@
 }
 
 /// Mean, and half of its 95 % interval after Student.
+#[must_use]
 pub fn interval(values: &[f64]) -> (f64, f64) {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count.max(1.0);
@@ -265,9 +268,10 @@
             let base = &goals.get(&(*value, self.baseline as u8)).map_or(&[][..], |cell| &cell.2);
             let pairs: Vec<(f64, f64)> = base.iter().copied().zip(own.iter().copied()).collect();
             let difference = Difference::of(&pairs);
-            let (against, verdict) = match *policy == self.baseline {
-                true => (String::new(), ""),
-                false => (format!("{:+.3} ± {:.3}", difference.mean, difference.half), difference.verdict()),
+            let (against, verdict) = if *policy == self.baseline {
+                (String::new(), "")
+            } else {
+                (format!("{:+.3} ± {:.3}", difference.mean, difference.half), difference.verdict())
             };
             let plays = difference.plays;
             let _ = writeln!(
--- a/crates/lab/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -48,11 +48,13 @@
 }
 
 /// Seconds as microseconds.
+#[must_use]
 pub fn micros(seconds: f64) -> Micros {
     (seconds.max(0.0) * 1e6).round() as Micros
 }
 
 /// Microseconds as seconds.
+#[must_use]
 pub fn seconds(micros: Micros) -> f64 {
     micros as f64 / 1e6
 }
--- a/crates/lab/src/load.rs
+++ b/crates/simulator/src/load.rs
@@ -150,6 +150,7 @@
 
 impl Driver {
     /// For that schedule, with so many connections at the most.
+    #[must_use]
     pub fn new(schedule: &[Micros], mode: Mode, manner: Manner, connections: usize) -> Self {
         let requests = schedule.iter().map(|due| Request { due: *due, tries: 0, over: false }).collect();
         let summary = Summary {
@@ -184,6 +185,7 @@
     }
 
     /// Counts by class as well: names, and the class of each request by position.
+    #[must_use]
     pub fn by_class(mut self, names: Vec<String>, of: Vec<usize>) -> Self {
         let empty = |name| Group { name, due: 0, served: 0, refused: 0, failed: 0, millis: [0.0; 5] };
         self.groups = names.into_iter().map(|name| (empty(name), Times::new())).collect();
@@ -193,12 +195,14 @@
     }
 
     /// When something is due next by itself.
+    #[must_use]
     pub fn next(&self) -> Option<Micros> {
         let due = self.requests.get(self.next).map(|r| r.due);
         self.later.iter().map(|l| l.0).chain(due).min()
     }
 
     /// Whether nothing is left to do.
+    #[must_use]
     pub fn is_over(&self) -> bool {
         self.next == self.requests.len() && self.line.is_empty() && self.later.is_empty() && self.open == 0
     }
@@ -275,6 +279,7 @@
     }
 
     /// What it came to. Whatever has no answer by now has failed.
+    #[must_use]
     pub fn summary(mut self) -> Summary {
         let ended = self.summary.served + self.summary.refused + self.summary.failed;
         self.summary.failed += self.summary.due - ended;
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,17 +1,17 @@
 //! The lab's command line.
 
 use clap::{Parser, Subcommand};
-use dahliaspoke_lab::account::Account;
-use dahliaspoke_lab::arrivals::{schedule, Gaps, Shape};
-use dahliaspoke_lab::experiment::Experiment;
-use dahliaspoke_lab::load::{Manner, Mode};
-use dahliaspoke_lab::policy::Kind;
-use dahliaspoke_lab::report::Report;
-use dahliaspoke_lab::scenario::Scenario;
-use dahliaspoke_lab::sockets::{self, Part, Target};
-use dahliaspoke_lab::subsets::table;
-use dahliaspoke_lab::trial;
-use dahliaspoke_lab::world;
+use dahliaspoke_simulator::account::Account;
+use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
+use dahliaspoke_simulator::experiment::Experiment;
+use dahliaspoke_simulator::load::{Manner, Mode};
+use dahliaspoke_simulator::policy::Kind;
+use dahliaspoke_simulator::report::Report;
+use dahliaspoke_simulator::scenario::Scenario;
+use dahliaspoke_simulator::sockets::{self, Part, Target};
+use dahliaspoke_simulator::subsets::table;
+use dahliaspoke_simulator::trial;
+use dahliaspoke_simulator::world;
 use indicatif::ProgressBar;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
 ///
 /// Exit codes: 0 done, 1 the module broke a rule, 2 a bad file or word, 3 the figures are void.
 #[derive(Parser)]
-#[command(name = "dahliaspoke-lab", version)]
+#[command(name = "dahliaspoke-simulator", version)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -32,7 +32,7 @@
 enum Command {
     /// Prints what many coordinators' choices add up to, from their logs with `deploy/trace.toml`.
     ///
-    /// Example: dahliaspoke-lab account logs
+    /// Example: dahliaspoke-simulator account logs
     #[command(verbatim_doc_comment)]
     Account {
         /// The folder of the logs, a file a coordinator.
@@ -40,7 +40,7 @@
     },
     /// Weighs ways to say which engines each gateway keeps to: how evenly, how many pairs move, what it costs.
     ///
-    /// Example: dahliaspoke-lab subsets --gateways 100 --gateways 300 --engines 36
+    /// Example: dahliaspoke-simulator subsets --gateways 100 --gateways 300 --engines 36
     #[command(verbatim_doc_comment)]
     Subsets {
         /// Gateways; may be given several times.
@@ -58,7 +58,7 @@
     },
     /// Plays a scenario and prints what it came to.
     ///
-    /// Example: dahliaspoke-lab run crates/lab/scenarios/release.toml --policy module --seed 1 --seed 2
+    /// Example: dahliaspoke-simulator run crates/simulator/scenarios/release.toml --policy module --seed 1 --seed 2
     #[command(verbatim_doc_comment)]
     Run {
         /// The scenario (TOML); without one, a quiet day.
@@ -75,7 +75,7 @@
     },
     /// Plays an experiment, or what is missing of it, and writes rows, a plot and the verdicts.
     ///
-    /// Example: dahliaspoke-lab experiment docs/experiments/load/experiment.toml
+    /// Example: dahliaspoke-simulator experiment docs/experiments/load/experiment.toml
     #[command(verbatim_doc_comment)]
     Experiment {
         /// The experiment (TOML).
@@ -90,7 +90,7 @@
     /// Starts engines, a directory and two coordinators, sends load, kills an engine and a coordinator in the middle,
     /// and prints a table.
     ///
-    /// Example: dahliaspoke-lab try --seconds 20
+    /// Example: dahliaspoke-simulator try --seconds 20
     #[command(verbatim_doc_comment)]
     Try {
         /// How long (s).
@@ -105,7 +105,7 @@
     },
     /// Sends an open stream of requests to coordinators on loopback.
     ///
-    /// Example: dahliaspoke-lab load --to 127.0.0.1:5050 --rate 200 --shape spike --class lookup:12:3000:100
+    /// Example: dahliaspoke-simulator load --to 127.0.0.1:5050 --rate 200 --shape spike --class lookup:12:3000:100
     #[command(verbatim_doc_comment)]
     Load {
         /// Where clients connect; several are used in turn.
@@ -123,7 +123,7 @@
         /// How far apart requests come.
         #[arg(long, value_enum, default_value = "poisson")]
         gaps: Gaps,
-        /// NAME:SHARE:ALLOW_MS:SIZE_MS, with :keyed behind it where a key goes along.
+        /// `NAME:SHARE:ALLOW_MS:SIZE_MS`, with :keyed behind it where a key goes along.
         #[arg(long, default_value = "lookup:1:3000:100", value_parser = part)]
         class: Vec<Part>,
         /// What clients do when they are turned away.
@@ -141,7 +141,7 @@
     },
 }
 
-/// NAME:SHARE:ALLOW_MS:SIZE_MS, and :keyed.
+/// `NAME:SHARE:ALLOW_MS:SIZE_MS`, and :keyed.
 fn part(text: &str) -> Result<Part, String> {
     let words: Vec<&str> = text.split(':').collect();
     let keyed = words.get(4) == Some(&"keyed");
@@ -204,7 +204,7 @@
 }
 
 fn fault(message: &str) -> ExitCode {
-    eprintln!("dahliaspoke-lab: {message}");
+    eprintln!("dahliaspoke-simulator: {message}");
     ExitCode::from(2)
 }
 
--- a/crates/lab/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,7 +1,7 @@
 //! Who decides. All are driven alike: told events, they append actions.
 
-use dahliaspoke::choice::Gateway;
-use dahliaspoke::interface::*;
+use dahliaspoke::policy::Policy as DecisionModule;
+use dahliaspoke::policy::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -33,9 +33,10 @@
 }
 
 /// Makes a policy.
+#[must_use]
 pub fn make(kind: Kind, settings: &Settings, seed: u64) -> Box<dyn Policy> {
     match kind {
-        Kind::Module => Box::new(Module(Box::new(Gateway::new(settings.clone(), seed)))),
+        Kind::Module => Box::new(Module(Box::new(DecisionModule::new(settings.clone(), seed)))),
         _ => Box::new(Plain {
             kind,
             settings: settings.clone(),
@@ -47,7 +48,7 @@
     }
 }
 
-struct Module(Box<Gateway>);
+struct Module(Box<DecisionModule>);
 
 impl Policy for Module {
     fn handle(&mut self, now: f64, event: Event, _: &[f64], out: &mut Vec<Action>) {
@@ -76,6 +77,7 @@
 }
 
 /// The number in an engine's id.
+#[must_use]
 pub fn position(id: &str) -> usize {
     id.trim_start_matches('e').parse().unwrap_or(usize::MAX)
 }
@@ -131,13 +133,13 @@
     fn give_up(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.requests.remove(id) else { return };
         let class = &self.settings.classes[open.class];
-        let harmless = match class.effect {
-            Effect::Repeatable => true,
-            Effect::Keyed => open.ran.is_none() || class.group == Group::All,
-            Effect::Once => open.ran.is_none(),
+        let harmless = match class.idempotency {
+            Idempotency::Always => true,
+            Idempotency::WithKey => open.ran.is_none() || class.dedup_scope == DedupScope::All,
+            Idempotency::Never => open.ran.is_none(),
         };
         out.push(if harmless {
-            Action::Refuse { id: id.clone(), come_back: self.settings.come_back }
+            Action::Reject { id: id.clone(), retry_after: self.settings.retry_after }
         } else {
             Action::Fail { id: id.clone() }
         });
@@ -147,8 +149,8 @@
 impl Policy for Plain {
     fn handle(&mut self, now: f64, event: Event, truth: &[f64], out: &mut Vec<Action>) {
         match event {
-            Event::Engines(scope, entries) => {
-                if scope != Scope::Changes {
+            Event::EngineList(scope, entries) => {
+                if scope != ListScope::Changes {
                     self.engines.clear();
                 }
                 for entry in entries {
@@ -160,12 +162,12 @@
                 }
             }
             Event::Query(query) => {
-                let (class, deadline) = (query.class, now + query.left);
+                let (class, deadline) = (query.class, now + query.time_left);
                 let open = Open { class, deadline, tries: 0, ran: None, on: Vec::new() };
                 self.requests.insert(query.id.clone(), open);
                 self.send(now, &query.id, truth, out);
             }
-            Event::Ended(ended) => {
+            Event::AttemptEnded(ended) => {
                 let Some(open) = self.requests.get_mut(&ended.id) else { return };
                 if let Some(held) =
                     open.on.get(ended.attempt as usize).and_then(|id| self.engines.get_mut(id))
@@ -180,22 +182,24 @@
                     open.ran.get_or_insert(now);
                 }
                 let class = &self.settings.classes[open.class];
-                let may = match (class.effect, open.ran) {
-                    (Effect::Repeatable, _) | (_, None) => true,
-                    (Effect::Keyed, Some(_)) => {
-                        class.group == Group::All && class.memory_span > class.give_up - 1e-9
+                let may = match (class.idempotency, open.ran) {
+                    (Idempotency::Always, _) | (_, None) => true,
+                    (Idempotency::WithKey, Some(_)) => {
+                        class.dedup_scope == DedupScope::All
+                            && class.dedup_window > class.client_timeout - 1e-9
                     }
-                    (Effect::Once, Some(_)) => false,
+                    (Idempotency::Never, Some(_)) => false,
                 };
                 let time = open.deadline - now > 4.0 * self.settings.tick;
-                if may && time && open.tries < self.settings.max_attempts && ended.outcome != Outcome::Moot {
+                if may && time && open.tries < self.settings.max_attempts && ended.outcome != Outcome::Expired
+                {
                     self.send(now, &ended.id, truth, out);
                 } else {
                     self.give_up(&ended.id, out);
                 }
             }
-            Event::ClientLeft { id } => drop(self.requests.remove(&id)),
-            Event::Ending => {
+            Event::ClientGone { id } => drop(self.requests.remove(&id)),
+            Event::Shutdown => {
                 let open: Vec<RequestId> = self.requests.keys().cloned().collect();
                 open.iter().for_each(|id| self.give_up(id, out));
             }
--- a/crates/lab/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -59,11 +59,13 @@
     }
 
     /// Events that are set.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
     /// Whether none is.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -140,11 +142,13 @@
     }
 
     /// Events that are set.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.open.len() + self.held + self.far.len()
     }
 
     /// Whether none is.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/lab/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -25,7 +25,7 @@
     /// Failed, or without an answer.
     pub failed: u64,
     /// Worth that came and worth that was served.
-    pub worth: (f64, f64),
+    pub priority_weight: (f64, f64),
     /// Quantiles of the time from coming to the answer, of those served (ms): 0.5, 0.9, 0.99.
     pub millis: [f64; 3],
 }
@@ -74,22 +74,22 @@
 
 impl Tally {
     /// A request came.
-    pub fn came(&mut self, at: Micros, class: usize, worth: f64, work: f64) {
+    pub fn came(&mut self, at: Micros, class: usize, priority_weight: f64, work: f64) {
         let second = seconds(at) as usize;
         if self.by_second.len() <= second {
             self.by_second.resize(second + 1, (0.0, 0.0));
         }
-        self.by_second[second].0 += worth;
+        self.by_second[second].0 += priority_weight;
         self.classes[class].offered += 1;
-        self.classes[class].worth.0 += worth;
+        self.classes[class].priority_weight.0 += priority_weight;
         self.work.0 += work;
     }
 
     /// A request was served, for that worth.
-    pub fn served(&mut self, came: Micros, now: Micros, class: usize, worth: f64, in_time: bool) {
-        self.by_second[seconds(came) as usize].1 += worth;
+    pub fn served(&mut self, came: Micros, now: Micros, class: usize, priority_weight: f64, in_time: bool) {
+        self.by_second[seconds(came) as usize].1 += priority_weight;
         let figures = &mut self.classes[class];
-        figures.worth.1 += worth;
+        figures.priority_weight.1 += priority_weight;
         *if in_time { &mut figures.in_time } else { &mut figures.late } += 1;
         self.times[class].push(seconds(now - came));
     }
@@ -102,7 +102,7 @@
         let width = (WINDOW as usize).min(self.by_second.len().max(1));
         let windows = self.by_second.windows(width).map(|w| part(w.iter().fold((0.0, 0.0), add)));
         let worst_window = windows.fold(whole, f64::min);
-        let worst_class = self.classes.iter().map(|c| part(c.worth)).fold(whole, f64::min);
+        let worst_class = self.classes.iter().map(|c| part(c.priority_weight)).fold(whole, f64::min);
         for (class, times) in self.classes.iter_mut().zip(&mut self.times) {
             times.sort_by(f64::total_cmp);
             let at = |q: f64| times.get((q * times.len() as f64) as usize).map_or(0.0, |s| s * 1000.0);
--- a/crates/lab/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::Spec;
 use crate::report::PRICES;
-use dahliaspoke::interface::*;
+use dahliaspoke::policy::*;
 use serde::Deserialize;
 
 /// A scenario, as its file has it (TOML).
@@ -124,11 +124,14 @@
     /// A client waits so long in all (s).
     pub deadline_s: f64,
     /// Worth of one.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Share of the worth after the aim.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight: f64,
     /// May it be repeated.
-    pub effect: Repeats,
+    #[serde(rename = "effect")]
+    pub idempotency: Repeats,
     /// For keyed ones: how long repeats are dropped (s).
     pub window_s: f64,
     /// It holds its group of tables while it runs.
@@ -162,9 +165,9 @@
             aim_s: 1.0,
             stretch: 1.5,
             deadline_s: 5.0,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Repeats::Repeatable,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Repeats::Repeatable,
             window_s: 5.0,
             load: false,
             waits: false,
@@ -195,8 +198,8 @@
             aim_s: 1.5,
             stretch: 2.5,
             deadline_s: 25.0,
-            worth: 7.5,
-            late_worth: 0.3,
+            priority_weight: 7.5,
+            late_weight: 0.3,
             ..Class::default()
         },
         Class {
@@ -210,9 +213,9 @@
             aim_s: 3.0,
             stretch: 3.0,
             deadline_s: 20.0,
-            worth: 20.0,
-            late_worth: 0.6,
-            effect: Repeats::Keyed,
+            priority_weight: 20.0,
+            late_weight: 0.6,
+            idempotency: Repeats::Keyed,
             window_s: 20.0,
             load: true,
             ..Class::default()
@@ -303,6 +306,7 @@
     }
 
     /// Groups of tables: two an engine, unless told.
+    #[must_use]
     pub fn all_groups(&self) -> u64 {
         if self.groups > 0 {
             self.groups
@@ -312,22 +316,23 @@
     }
 
     /// What a coordinator is told at its start.
+    #[must_use]
     pub fn settings(&self, number: usize) -> Settings {
         let classes = self.class.iter().map(|class| ClassSettings {
             name: class.name.clone(),
-            aim: class.aim_s,
-            aim_stretch: class.stretch,
-            give_up: class.deadline_s,
-            worth: class.worth,
-            late_worth: class.late_worth,
-            effect: match class.effect {
-                Repeats::Repeatable => Effect::Repeatable,
-                Repeats::Keyed => Effect::Keyed,
-                Repeats::Once => Effect::Once,
+            latency_objective: class.aim_s,
+            objective_stretch: class.stretch,
+            client_timeout: class.deadline_s,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
+            idempotency: match class.idempotency {
+                Repeats::Repeatable => Idempotency::Always,
+                Repeats::Keyed => Idempotency::WithKey,
+                Repeats::Once => Idempotency::Never,
             },
-            group: Group::All,
-            memory_span: class.window_s,
-            in_order: false,
+            dedup_scope: DedupScope::All,
+            dedup_window: class.window_s,
+            ordered: false,
             stream: false,
             zones: None,
             kinds: None,
@@ -344,24 +349,24 @@
             }],
             tenants: Vec::new(),
             gateways: self.coordinators as f64,
-            number: number as f64,
+            index: number as f64,
             zone: hall(number % self.halls),
-            cross_price: PRICES.0,
-            handshake_price: PRICES.2,
+            cross_zone_cost: PRICES.0,
+            handshake_cost: PRICES.2,
             must_subscribe: false,
             may_cancel: true,
-            may_copy: true,
-            come_back: Some(0.5),
+            may_hedge: true,
+            retry_after: Some(0.5),
             priorities: true,
             grants: true,
-            tells_cost: false,
+            reports_cost: false,
             max_attempts: 4,
             tick: 0.005,
             // What operators tell: a little less than it is.
-            cold_share: self.engine.cold_from * 0.85,
-            cold_for: self.engine.cold_s * 1.2,
-            fall_multiple: self.engine.fall_multiple,
-            fall_window: self.engine.fall_s,
+            initial_capacity_share: self.engine.cold_from * 0.85,
+            warmup_time: self.engine.cold_s * 1.2,
+            overload_multiple: self.engine.overload_multiple,
+            overload_window: self.engine.fall_s,
             order_settle: 0.0,
             retry_budget: None,
         }
@@ -369,6 +374,7 @@
 }
 
 /// Name of a hall.
+#[must_use]
 pub fn hall(number: usize) -> String {
     format!("hall-{number}")
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/simulator/src/sockets.rs
@@ -48,11 +48,13 @@
     }
 
     /// Names of the classes.
+    #[must_use]
     pub fn names(&self) -> Vec<String> {
         self.parts.iter().map(|part| part.class.clone()).collect()
     }
 
     /// The class of a request, by position.
+    #[must_use]
     pub fn class_of(&self, request: usize) -> usize {
         let all: f64 = self.parts.iter().map(|p| p.share).sum();
         let mut at = (mix(self.seed ^ request as u64) >> 11) as f64 / (1u64 << 53) as f64 * all;
@@ -64,6 +66,7 @@
     }
 
     /// A driver for that schedule which counts by class.
+    #[must_use]
     pub fn driver(&self, points: &[Micros], mode: Mode, manner: Manner, connections: usize) -> Driver {
         let of = (0..points.len()).map(|request| self.class_of(request)).collect();
         Driver::new(points, mode, manner, connections).by_class(self.names(), of)
@@ -91,7 +94,7 @@
     }
 }
 
-/// SplitMix64's step: numbers that look drawn, from one that counts.
+/// `SplitMix64`'s step: numbers that look drawn, from one that counts.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -104,6 +107,7 @@
 
 /// Carries out a driver's orders until it is over, or this long after its last (s). Each connection has a thread
 /// that does nothing but wait for its answer, so that one that is slow holds up no other.
+#[must_use]
 pub fn run(mut driver: Driver, target: &Target, patience: Duration) -> Driver {
     let (tell, come) = channel::<Come>();
     let mut workers: HashMap<usize, Sender<Order>> = HashMap::new();
--- a/crates/lab/src/standin.rs
+++ b/crates/simulator/src/standin.rs
@@ -96,7 +96,7 @@
             match words[0].as_str() {
                 "GET" if words.len() == 4 => self.begin(&words, connection, &writer),
                 "DROP" | "CLOSE" if words.len() >= 2 => {
-                    self.give_up(|open| open.connection == connection && open.id == words[1])
+                    self.give_up(|open| open.connection == connection && open.id == words[1]);
                 }
                 "RANK" if words.len() >= 3 => {
                     let mut state = lock(&self.state);
@@ -269,6 +269,7 @@
     }
 
     /// Queries that it has answered.
+    #[must_use]
     pub fn served(&self) -> u64 {
         self.inner.served.load(Ordering::Relaxed)
     }
--- a/crates/lab/src/subsets.rs
+++ b/crates/simulator/src/subsets.rs
@@ -1,7 +1,7 @@
 //! Ways to say which engines each gateway keeps to, weighed: how evenly, how many pairs move, what it costs. The one in use
-//! is `dahliaspoke::rings`; the others stand here to be compared with it.
+//! is `dahliaspoke::policy::subsetting`; the others stand here to be compared with it.
 
-use dahliaspoke::rings::{places, Seat};
+use dahliaspoke::policy::subsetting::{places, Seat};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_core::SeedableRng;
@@ -16,7 +16,7 @@
     Draws,
     /// Deterministic subsets by rounds: gateways of a round share out one shuffle of the engines.
     Rounds,
-    /// Engines on a circle, gateways at even distances: `dahliaspoke::rings`.
+    /// Engines on a circle, gateways at even distances: `dahliaspoke::policy::subsetting`.
     Ring,
     /// The same, and the engines at the ends of a gateway's arc belong to it by a part.
     Fractions,
@@ -48,6 +48,7 @@
 }
 
 /// What one gateway keeps to: engines by position in `ids`, and by how much each.
+#[must_use]
 pub fn kept(way: Way, ids: &[String], gateway: usize, gateways: usize, keep: usize) -> Vec<(usize, f64)> {
     let count = ids.len();
     let keep = keep.min(count);
@@ -123,6 +124,7 @@
 }
 
 /// Weighs one way.
+#[must_use]
 pub fn weigh(way: Way, gateways: usize, engines: usize, keep: usize, seed: u64) -> Figures {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let id = |rng: &mut Pcg64Mcg| format!("s-{:08x}", rng.random::<u32>());
@@ -148,6 +150,7 @@
 }
 
 /// A table for operators and the design note.
+#[must_use]
 pub fn table(gateways: &[usize], engines: &[usize], keep: usize, seed: u64) -> String {
     let mut text = format!(
         "{:<12}{:>9}{:>9}{:>8}{:>8}{:>14}{:>8}{:>10}\n",
--- a/crates/lab/src/trial.rs
+++ b/crates/simulator/src/trial.rs
@@ -73,7 +73,7 @@
     let classes: Vec<_> = scenario.class.iter().map(|c| {
         serde_json::json!({
             "name": c.name, "group": "all", "objective": c.aim_s, "aimStretch": c.stretch, "giveUp": c.deadline_s,
-            "importance": c.worth, "lateValue": c.late_worth, "memorySpan": c.window_s,
+            "importance": c.priority_weight, "lateValue": c.late_weight, "memorySpan": c.window_s,
             "effect": if c.load { "by_key" } else { "repeatable" },
         })
     }).collect();
@@ -199,6 +199,7 @@
 }
 
 /// The outcome as a table.
+#[must_use]
 pub fn table(outcome: &Outcome) -> String {
     let s = &outcome.summary;
     let share = |count: usize| 100.0 * count as f64 / s.due.max(1) as f64;
--- a/crates/lab/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -7,7 +7,7 @@
 use crate::report::{ClassReport, Report, Tally};
 use crate::scenario::{hall, Kind, Repeats, Scenario, Trouble};
 use crate::{micros, seconds, Micros};
-use dahliaspoke::interface::*;
+use dahliaspoke::policy::*;
 use rand::Rng;
 use rand_core::SeedableRng;
 use rand_distr::{Distribution, Exp, LogNormal, Normal, Zipf};
@@ -44,7 +44,7 @@
     /// Engines write notes of what runs.
     Notes,
     /// Notes reach a coordinator.
-    Noted { tag: u64, note: Note },
+    Noted { tag: u64, progress: Progress },
     /// What an all-knowing policy sees.
     Truth,
     /// A timer of a coordinator's decisions.
@@ -125,7 +125,7 @@
     engines: Vec<Engine>,
     entries: Vec<EngineEntry>,
     /// What each engine last told of itself.
-    reports: Vec<dahliaspoke::interface::Report>,
+    reports: Vec<dahliaspoke::policy::LoadReport>,
     reports_stand: bool,
     lost_answers: f64,
     cut: Option<usize>,
@@ -142,6 +142,7 @@
 }
 
 /// Plays a scenario with a policy and a seed.
+#[must_use]
 pub fn play(scenario: &Scenario, kind: policy::Kind, seed: u64) -> Report {
     play_with(scenario, kind, seed, |settings, seed| policy::make(kind, settings, seed))
 }
@@ -240,7 +241,7 @@
 
     fn run(&mut self, make: &impl Fn(&Settings, u64) -> Box<dyn Policy>) {
         for coordinator in 0..self.coordinators.len() {
-            self.tell(coordinator, Event::Engines(Scope::Complete, self.entries.clone()));
+            self.tell(coordinator, Event::EngineList(ListScope::Complete, self.entries.clone()));
             self.next_request(coordinator);
         }
         self.queue.push(micros(self.scenario.report_ms / 1000.0), Happens::Reports);
@@ -274,7 +275,7 @@
     }
 
     /// Mixes what happened into the sum of the run.
-    fn note(&mut self, a: u64, b: u64) {
+    fn progress(&mut self, a: u64, b: u64) {
         let value = self.now ^ a.rotate_left(20) ^ b.rotate_left(40);
         self.sum = (self.sum ^ value).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(23);
     }
@@ -310,12 +311,12 @@
                 self.queue.push(self.now + micros(self.scenario.report_ms / 1000.0), Happens::Reports);
             }
             Happens::Notes => self.notes(),
-            Happens::Noted { tag, note } => {
+            Happens::Noted { tag, progress } => {
                 let attempt = &self.attempts[tag as usize];
                 let (of, number) = (attempt.of, attempt.number);
                 if attempt.out && self.is_alive(of) {
                     let (coordinator, id) = (self.tries[of].coordinator, name(of));
-                    self.tell(coordinator, Event::Noted { id, attempt: number, note });
+                    self.tell(coordinator, Event::Progress { id, attempt: number, progress });
                 }
             }
             Happens::Truth => {
@@ -332,7 +333,7 @@
                 let own = &self.coordinators[coordinator];
                 if own.up && own.life == life {
                     self.hears(coordinator, &entry);
-                    self.tell(coordinator, Event::Engines(Scope::Changes, vec![*entry]));
+                    self.tell(coordinator, Event::EngineList(ListScope::Changes, vec![*entry]));
                 }
             }
             Happens::Overdue { attempt } => self.overdue(attempt),
@@ -373,7 +374,7 @@
         let group =
             Zipf::new(groups, self.scenario.zipf).map_or(1.0, |zipf| zipf.sample(&mut self.traffic)) as i64;
         let heeds = self.traffic.random::<f64>() < self.scenario.honour;
-        self.tally.came(self.now, class, spec.worth, work);
+        self.tally.came(self.now, class, spec.priority_weight, work);
         let until = self.now + micros(spec.deadline_s);
         let (came, estimate) = (self.now, work * noise);
         self.requests.push(Request {
@@ -414,7 +415,7 @@
         let query = Query {
             id: name(id),
             class: request.class,
-            left: seconds(deadline - self.now),
+            time_left: seconds(deadline - self.now),
             work: Some(request.estimate),
             memory: Some(request.memory),
             tables: request.group,
@@ -431,7 +432,7 @@
         let request = &self.requests[number];
         let class = &self.scenario.class[request.class];
         let window = request.came + micros(class.window_s);
-        let may = match class.effect {
+        let may = match class.idempotency {
             Repeats::Repeatable => true,
             Repeats::Keyed => refused || self.now < window,
             Repeats::Once => refused,
@@ -461,7 +462,7 @@
         self.tries[of].over = true;
         let coordinator = self.tries[of].coordinator;
         if self.is_alive(of) {
-            self.tell(coordinator, Event::ClientLeft { id: name(of) });
+            self.tell(coordinator, Event::ClientGone { id: name(of) });
         }
         self.lose(self.tries[of].request, false);
     }
@@ -490,7 +491,7 @@
     fn act(&mut self, coordinator: usize, action: Action) {
         match action {
             Action::Send { id, engine, timeout, .. } => {
-                self.send(coordinator, number(&id), position(&engine), timeout)
+                self.send(coordinator, number(&id), position(&engine), timeout);
             }
             Action::Cancel { id, attempt } => {
                 let tag = self.tries[number(&id)].tags.get(attempt as usize).copied();
@@ -499,9 +500,9 @@
                     self.end(tag, Outcome::Cancelled);
                 }
             }
-            Action::Refuse { id, come_back } => self.answer(number(&id), true, come_back),
+            Action::Reject { id, retry_after } => self.answer(number(&id), true, retry_after),
             Action::Fail { id } => self.answer(number(&id), false, None),
-            Action::Terms { id, memory, rank } => {
+            Action::SetTerms { id, memory, rank } => {
                 let of = number(&id);
                 (self.tries[of].grant, self.tries[of].rank) = (memory, rank);
                 let mut out = self.tries[of].tags.clone();
@@ -521,7 +522,7 @@
     }
 
     fn answer(&mut self, of: usize, refused: bool, wait: Option<f64>) {
-        self.note(of as u64, 1 + u64::from(refused));
+        self.progress(of as u64, 1 + u64::from(refused));
         self.auditor.answered(self.now, of as u64, refused);
         if !std::mem::replace(&mut self.tries[of].over, true) {
             self.again(of, refused, wait);
@@ -529,7 +530,7 @@
     }
 
     fn send(&mut self, coordinator: usize, of: usize, engine: usize, timeout: Option<f64>) {
-        self.note(of as u64, engine as u64);
+        self.progress(of as u64, engine as u64);
         let number = self.tries[of].tags.len() as u32;
         self.auditor.sent(self.now, coordinator, of as u64, engine);
         let tag = self.attempts.len() as u64;
@@ -540,7 +541,7 @@
             return;
         }
         if self.tries[of].over || engine >= self.engines.len() {
-            return self.end(tag, Outcome::Moot);
+            return self.end(tag, Outcome::Expired);
         }
         self.tally.attempts.0 += 1;
         self.tally.attempts.1 +=
@@ -593,7 +594,7 @@
             return None;
         }
         let (of, number, engine) = (attempt.of, attempt.number, attempt.engine);
-        self.note(tag, outcome as u64);
+        self.progress(tag, outcome as u64);
         if !self.is_alive(of) {
             return None;
         }
@@ -614,7 +615,15 @@
         let report = self.reports.get(engine).copied().filter(|_| heard);
         let finished = self.tries[of].over;
         let (work, memory) = (None, None);
-        Some(Event::Ended(Ended { id: name(of), attempt: number, outcome, finished, work, memory, report }))
+        Some(Event::AttemptEnded(AttemptEnd {
+            id: name(of),
+            attempt: number,
+            outcome,
+            finished,
+            work,
+            memory,
+            report,
+        }))
     }
 
     fn served(&mut self, number: usize) {
@@ -623,10 +632,11 @@
             return;
         }
         let class = &self.scenario.class[request.class];
-        let aim = request.came + micros(class.aim_s + class.stretch * request.work / class.threads / 1000.0);
-        let in_time = self.now <= aim;
-        let worth = class.worth * if in_time { 1.0 } else { class.late_worth };
-        self.tally.served(request.came, self.now, request.class, worth, in_time);
+        let latency_objective =
+            request.came + micros(class.aim_s + class.stretch * request.work / class.threads / 1000.0);
+        let in_time = self.now <= latency_objective;
+        let priority_weight = class.priority_weight * if in_time { 1.0 } else { class.late_weight };
+        self.tally.served(request.came, self.now, request.class, priority_weight, in_time);
     }
 
     fn dies(&mut self, coordinator: usize) {
@@ -663,7 +673,7 @@
         for entry in self.entries.clone() {
             self.hears(coordinator, &entry);
         }
-        self.tell(coordinator, Event::Engines(Scope::Restored, self.entries.clone()));
+        self.tell(coordinator, Event::EngineList(ListScope::Restored, self.entries.clone()));
     }
 
     fn hears(&mut self, coordinator: usize, entry: &EngineEntry) {
@@ -764,11 +774,11 @@
             if !self.engines[engine].up || self.engines[engine].hangs {
                 continue;
             }
-            for (tag, note) in self.engines[engine].notes(self.now) {
+            for (tag, progress) in self.engines[engine].notes(self.now) {
                 let coordinator = self.tries[self.attempts[tag as usize].of].coordinator;
                 if !self.is_cut(coordinator, engine) {
                     let at = self.now + self.way(coordinator, engine);
-                    self.queue.push(at, Happens::Noted { tag, note });
+                    self.queue.push(at, Happens::Noted { tag, progress });
                 }
             }
         }
--- a/crates/lab/tests/account.rs
+++ b/crates/simulator/tests/account.rs
@@ -1,6 +1,6 @@
 //! The account of logs, on logs whose sums are known.
 
-use dahliaspoke_lab::account::{Account, Class};
+use dahliaspoke_simulator::account::{Account, Class};
 
 const ONE: &str = "c0 listens on 127.0.0.1:1
 10.000 taken a 0 100 3.000
--- a/crates/lab/tests/arrivals.rs
+++ b/crates/simulator/tests/arrivals.rs
@@ -1,6 +1,6 @@
 //! Schedules of arrivals.
 
-use dahliaspoke_lab::arrivals::{schedule, Gaps, Shape};
+use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
 
 #[test]
 fn every_shape_has_the_mean_rate_and_points_in_order() {
--- a/crates/lab/tests/engine.rs
+++ b/crates/simulator/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The model of an engine.
 
-use dahliaspoke_lab::engine::{share, Engine, Job, Spec, Taken};
+use dahliaspoke_simulator::engine::{share, Engine, Job, Spec, Taken};
 
 fn job(tag: u64, work: f64) -> Job {
     let (io, threads, memory, grant) = (0.0, 1.0, 10.0, None);
--- a/crates/lab/tests/experiment.rs
+++ b/crates/simulator/tests/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiments: verdicts, plays that are taken up again, files that are none.
 
-use dahliaspoke_lab::experiment::{interval, Difference, Experiment};
+use dahliaspoke_simulator::experiment::{interval, Difference, Experiment};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 const FILE: &str = r#"
--- a/crates/lab/tests/load.rs
+++ b/crates/simulator/tests/load.rs
@@ -1,8 +1,8 @@
 //! The load tool's core against servers in virtual time, where the right answer is known in closed form.
 
-use dahliaspoke_lab::arrivals::{schedule, Gaps, Shape};
-use dahliaspoke_lab::load::{Driver, Ending, Manner, Mode, Order, Summary};
-use dahliaspoke_lab::queue::Heap;
+use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
+use dahliaspoke_simulator::load::{Driver, Ending, Manner, Mode, Order, Summary};
+use dahliaspoke_simulator::queue::Heap;
 
 /// Plays a schedule against a server that answers each request when `answer` says, by the time it was sent.
 fn play(driver: Driver, answer: impl Fn(u64, Order) -> (u64, Ending)) -> Summary {
--- a/crates/lab/tests/model.rs
+++ b/crates/simulator/tests/model.rs
@@ -1,12 +1,12 @@
 //! The model: one seed gives one run, and the auditor catches whoever breaks a rule. A policy is broken on
 //! purpose for each.
 
-use dahliaspoke::interface::*;
-use dahliaspoke_lab::audit::Ramp;
-use dahliaspoke_lab::policy::{self, Kind, Policy};
-use dahliaspoke_lab::report::Report;
-use dahliaspoke_lab::scenario::Scenario;
-use dahliaspoke_lab::world::{play, play_with};
+use dahliaspoke::policy::*;
+use dahliaspoke_simulator::audit::Ramp;
+use dahliaspoke_simulator::policy::{self, Kind, Policy};
+use dahliaspoke_simulator::report::Report;
+use dahliaspoke_simulator::scenario::Scenario;
+use dahliaspoke_simulator::world::{play, play_with};
 
 fn scenario(text: &str) -> Scenario {
     Scenario::read(text).expect("a scenario")
@@ -102,17 +102,17 @@
 
 impl Policy for Wrong {
     fn handle(&mut self, now: f64, event: Event, truth: &[f64], out: &mut Vec<Action>) {
-        if let Event::Engines(_, entries) = &event {
+        if let Event::EngineList(_, entries) = &event {
             let drains = entries.iter().find(|e| e.lifecycle == Lifecycle::Draining);
             self.draining = drains.map(|e| e.id.clone()).or(self.draining.take());
         }
         let ended = match &event {
-            Event::Ended(ended) => Some((ended.id.clone(), ended.finished, ended.outcome)),
+            Event::AttemptEnded(ended) => Some((ended.id.clone(), ended.finished, ended.outcome)),
             _ => None,
         };
         let from = out.len();
         self.inner.handle(now, event, truth, out);
-        let final_answer = |a: &Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
+        let final_answer = |a: &Action| matches!(a, Action::Reject { .. } | Action::Fail { .. });
         match (self.fault, ended) {
             (Fault::Silent, _) => out.retain(|a| !final_answer(a)),
             (Fault::Twice, _) => {
@@ -129,7 +129,7 @@
             }
             (Fault::Lies, Some((id, false, Outcome::Error))) => {
                 out.truncate(from);
-                out.push(Action::Refuse { id, come_back: None });
+                out.push(Action::Reject { id, retry_after: None });
             }
             (Fault::Drains, _) => {
                 let Some(draining) = self.draining.clone() else { return };
@@ -160,7 +160,7 @@
         .class
         .iter_mut()
         .filter(|c| c.load)
-        .for_each(|c| c.effect = dahliaspoke_lab::scenario::Repeats::Once);
+        .for_each(|c| c.idempotency = dahliaspoke_simulator::scenario::Repeats::Once);
     let sound = play(&world, Kind::Random, 1);
     assert_eq!(sound.broken, 0, "{:?}", sound.first);
     for (fault, rule) in [
--- a/crates/lab/tests/queue.rs
+++ b/crates/simulator/tests/queue.rs
@@ -1,6 +1,6 @@
 //! The wheel against the heap, which is the plain model.
 
-use dahliaspoke_lab::queue::{Heap, Wheel};
+use dahliaspoke_simulator::queue::{Heap, Wheel};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -18,16 +18,13 @@
     {
         let (mut heap, mut wheel, mut now) = (Heap::default(), Wheel::default(), 0);
         for (number, step) in steps.into_iter().enumerate() {
-            match step {
-                Some(after) => {
-                    heap.push(now + after, number);
-                    wheel.push(now + after, number);
-                }
-                None => {
-                    let next = heap.pop();
-                    prop_assert_eq!(wheel.pop(), next);
-                    now = next.map_or(now, |(at, _)| at);
-                }
+            if let Some(after) = step {
+                heap.push(now + after, number);
+                wheel.push(now + after, number);
+            } else {
+                let next = heap.pop();
+                prop_assert_eq!(wheel.pop(), next);
+                now = next.map_or(now, |(at, _)| at);
             }
             prop_assert_eq!(wheel.len(), heap.len());
         }
--- a/crates/lab/tests/sockets.rs
+++ b/crates/simulator/tests/sockets.rs
@@ -1,9 +1,9 @@
 //! The load tool against a stand-in coordinator on loopback. Counts only: no verdict hangs on how long anything
 //! takes.
 
-use dahliaspoke_lab::arrivals::{schedule, Gaps, Shape};
-use dahliaspoke_lab::load::{Group, Manner, Mode};
-use dahliaspoke_lab::sockets::{run, Part, Target};
+use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
+use dahliaspoke_simulator::load::{Group, Manner, Mode};
+use dahliaspoke_simulator::sockets::{run, Part, Target};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/crates/lab/tests/trial.rs
+++ b/crates/simulator/tests/trial.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_trial_counts_every_request_once_through_both_kills() {
-    let trial = Command::new(env!("CARGO_BIN_EXE_dahliaspoke-lab"))
+    let trial = Command::new(env!("CARGO_BIN_EXE_dahliaspoke-simulator"))
         .args(["try", "--seconds", "4", "--load", "0.6", "--seed", "3"])
         .output()
         .expect("it runs");
@@ -28,7 +28,8 @@
 #[test]
 fn words_that_are_none_are_told() {
     let run = |words: &[&str]| {
-        let lab = Command::new(env!("CARGO_BIN_EXE_dahliaspoke-lab")).args(words).output().expect("it runs");
+        let lab =
+            Command::new(env!("CARGO_BIN_EXE_dahliaspoke-simulator")).args(words).output().expect("it runs");
         (lab.status.code(), String::from_utf8_lossy(&lab.stderr).into_owned())
     };
     let (code, error) = run(&["load", "--to", "192.0.2.1:80"]);
--- a/crates/rig/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -42,7 +42,8 @@
         files: impl Fn(usize, &BTreeMap<usize, SocketAddr>) -> Files,
     ) -> Self {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("dahliaspoke-rig-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("dahliaspoke-test-harness-{}-{number}", std::process::id()));
         let mut links = BTreeMap::new();
         for a in 0..count {
             for b in (0..count).filter(|b| *b != a) {
--- a/crates/rig/src/history.rs
+++ b/crates/test-harness/src/history.rs
@@ -101,6 +101,7 @@
 ///
 /// What needs an unanswered call is a later answer; so each is taken just before an answer that does not fit without
 /// it, two in a row at the most. Else histories with many of them could not be searched.
+#[must_use]
 pub fn is_linearizable(ops: &[Op]) -> bool {
     let mut answered: Vec<usize> = (0..ops.len()).filter(|at| ops[*at].answered.is_some()).collect();
     answered.sort_by_key(|at| ops[*at].called);
@@ -227,6 +228,7 @@
 
 impl Watch {
     /// Nanoseconds since its start.
+    #[must_use]
     pub fn now(&self) -> u64 {
         self.0.elapsed().as_nanos() as u64
     }
--- a/crates/rig/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -58,6 +58,7 @@
     }
 
     /// A path in its folder.
+    #[must_use]
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
@@ -150,6 +151,7 @@
     }
 
     /// Whether it was stopped and not let go on.
+    #[must_use]
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
--- a/crates/rig/src/queries.rs
+++ b/crates/test-harness/src/queries.rs
@@ -1,7 +1,7 @@
 //! Queries through a coordinator's HTTP door to engines of the rig, and an auditor: exactly one final answer each, and
 //! nothing that may have run is sent again but as its class allows.
 
-use dahliaspoke_lab::standin::command;
+use dahliaspoke_simulator::standin::command;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -43,6 +43,7 @@
     ///
     /// # Panics
     /// Where there is no port.
+    #[must_use]
     pub fn start(count: usize) -> Self {
         let sent = Sent::default();
         let (mut list, mut manners, mut connections) = (Vec::new(), Vec::new(), Vec::new());
@@ -65,11 +66,13 @@
     }
 
     /// Connections that have come to one of them.
+    #[must_use]
     pub fn connections(&self, at: usize) -> usize {
         self.connections[at].load(Ordering::SeqCst)
     }
 
     /// The requests that they were sent, each once.
+    #[must_use]
     pub fn ids(&self) -> Vec<String> {
         lock(&self.sent).keys().cloned().collect()
     }
--- a/crates/rig/src/relay.rs
+++ b/crates/test-harness/src/relay.rs
@@ -150,6 +150,7 @@
     }
 
     /// Bytes passed on in a direction so far.
+    #[must_use]
     pub fn passed(&self, way: Way) -> u64 {
         lock(&self.state).ways[way as usize].passed
     }
--- a/crates/rig/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -123,6 +123,7 @@
 impl Script {
     /// Draws so many troubles among that many processes. At most one process is away and one link at fault at a time;
     /// between each and its end the condition is awaited, and so it is after.
+    #[must_use]
     pub fn rotation(seed: u64, processes: usize, troubles: usize, condition: &str) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut below = |n: usize| (rng.next_u64() % n as u64) as usize;
--- a/crates/rig/tests/history.rs
+++ b/crates/test-harness/tests/history.rs
@@ -1,6 +1,6 @@
 //! The checker of histories, beside stateright's own tester on histories small enough for it.
 
-use dahliaspoke_rig::history::{is_linearizable, Answer, Call, Op};
+use dahliaspoke_test_harness::history::{is_linearizable, Answer, Call, Op};
 use proptest::prelude::*;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
--- a/crates/rig/tests/queries.rs
+++ b/crates/test-harness/tests/queries.rs
@@ -1,6 +1,6 @@
 //! The auditor of queries sees what is wrong.
 
-use dahliaspoke_rig::queries::{Audit, Engines, Manner, Repeats};
+use dahliaspoke_test_harness::queries::{Audit, Engines, Manner, Repeats};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
--- a/crates/rig/tests/relay.rs
+++ b/crates/test-harness/tests/relay.rs
@@ -1,8 +1,8 @@
 //! Each fault of a link does what it says.
 
-use dahliaspoke_rig::relay::{Datagrams, Pace, Relay, Way, Weather};
-use dahliaspoke_rig::script::Script;
-use dahliaspoke_rig::until;
+use dahliaspoke_test_harness::relay::{Datagrams, Pace, Relay, Way, Weather};
+use dahliaspoke_test_harness::script::Script;
+use dahliaspoke_test_harness::until;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
--- a/examples/dispatcher.rs
+++ b/examples/dispatcher.rs
@@ -3,45 +3,59 @@
 //!
 //! Its engines are a list of calls that `main` ends by hand; a real one would put a network client there.
 
-use dahliaspoke::choice::Gateway;
-use dahliaspoke::interface::*;
+use dahliaspoke::policy::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// One attempt that an engine works on.
 pub struct Call {
+    /// The request that the attempt belongs to.
     pub id: RequestId,
+    /// Number of the attempt, from 0.
     pub attempt: u32,
+    /// The engine that runs it.
     pub engine: EngineId,
+    /// Memory granted (MB); `None` leaves it to the engine.
     pub memory: Option<f64>,
+    /// Priority, 0 to 3.
     pub rank: u8,
     /// When it times out, if ever.
     pub until: Option<f64>,
 }
 
-/// What a client was told in the end.
+/// The final answer of a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
+    /// An engine served it.
     Served,
-    Refused(Option<f64>),
+    /// It was rejected; a retry is harmless, after so many seconds.
+    Rejected(Option<f64>),
+    /// It failed and may have run.
     Failed,
 }
 
+/// Drives one [`Policy`] and carries out what it asks for.
 pub struct Dispatcher {
-    gateway: Gateway,
+    policy: Policy,
     now: f64,
     timers: Vec<(f64, u64)>,
     terms: BTreeMap<RequestId, (Option<f64>, u8)>,
     tries: BTreeMap<RequestId, u32>,
+    /// Attempts that are out.
     pub calls: Vec<Call>,
+    /// Final answers so far.
     pub answers: BTreeMap<RequestId, Answer>,
+    /// Log lines of the policy.
     pub log: Vec<String>,
+    /// Whether the policy has subscribed to the endpoint list.
     pub subscribed: bool,
 }
 
 impl Dispatcher {
+    /// A dispatcher without engines or requests.
+    #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
-            gateway: Gateway::new(settings, seed),
+            policy: Policy::new(settings, seed),
             now: 0.0,
             timers: vec![],
             terms: BTreeMap::new(),
@@ -58,7 +72,7 @@
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
-            self.gateway.handle(self.now, event, &mut actions);
+            self.policy.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 events.extend(self.act(action));
             }
@@ -83,9 +97,9 @@
                 self.calls.remove(at);
                 return Some(self.ended(id, attempt, Outcome::Cancelled));
             }
-            Action::Refuse { id, come_back } => self.answer(id, Answer::Refused(come_back)),
+            Action::Reject { id, retry_after } => self.answer(id, Answer::Rejected(retry_after)),
             Action::Fail { id } => self.answer(id, Answer::Failed),
-            Action::Terms { id, memory, rank } => {
+            Action::SetTerms { id, memory, rank } => {
                 // The new priority holds for what is out as well, the memory for the next send.
                 self.calls.iter_mut().filter(|c| c.id == id).for_each(|c| c.rank = rank);
                 self.terms.insert(id, (memory, rank));
@@ -105,7 +119,15 @@
 
     fn ended(&self, id: RequestId, attempt: u32, outcome: Outcome) -> Event {
         let finished = outcome == Outcome::Ok || self.answers.contains_key(&id);
-        Event::Ended(Ended { id, attempt, outcome, finished, work: None, memory: None, report: None })
+        Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            finished,
+            work: None,
+            memory: None,
+            report: None,
+        })
     }
 
     /// An engine is done with the call at `at`. The first answer goes to the client.
@@ -119,6 +141,9 @@
     }
 
     /// Lets time pass: timers come due and attempts time out.
+    ///
+    /// # Panics
+    /// Never: what is due was looked for just before.
     pub fn wait(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
@@ -142,18 +167,19 @@
 }
 
 /// Settings of a small deployment: one class, one kind of engine, a list that must be asked for.
+#[must_use]
 pub fn settings() -> Settings {
     let class = ClassSettings {
         name: "dashboard".into(),
-        aim: 0.5,
-        aim_stretch: 1.5,
-        give_up: 3.0,
-        worth: 1.0,
-        late_worth: 0.1,
-        effect: Effect::Repeatable,
-        group: Group::All,
-        memory_span: 0.0,
-        in_order: false,
+        latency_objective: 0.5,
+        objective_stretch: 1.5,
+        client_timeout: 3.0,
+        priority_weight: 1.0,
+        late_weight: 0.1,
+        idempotency: Idempotency::Always,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
+        ordered: false,
         stream: false,
         zones: None,
         kinds: None,
@@ -166,33 +192,37 @@
         kinds: vec![KindSettings { name: "std".into(), cores: 8.0, memory: 16384.0 }],
         tenants: vec![],
         gateways: 1.0,
-        number: 0.0,
+        index: 0.0,
         zone: "here".into(),
-        cross_price: 0.0,
-        handshake_price: 0.0,
+        cross_zone_cost: 0.0,
+        handshake_cost: 0.0,
         must_subscribe: true,
         may_cancel: true,
-        may_copy: false,
-        come_back: Some(0.5),
+        may_hedge: false,
+        retry_after: Some(0.5),
         priorities: true,
         grants: true,
-        tells_cost: false,
+        reports_cost: false,
         max_attempts: 4,
         tick: 0.005,
-        cold_share: 0.3,
-        cold_for: 14.0,
-        fall_multiple: 2.0,
-        fall_window: 1.0,
+        initial_capacity_share: 0.3,
+        warmup_time: 14.0,
+        overload_multiple: 2.0,
+        overload_window: 1.0,
         order_settle: 0.0,
         retry_budget: None,
     }
 }
 
+/// A query of the only class.
+#[must_use]
 pub fn query(id: &str) -> Event {
     let (work, memory) = (Some(100.0), Some(64.0));
-    Event::Query(Query { id: id.into(), left: 3.0, work, memory, ..Query::default() })
+    Event::Query(Query { id: id.into(), time_left: 3.0, work, memory, ..Query::default() })
 }
 
+/// An engine that is ready.
+#[must_use]
 pub fn engine(id: &str) -> EngineEntry {
     EngineEntry { id: id.into(), zone: "here".into(), kind: "std".into(), ..EngineEntry::default() }
 }
@@ -200,12 +230,12 @@
 #[allow(dead_code)] // the test drives the dispatcher by itself
 fn main() {
     let mut d = Dispatcher::new(settings(), 42);
-    d.feed(Event::Engines(Scope::Complete, vec![engine("e1"), engine("e2")]));
+    d.feed(Event::EngineList(ListScope::Complete, vec![engine("e1"), engine("e2")]));
     d.feed(query("served"));
     d.wait(0.1);
     d.end(0, Outcome::Ok);
     d.feed(query("spilled"));
-    d.feed(Event::Noted { id: "spilled".into(), attempt: 0, note: Note::Spills(100.0) });
+    d.feed(Event::Progress { id: "spilled".into(), attempt: 0, progress: Progress::Spills(100.0) });
     println!("sent again to {} with {:?} MB", d.calls[0].engine, d.calls[0].memory);
     d.wait(3.0);
     for (id, answer) in &d.answers {
--- a/src/console/mod.rs
+++ b/src/admin/mod.rs
@@ -1,11 +1,11 @@
 //! The operators' door: HTTP/1.1, one call a connection. It decodes calls and encodes answers; the daemon
 //! carries them out.
 
-use crate::front::http::{self, Bad, Read};
-use crate::front::server::{ClientConnection, Server, State};
 use crate::limits::Limits;
-use crate::net::{Channel, Connection, Flow, Poller, Time, Token};
-use dahliaspoke::interface::EngineId;
+use crate::listener::http::codec::{self, Bad, Read};
+use crate::listener::server::{ClientConnection, Server, State};
+use crate::net::{BufferedStream, Connection, Flow, Poller, Time, Token};
+use dahliaspoke::policy::EngineId;
 use std::collections::VecDeque;
 use std::io;
 use std::net::TcpListener;
@@ -30,7 +30,7 @@
 
 /// An operator's connection.
 pub struct Caller {
-    channel: Channel,
+    channel: BufferedStream,
     token: Token,
     since: Time,
     until: Time,
@@ -38,9 +38,9 @@
     called: bool,
 }
 
-pub type Console = Server<Caller>;
+pub type AdminInterface = Server<Caller>;
 
-impl Console {
+impl AdminInterface {
     pub fn open(part: u8, socket: TcpListener, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
         Self::new(part, socket, Shared { state: State::new(0, limits), commands: VecDeque::new() }, poller)
     }
@@ -57,8 +57,14 @@
 }
 
 impl ClientConnection for Caller {
-    fn accepted(now: Time, channel: Channel, token: Token, shared: &Shared) -> Option<Self> {
-        Some(Caller { channel, token, since: now, until: now + shared.state.limits.call, called: false })
+    fn accepted(now: Time, channel: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
+        Some(Caller {
+            channel,
+            token,
+            since: now,
+            until: now + shared.state.limits.clients.request_timeout,
+            called: false,
+        })
     }
 
     fn until(&self) -> Option<Time> {
@@ -82,14 +88,14 @@
     }
 
     fn most(limits: &Limits) -> usize {
-        limits.callers
+        limits.admin.max_connections
     }
 }
 
 impl Connection for Caller {
     type Shared = Shared;
 
-    fn channel(&mut self) -> &mut Channel {
+    fn channel(&mut self) -> &mut BufferedStream {
         &mut self.channel
     }
 
@@ -98,7 +104,7 @@
             self.channel.input.clear();
             return Flow::Open;
         }
-        let status = match http::read(&self.channel.input, &shared.state.limits) {
+        let status = match codec::read(&self.channel.input, &shared.state.limits) {
             Ok(Read::Partial { .. }) => return Flow::Open,
             Ok(Read::Large { .. }) => 413,
             Ok(Read::Whole(call, _)) => match command(&call.method, &call.path) {
@@ -125,8 +131,8 @@
     fn finish(&mut self, now: Time, status: u16, text: &str, shared: &mut Shared) -> Flow {
         self.called = true;
         self.channel.input = Vec::new();
-        self.channel.push(http::text(status, text));
-        self.until = now + shared.state.limits.linger;
+        self.channel.push(codec::text(status, text));
+        self.until = now + shared.state.limits.clients.linger_timeout;
         shared.state.look(self.until, self.token);
         Flow::Finish
     }
--- a/src/bin/dahliaspoke-benchlink/main.rs
+++ b/src/bin/dahliaspoke-simhost/main.rs
@@ -29,7 +29,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("dahliaspoke-benchlink: {message}");
+            eprintln!("dahliaspoke-simhost: {message}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/dahliaspoke-benchlink/wire.rs
+++ b/src/bin/dahliaspoke-simhost/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's names and shapes, to and from the library's types. Translation only.
 
-use dahliaspoke::choice::Gateway;
-use dahliaspoke::interface::*;
+use dahliaspoke::policy::Policy;
+use dahliaspoke::policy::*;
 use dahliaspoke::settings::{field, object, part, settings, words, Res};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 /// One gateway with the names that its settings gave.
 struct Instance {
-    gateway: Gateway,
+    gateway: Policy,
     classes: Vec<String>,
     tenants: Vec<String>,
     columns: Vec<String>,
@@ -76,15 +76,15 @@
         "unreachable" => Outcome::Unreachable,
         "broken" => Outcome::Reset,
         "withdrawn" => Outcome::Cancelled,
-        "void" => Outcome::Moot,
+        "void" => Outcome::Expired,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
 
-fn report(value: Option<&Value>, columns: &[String]) -> Res<Option<Report>> {
+fn report(value: Option<&Value>, columns: &[String]) -> Res<Option<LoadReport>> {
     let Some(value) = value else { return Ok(None) };
     let values = value.as_array().ok_or("a load report is not a list")?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(values) {
         if value.is_null() {
             continue;
@@ -105,9 +105,11 @@
     match action {
         Action::Send { id, engine, timeout, .. } => json!(["place", inst, &*id, &*engine, timeout]),
         Action::Cancel { id, attempt } => json!(["recall", inst, &*id, attempt]),
-        Action::Refuse { id, come_back } => json!(["reject", inst, &*id, come_back]),
+        Action::Reject { id, retry_after } => json!(["reject", inst, &*id, retry_after]),
         Action::Fail { id } => json!(["surrender", inst, &*id]),
-        Action::Terms { id, memory, rank } => json!(["limitsFor", inst, &*id, memory.unwrap_or(0.0), rank]),
+        Action::SetTerms { id, memory, rank } => {
+            json!(["limitsFor", inst, &*id, memory.unwrap_or(0.0), rank])
+        }
         Action::SetTimer { after, token } => json!(["arm", inst, after, token]),
         Action::Subscribe => json!(["keepInformed", inst, true]),
         Action::Log(text) => json!(["log", inst, text]),
@@ -122,7 +124,7 @@
         let settings = settings(conf)?;
         let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
         let tenants = settings.tenants.iter().map(|t| t.name.clone()).collect();
-        Ok(Self { gateway: Gateway::new(settings, seed), classes, tenants, columns })
+        Ok(Self { gateway: Policy::new(settings, seed), classes, tenants, columns })
     }
 
     /// The event in the library's terms; `None` for news that it has no use for.
@@ -130,14 +132,14 @@
         Ok(Some(match row.name {
             "membership" => {
                 let scope = match row.text(4)? {
-                    "update" => Scope::Changes,
-                    "replace" => Scope::Complete,
-                    "restored" => Scope::Restored,
-                    "unavailable" => return Ok(Some(Event::ListFailed)),
+                    "update" => ListScope::Changes,
+                    "replace" => ListScope::Complete,
+                    "restored" => ListScope::Restored,
+                    "unavailable" => return Ok(Some(Event::DiscoveryFailed)),
                     other => return Err(format!("membership: unknown scope {other}")),
                 };
                 let entries = slots.get(&row.whole(2)?).ok_or("membership: no such catalog slot")?;
-                Event::Engines(scope, entries.clone())
+                Event::EngineList(scope, entries.clone())
             }
             "knock" => {
                 let class = row.text(3)?;
@@ -150,7 +152,7 @@
                     class: self.classes.iter().position(|c| c == class).ok_or("knock: unknown class")?,
                     tenant: tenant.and_then(|t| self.tenants.iter().position(|name| name == t)),
                     key: row.maybe(5, |v| v.as_str().map(Arc::from), "a text")?,
-                    left: row.number(6)?,
+                    time_left: row.number(6)?,
                     work: work.map(|w| w * 1000.0),
                     memory: row.maybe(8, Value::as_f64, "a number")?.filter(|mb| *mb > 0.0),
                     tables: row.maybe(9, Value::as_i64, "a whole number")?.unwrap_or(-1),
@@ -160,7 +162,7 @@
             "opened" => Event::StreamStarted { id: row.text(2)?.into() },
             "ended" => {
                 let used = row.maybe(8, Value::as_u64, "a whole number")?.filter(|u| *u > 0);
-                Event::Ended(Ended {
+                Event::AttemptEnded(AttemptEnd {
                     id: row.text(2)?.into(),
                     attempt: row.whole(5)? as u32,
                     outcome: outcome(row.text(6)?)?,
@@ -170,18 +172,18 @@
                     report: report(row.get(9), &self.columns)?,
                 })
             }
-            "withdrawn" => Event::ClientLeft { id: row.text(2)?.into() },
+            "withdrawn" => Event::ClientGone { id: row.text(2)?.into() },
             "due" => Event::Timer(row.whole(2)?),
             "interim" => {
                 let told = row.number(6)?;
-                let note = match row.whole(5)? {
-                    1 => Note::Done(told),
-                    2 => Note::Spills(told),
-                    3 if told == 2.0 => Note::WaitsForLoad,
-                    3 => Note::WaitsForMemory,
+                let progress = match row.whole(5)? {
+                    1 => Progress::Done(told),
+                    2 => Progress::Spills(told),
+                    3 if told == 2.0 => Progress::WaitsForLoad,
+                    3 => Progress::WaitsForMemory,
                     _ => return Ok(None), // topics to come
                 };
-                Event::Noted { id: row.text(2)?.into(), attempt: row.whole(3)? as u32, note }
+                Event::Progress { id: row.text(2)?.into(), attempt: row.whole(3)? as u32, progress }
             }
             "probeResult" | "heard" => return Ok(None),
             other => return Err(format!("unknown event {other}")),
--- a/src/bodies.rs
+++ b/src/body_store.rs
@@ -2,11 +2,11 @@
 
 use crate::config::{self, line_of};
 use crate::limits::Limits;
-use crate::net::{Part, Ready, Time};
-use dahliaspoke::interface::{Effect, Settings};
-use dahliaspoke_bodies::plan::{ClassRules, Figures, Rules, Tier, PASSED, REPLAY};
-use dahliaspoke_bodies::spool::{Pace, Spool};
-use dahliaspoke_bodies::store::{Folder, Segment, Store, CHUNK};
+use crate::net::{EventHandler, Ready, Time};
+use dahliaspoke::policy::{Idempotency, Settings};
+use dahliaspoke_body_store::plan::{ClassRules, Figures, Rules, Tier, PASSED, REPLAY};
+use dahliaspoke_body_store::spool::{Pace, Spool};
+use dahliaspoke_body_store::store::{Folder, Segment, Store, CHUNK};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,17 +21,17 @@
 /// The spool, as fronts and links share it.
 pub type Shared = Rc<RefCell<Spool>>;
 
-impl Part for Shared {
-    fn next(&mut self) -> Option<Time> {
+impl EventHandler for Shared {
+    fn next_deadline(&mut self) -> Option<Time> {
         self.borrow().next()
     }
 
-    fn alarm(&mut self, now: Time) {
-        self.borrow_mut().alarm(now);
+    fn on_timer(&mut self, now: Time) {
+        self.borrow_mut().on_timer(now);
     }
 
-    fn ready(&mut self, now: Time, _: Ready) {
-        self.borrow_mut().ready(now);
+    fn on_ready(&mut self, now: Time, _: Ready) {
+        self.borrow_mut().on_ready(now);
     }
 }
 
@@ -135,11 +135,11 @@
     /// What the file says of sizes and times.
     pub fn limit(&self, settings: &Settings, limits: &mut Limits) {
         let above = self.above_kb.as_ref().map_or(usize::MAX, |kb| (kb.get_ref() * 1024.0) as usize);
-        limits.inline = above.min(limits.body);
-        limits.large = (self.largest_mb.get_ref() * MB) as usize;
-        limits.stall = self.stall_ms.get_ref() / 1000.0;
-        limits.upload = self.upload_ms.get_ref() / 1000.0;
-        limits.come_back = settings.come_back;
+        limits.bodies.max_inline_bytes = above.min(limits.http.max_body_bytes);
+        limits.bodies.max_bytes = (self.largest_mb.get_ref() * MB) as usize;
+        limits.bodies.stall_timeout = self.stall_ms.get_ref() / 1000.0;
+        limits.bodies.upload_timeout = self.upload_ms.get_ref() / 1000.0;
+        limits.bodies.retry_after = settings.retry_after;
     }
 
     fn rules(&self, settings: &Settings) -> Rules {
@@ -150,8 +150,8 @@
             let own = self.class.iter().find(|(name, _)| *name.get_ref() == class.name).map(|c| c.1);
             let own = own.unwrap_or(&none);
             ClassRules {
-                repeats: class.effect != Effect::Once,
-                worth: class.worth,
+                repeats: class.idempotency != Idempotency::Never,
+                priority_weight: class.priority_weight,
                 memory_share: share(&own.memory_share),
                 files_share: share(&own.files_share),
                 largest: own.largest_mb.as_ref().map_or(bytes(&self.largest_mb), bytes),
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,8 +1,8 @@
 //! `dahliaspoke check FILE`: whether a file would be taken, without a start.
 
-use crate::bodies::Bodies;
+use crate::body_store::Bodies;
 use crate::config::{parsed, Config};
-use crate::membership::consul;
+use crate::discovery::consul;
 use crate::mysql::config::Mysql;
 use crate::{core, log, store};
 use serde::de::DeserializeOwned;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
 //! What the platform tells the daemon at its start.
 
+use crate::discovery::{endpoint_json, EndpointSet};
 use crate::limits::Limits;
-use crate::membership::{known, Members};
-use dahliaspoke::interface::Settings;
+use dahliaspoke::policy::Settings;
 use dahliaspoke::settings::{object, part, settings, word, Res};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -59,7 +59,7 @@
     pub console: Option<SocketAddr>,
     pub seed: u64,
     pub names: SocketAddr,
-    pub known: (u32, Members),
+    pub known: (u32, EndpointSet),
     pub settings: Settings,
     pub limits: Limits,
 }
@@ -80,7 +80,7 @@
             self.settings = settings(object(&value, "stored settings")?)?;
         }
         if let (true, Some(text)) = (self.known.1.all().is_empty(), engines) {
-            self.known.1 = known::servers(text).map_err(|e| format!("stored engines: {e}"))?;
+            self.known.1 = endpoint_json::servers(text).map_err(|e| format!("stored engines: {e}"))?;
         }
         Ok(())
     }
@@ -109,7 +109,7 @@
             console,
             seed: u64::from_str_radix(seed, 16).map_err(|e| format!("seed {seed:?}: {e}"))?,
             names: address("names")?,
-            known: known::read(map)?,
+            known: endpoint_json::read(map)?,
             settings: settings(part(map, "settings", &none)?)?,
             limits: Limits::from_config(value, inherited.is_some())?,
         })
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,6 +1,6 @@
 //! Counts of what came in, went out and was answered.
 
-use dahliaspoke::interface::Outcome;
+use dahliaspoke::policy::Outcome;
 use std::fmt;
 
 /// Answers to the requests of one class.
@@ -41,7 +41,7 @@
             Outcome::Unreachable => &mut self.unreachable,
             Outcome::Reset => &mut self.reset,
             Outcome::Cancelled => &mut self.cancelled,
-            Outcome::Moot => &mut self.moot,
+            Outcome::Expired => &mut self.moot,
             Outcome::Unsent => &mut self.unsent,
         } += 1;
     }
