--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,17 +8,17 @@
 pub use counters::{Answers, Counters};
 pub use trace::Trace;
 
-use crate::net::{Time, Timers};
-use dahliaspoke::choice::Gateway;
-use dahliaspoke::interface::*;
-use dahliaspoke_bodies::plan::BodyId;
-use dahliaspoke_bodies::spool::Body;
+use crate::net::{Time, TimerQueue};
+use dahliaspoke::policy::Policy;
+use dahliaspoke::policy::*;
+use dahliaspoke_body_store::plan::BodyId;
+use dahliaspoke_body_store::spool::Body;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 /// What an engine is to run, as the front took it and the link sends it; opaque here.
 #[derive(Clone, Debug, Default)]
-pub struct Work {
+pub struct QueryPayload {
     pub class: Arc<str>,
     pub statement: Arc<[u8]>,
     /// Arguments of a prepared statement.
@@ -38,7 +38,7 @@
     Spool(Body),
 }
 
-impl Work {
+impl QueryPayload {
     /// Whether that body is a part of it.
     fn has(&self, body: BodyId) -> bool {
         let long = self.long.iter().any(|(_, value)| matches!(value, Value::Spool(b) if b.id() == body));
@@ -48,9 +48,9 @@
 
 /// A request that a front has taken.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// Which door it came in by.
-    pub door: usize,
+    pub route: usize,
     pub id: RequestId,
     /// Position of its class in the settings.
     pub class: usize,
@@ -68,25 +68,25 @@
     pub tables: i64,
     /// Its body is passed on as it comes and not kept: it must not run twice, whatever its class.
     pub uploading: bool,
-    pub work: Work,
+    pub work: QueryPayload,
 }
 
 /// A result's parts in order, as the link received them.
-pub type Parts = Vec<Vec<u8>>;
+pub type ResultParts = Vec<Vec<u8>>;
 
 /// The one final answer.
 #[derive(Debug)]
 pub enum Answer {
-    Served(Parts),
+    Served(ResultParts),
     /// Not served; trying again is harmless, after so many seconds.
-    Refused(Option<f64>),
+    Rejected(Option<f64>),
     /// Not served; it may have run.
     Failed,
 }
 
 /// An attempt that a link is to run.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Attempt {
     pub id: RequestId,
     pub attempt: u32,
     pub engine: EngineId,
@@ -98,63 +98,63 @@
     pub memory: Option<f64>,
     /// Priority, 0 to 3.
     pub rank: u8,
-    pub work: Work,
+    pub work: QueryPayload,
 }
 
 /// How a link saw an attempt end.
 #[derive(Debug)]
-pub enum Ending {
-    Served(Parts),
+pub enum AttemptOutcome {
+    Served(ResultParts),
     /// The engine said that it failed.
     Error,
     /// The engine turned it away unseen, or there was no connection left for it.
     Full,
     /// Its machine refused the connection.
-    Refused,
+    ConnectionRefused,
     /// No byte of it went out in time.
-    NotSent,
+    Unsent,
     /// The connection broke after a byte of it went out.
-    Broken,
+    Reset,
     /// The engine says that it was over already and never ran.
-    Moot,
+    Expired,
 }
 
 /// What fronts tell the core.
 #[derive(Debug)]
-pub enum FrontEvent {
-    Ask(Ask),
+pub enum ListenerEvent {
+    Request(Request),
     /// The client has gone; no answer is owed.
-    Left(RequestId),
+    ClientGone(RequestId),
     /// A request of that class was turned away before it was one, with an answer.
-    TurnedAway(usize),
+    Rejected(usize),
 }
 
 /// What an engine told beside an attempt's end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct AttemptReport {
     /// Work that the query needed (ms of one thread, at least 0).
     pub work: Option<f64>,
     /// Memory that it needed (MB, at least 0).
     pub memory: Option<f64>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What links tell the core.
 #[derive(Debug)]
-pub enum News {
-    Ended { id: RequestId, attempt: u32, ending: Ending, told: Told },
-    Noted { id: RequestId, attempt: u32, note: Note },
+pub enum UpstreamEvent {
+    AttemptEnd { id: RequestId, attempt: u32, ending: AttemptOutcome, told: AttemptReport },
+    Progress { id: RequestId, attempt: u32, progress: Progress },
 }
 
-impl News {
+impl UpstreamEvent {
     /// An attempt's end with nothing told beside it.
-    pub fn ended(id: &RequestId, attempt: u32, ending: Ending) -> Self {
-        News::Ended { id: id.clone(), attempt, ending, told: Told::default() }
+    pub fn ended(id: &RequestId, attempt: u32, ending: AttemptOutcome) -> Self {
+        UpstreamEvent::AttemptEnd { id: id.clone(), attempt, ending, told: AttemptReport::default() }
     }
 }
 
 /// Where requests come from.
-pub trait Front {
+pub trait Listener {
     /// Gives a request its final answer. One whose client has gone is passed over.
     fn answer(&mut self, now: Time, id: &RequestId, answer: Answer);
     /// Whether its client still waits for that answer, by what its connection tells at this moment.
@@ -162,9 +162,9 @@
 }
 
 /// Where attempts run.
-pub trait Link {
+pub trait Upstream {
     /// Starts an attempt. Its end comes as news, once, unless it is dropped.
-    fn start(&mut self, now: Time, call: Call);
+    fn start(&mut self, now: Time, call: Attempt);
     /// Gives an attempt up; no more news of it comes. True if no byte of it has gone out.
     fn drop_call(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool;
     /// Changes the priority of an attempt that is out.
@@ -174,36 +174,36 @@
 }
 
 /// A front and the link that runs what comes in there.
-pub struct Door<'a> {
-    pub front: &'a mut dyn Front,
-    pub link: &'a mut dyn Link,
+pub struct Route<'a> {
+    pub front: &'a mut dyn Listener,
+    pub link: &'a mut dyn Upstream,
 }
 
-struct Attempt {
+struct AttemptState {
     out: bool,
     rank: u8,
 }
 
-struct Request {
-    door: usize,
+struct RequestState {
+    route: usize,
     class: usize,
-    work: Work,
+    work: QueryPayload,
     deadline: Time,
     memory: Option<f64>,
     rank: u8,
-    attempts: Vec<Attempt>,
+    attempts: Vec<AttemptState>,
     /// The final answer is given, or none is owed any more.
     over: bool,
 }
 
-enum Alarm {
+enum TimerEvent {
     Module(u64),
-    Attempt(RequestId, u32),
+    AttemptState(RequestId, u32),
 }
 
 /// A class as requests and twins hang on it.
-fn shape(settings: &Settings) -> Vec<(String, Effect)> {
-    settings.classes.iter().map(|class| (class.name.clone(), class.effect)).collect()
+fn shape(settings: &Settings) -> Vec<(String, Idempotency)> {
+    settings.classes.iter().map(|class| (class.name.clone(), class.idempotency)).collect()
 }
 
 /// The tenants as requests hang on them.
@@ -218,9 +218,9 @@
     let mut once = keyless.clone();
     for at in 0..keyless.len() {
         let class = &settings.classes[at];
-        let (keyed, twin) = (class.effect == Effect::Keyed, settings.classes.len());
-        if keyed || uploads && class.effect == Effect::Repeatable {
-            let class = ClassSettings { effect: Effect::Once, ..class.clone() };
+        let (keyed, twin) = (class.idempotency == Idempotency::WithKey, settings.classes.len());
+        if keyed || uploads && class.idempotency == Idempotency::Always {
+            let class = ClassSettings { idempotency: Idempotency::Never, ..class.clone() };
             settings.classes.push(class);
             once[at] = twin;
         }
@@ -233,9 +233,9 @@
 
 /// Everything between the fronts, the links and the decision module.
 pub struct Core {
-    gateway: Gateway,
+    gateway: Policy,
     /// What of the classes cannot change in service.
-    classes: Vec<(String, Effect)>,
+    classes: Vec<(String, Idempotency)>,
     /// The same of the tenants.
     tenants: Vec<String>,
     uploads: bool,
@@ -243,9 +243,9 @@
     keyless: Vec<usize>,
     /// By class, the one for its requests whose body is not kept.
     once: Vec<usize>,
-    requests: HashMap<RequestId, Request>,
+    requests: HashMap<RequestId, RequestState>,
     open: usize,
-    timers: Timers<Alarm>,
+    timers: TimerQueue<TimerEvent>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     pub counters: Counters,
@@ -266,10 +266,10 @@
             uploads,
             keyless,
             once,
-            gateway: Gateway::new(settings, seed),
+            gateway: Policy::new(settings, seed),
             requests: HashMap::new(),
             open: 0,
-            timers: Timers::default(),
+            timers: TimerQueue::default(),
             events: VecDeque::new(),
             actions: Vec::new(),
             counters: Counters { answers, ..Counters::default() },
@@ -279,8 +279,8 @@
     }
 
     /// When the core next has something to do by itself.
-    pub fn next(&self) -> Option<Time> {
-        self.timers.next()
+    pub fn next_deadline(&self) -> Option<Time> {
+        self.timers.next_deadline()
     }
 
     /// Whether the decisions leave an engine out for now.
@@ -294,8 +294,8 @@
     }
 
     /// The program ends before its requests do: each is given up, with an answer.
-    pub fn give_up(&mut self, now: Time, doors: &mut [Door]) {
-        self.feed(now, Event::Ending, doors);
+    pub fn give_up(&mut self, now: Time, routes: &mut [Route]) {
+        self.feed(now, Event::Shutdown, routes);
     }
 
     /// A check whether settings can count in service; it fails with key and reason.
@@ -315,28 +315,28 @@
     }
 
     /// These settings count from here on. What was learnt stays, and what is open keeps its deadline.
-    pub fn settings(&mut self, now: Time, settings: Settings, doors: &mut [Door]) -> Result<(), String> {
+    pub fn settings(&mut self, now: Time, settings: Settings, routes: &mut [Route]) -> Result<(), String> {
         self.fitting()(&settings)?;
         let (settings, ..) = with_twins(settings, self.uploads);
-        self.feed(now, Event::Settings(Box::new(settings)), doors);
+        self.feed(now, Event::Settings(Box::new(settings)), routes);
         Ok(())
     }
 
-    pub fn engines(&mut self, now: Time, scope: Scope, entries: Vec<EngineEntry>, doors: &mut [Door]) {
-        self.feed(now, Event::Engines(scope, entries), doors);
+    pub fn engines(&mut self, now: Time, scope: ListScope, entries: Vec<EngineEntry>, routes: &mut [Route]) {
+        self.feed(now, Event::EngineList(scope, entries), routes);
     }
 
     /// Takes what a front brings.
-    pub fn front_event(&mut self, now: Time, event: FrontEvent, doors: &mut [Door]) {
+    pub fn front_event(&mut self, now: Time, event: ListenerEvent, routes: &mut [Route]) {
         match event {
-            FrontEvent::Ask(ask) => self.ask(now, ask, doors),
-            FrontEvent::TurnedAway(class) => {
+            ListenerEvent::Request(ask) => self.ask(now, ask, routes),
+            ListenerEvent::Rejected(class) => {
                 self.counters.taken += 1;
                 self.counters.answers[class].refused += 1;
             }
-            FrontEvent::Left(id) => {
+            ListenerEvent::ClientGone(id) => {
                 if self.withdraw(&id) {
-                    self.feed(now, Event::ClientLeft { id: id.clone() }, doors);
+                    self.feed(now, Event::ClientGone { id: id.clone() }, routes);
                     self.forget(&id);
                 }
             }
@@ -352,21 +352,21 @@
         true
     }
 
-    fn ask(&mut self, now: Time, ask: Ask, doors: &mut [Door]) {
+    fn ask(&mut self, now: Time, ask: Request, routes: &mut [Route]) {
         self.counters.taken += 1;
         self.trace.taken(now, &ask.id, ask.class, ask.estimate, ask.deadline - now);
         // The module keeps requests by id, and engines are sent the client's id as it is.
         if self.requests.contains_key(&ask.id) {
             self.counters.answers[ask.class].failed += 1;
-            return doors[ask.door].front.answer(now, &ask.id, Answer::Failed);
+            return routes[ask.route].front.answer(now, &ask.id, Answer::Failed);
         }
         let class = match ask.work.key {
             _ if ask.uploading => self.once[ask.class],
             Some(_) => ask.class,
             None => self.keyless[ask.class],
         };
-        let request = Request {
-            door: ask.door,
+        let request = RequestState {
+            route: ask.route,
             class: ask.class,
             work: ask.work,
             deadline: ask.deadline,
@@ -382,76 +382,76 @@
             class,
             tenant: ask.tenant,
             key: ask.order,
-            left: ask.deadline - now,
+            time_left: ask.deadline - now,
             work: ask.estimate,
             memory: ask.memory,
             tables: ask.tables,
             uploading: ask.uploading,
         };
-        self.feed(now, Event::Query(query), doors);
+        self.feed(now, Event::Query(query), routes);
     }
 
     /// Bytes of a body are gone: whatever request has it gets no further attempt.
-    pub fn spent(&mut self, now: Time, body: BodyId, doors: &mut [Door]) {
+    pub fn spent(&mut self, now: Time, body: BodyId, routes: &mut [Route]) {
         let id = self.requests.iter().find(|(_, r)| r.work.has(body)).map(|(id, _)| id.clone());
         if let Some(id) = id {
-            self.feed(now, Event::Spent { id }, doors);
+            self.feed(now, Event::BodyDropped { id }, routes);
         }
     }
 
     /// Takes what a link tells.
-    pub fn news(&mut self, now: Time, news: News, doors: &mut [Door]) {
+    pub fn news(&mut self, now: Time, news: UpstreamEvent, routes: &mut [Route]) {
         match news {
-            News::Ended { id, attempt, ending, told } => {
+            UpstreamEvent::AttemptEnd { id, attempt, ending, told } => {
                 let (outcome, parts) = match ending {
-                    Ending::Served(parts) => (Outcome::Ok, Some(parts)),
-                    Ending::Error => (Outcome::Error, None),
-                    Ending::Full => (Outcome::Full, None),
-                    Ending::Refused => (Outcome::Unreachable, None),
-                    Ending::NotSent => (Outcome::Unsent, None),
-                    Ending::Broken => (Outcome::Reset, None),
-                    Ending::Moot => (Outcome::Moot, None),
+                    AttemptOutcome::Served(parts) => (Outcome::Ok, Some(parts)),
+                    AttemptOutcome::Error => (Outcome::Error, None),
+                    AttemptOutcome::Full => (Outcome::Full, None),
+                    AttemptOutcome::ConnectionRefused => (Outcome::Unreachable, None),
+                    AttemptOutcome::Unsent => (Outcome::Unsent, None),
+                    AttemptOutcome::Reset => (Outcome::Reset, None),
+                    AttemptOutcome::Expired => (Outcome::Expired, None),
                 };
                 if !self.end(&id, attempt) {
                     return;
                 }
                 if let Some(parts) = parts {
-                    self.answer(now, &id, Answer::Served(parts), doors);
+                    self.answer(now, &id, Answer::Served(parts), routes);
                 }
-                self.ended(now, id, attempt, outcome, told, doors);
+                self.ended(now, id, attempt, outcome, told, routes);
             }
-            News::Noted { id, attempt, note } => {
+            UpstreamEvent::Progress { id, attempt, progress } => {
                 if self.is_out(&id, attempt) {
                     self.counters.notes += 1;
-                    self.trace.noted(now, &id, attempt, note);
-                    self.feed(now, Event::Noted { id, attempt, note }, doors);
+                    self.trace.noted(now, &id, attempt, progress);
+                    self.feed(now, Event::Progress { id, attempt, progress }, routes);
                 }
             }
         }
     }
 
     /// Whatever has come due.
-    pub fn alarm(&mut self, now: Time, doors: &mut [Door]) {
+    pub fn on_timer(&mut self, now: Time, routes: &mut [Route]) {
         if now >= self.pool_at {
             self.pool_at = now + 1.0;
             self.trace.pool(now, self.gateway.engines());
         }
-        while let Some(alarm) = self.timers.due(now) {
-            match alarm {
-                Alarm::Module(token) => self.feed(now, Event::Timer(token), doors),
-                Alarm::Attempt(id, attempt) => {
+        while let Some(on_timer) = self.timers.due(now) {
+            match on_timer {
+                TimerEvent::Module(token) => self.feed(now, Event::Timer(token), routes),
+                TimerEvent::AttemptState(id, attempt) => {
                     if self.end(&id, attempt) {
-                        let unsent = doors[self.door(&id)].link.drop_call(now, &id, attempt);
+                        let unsent = routes[self.route(&id)].link.drop_call(now, &id, attempt);
                         let outcome = if unsent { Outcome::Unsent } else { Outcome::Timeout };
-                        self.ended(now, id, attempt, outcome, Told::default(), doors);
+                        self.ended(now, id, attempt, outcome, AttemptReport::default(), routes);
                     }
                 }
             }
         }
     }
 
-    fn door(&self, id: &RequestId) -> usize {
-        self.requests.get(id).map_or(0, |r| r.door)
+    fn route(&self, id: &RequestId) -> usize {
+        self.requests.get(id).map_or(0, |r| r.route)
     }
 
     fn is_out(&self, id: &RequestId, attempt: u32) -> bool {
@@ -472,36 +472,43 @@
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
-        told: Told,
-        doors: &mut [Door],
+        told: AttemptReport,
+        routes: &mut [Route],
     ) {
         let event = self.end_event(now, id.clone(), attempt, outcome, told);
-        self.feed(now, event, doors);
+        self.feed(now, event, routes);
         self.forget(&id);
     }
 
-    fn end_event(&mut self, now: Time, id: RequestId, attempt: u32, outcome: Outcome, told: Told) -> Event {
+    fn end_event(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        told: AttemptReport,
+    ) -> Event {
         self.counters.ended(outcome);
         self.trace.ended(now, &id, attempt, outcome, told);
         let finished = self.requests.get(&id).is_none_or(|r| r.over);
-        let Told { work, memory, report } = told;
-        Event::Ended(Ended { id, attempt, outcome, finished, work, memory, report })
+        let AttemptReport { work, memory, report } = told;
+        Event::AttemptEnded(AttemptEnd { id, attempt, outcome, finished, work, memory, report })
     }
 
     /// Gives the final answer, unless there was one.
-    fn answer(&mut self, now: Time, id: &RequestId, answer: Answer, doors: &mut [Door]) {
+    fn answer(&mut self, now: Time, id: &RequestId, answer: Answer, routes: &mut [Route]) {
         let Some(request) = self.requests.get_mut(id).filter(|r| !r.over) else { return };
         request.over = true;
         self.open -= 1;
         let answers = &mut self.counters.answers[request.class];
         let (word, count) = match answer {
             Answer::Served(_) => ("served", &mut answers.served),
-            Answer::Refused(_) => ("refused", &mut answers.refused),
+            Answer::Rejected(_) => ("refused", &mut answers.refused),
             Answer::Failed => ("failed", &mut answers.failed),
         };
         *count += 1;
         self.trace.answered(now, id, word);
-        doors[request.door].front.answer(now, id, answer);
+        routes[request.route].front.answer(now, id, answer);
     }
 
     /// Forgets a request that is over once its last attempt has ended.
@@ -512,50 +519,56 @@
     }
 
     /// Hands the module one event and carries out all that it leads to.
-    fn feed(&mut self, now: Time, event: Event, doors: &mut [Door]) {
+    fn feed(&mut self, now: Time, event: Event, routes: &mut [Route]) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.gateway.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, doors);
+                self.act(now, action, routes);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, doors: &mut [Door]) {
+    fn act(&mut self, now: Time, action: Action, routes: &mut [Route]) {
         match action {
             Action::Send { id, engine, timeout, within } => {
-                self.send(now, (id, engine), timeout, within, doors);
+                self.send(now, (id, engine), timeout, within, routes);
             }
             Action::Cancel { id, attempt } => {
                 if self.end(&id, attempt) {
-                    doors[self.door(&id)].link.drop_call(now, &id, attempt);
-                    let event = self.end_event(now, id.clone(), attempt, Outcome::Cancelled, Told::default());
+                    routes[self.route(&id)].link.drop_call(now, &id, attempt);
+                    let event = self.end_event(
+                        now,
+                        id.clone(),
+                        attempt,
+                        Outcome::Cancelled,
+                        AttemptReport::default(),
+                    );
                     self.events.push_back(event);
                     self.forget(&id);
                 }
             }
-            Action::Refuse { id, come_back } => {
-                self.answer(now, &id, Answer::Refused(come_back), doors);
+            Action::Reject { id, retry_after } => {
+                self.answer(now, &id, Answer::Rejected(retry_after), routes);
                 self.forget(&id);
             }
             Action::Fail { id } => {
-                self.answer(now, &id, Answer::Failed, doors);
+                self.answer(now, &id, Answer::Failed, routes);
                 self.forget(&id);
             }
-            Action::Terms { id, memory, rank } => {
+            Action::SetTerms { id, memory, rank } => {
                 let Some(request) = self.requests.get_mut(&id) else { return };
                 (request.memory, request.rank) = (memory, rank);
-                let link = &mut doors[request.door].link;
+                let link = &mut routes[request.route].link;
                 let out = request.attempts.iter_mut().enumerate().filter(|(_, a)| a.out && a.rank != rank);
                 for (at, attempt) in out {
                     attempt.rank = rank;
                     link.rank(now, &id, at as u32, rank);
                 }
             }
-            Action::SetTimer { after, token } => self.timers.set(now + after, Alarm::Module(token)),
+            Action::SetTimer { after, token } => self.timers.set(now + after, TimerEvent::Module(token)),
             Action::Subscribe => {} // the directory is polled anyway
             Action::Log(line) => tracing::info!(at = now, "{line}"),
         }
@@ -567,29 +580,31 @@
         (id, engine): (RequestId, EngineId),
         timeout: Option<f64>,
         within: Option<f64>,
-        doors: &mut [Door],
+        routes: &mut [Route],
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.len() as u32;
-        let (rank, door) = (request.rank, request.door);
+        let (rank, route) = (request.rank, request.route);
         // Word that the client has gone may stand unread behind what led here: it is asked for at this moment.
-        if !request.over && !doors[door].front.waits(&id) && self.withdraw(&id) {
-            self.events.push_back(Event::ClientLeft { id: id.clone() });
+        if !request.over && !routes[route].front.waits(&id) && self.withdraw(&id) {
+            self.events.push_back(Event::ClientGone { id: id.clone() });
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.over {
-            request.attempts.push(Attempt { out: false, rank });
-            let event = self.end_event(now, id.clone(), attempt, Outcome::Moot, Told::default());
+            request.attempts.push(AttemptState { out: false, rank });
+            let event = self.end_event(now, id.clone(), attempt, Outcome::Expired, AttemptReport::default());
             self.events.push_back(event);
             return self.forget(&id);
         }
         let deadline = timeout.map_or(request.deadline, |t| request.deadline.min(now + t));
         let begins_by = within.map_or(deadline, |w| deadline.min(now + w));
-        request.attempts.push(Attempt { out: true, rank });
+        request.attempts.push(AttemptState { out: true, rank });
         let (memory, work) = (request.memory, request.work.clone());
         self.counters.sends += 1;
         self.trace.sent(now, &id, attempt, &engine);
-        self.timers.set(deadline, Alarm::Attempt(id.clone(), attempt));
-        doors[door].link.start(now, Call { id, attempt, engine, deadline, begins_by, memory, rank, work });
+        self.timers.set(deadline, TimerEvent::AttemptState(id.clone(), attempt));
+        routes[route]
+            .link
+            .start(now, Attempt { id, attempt, engine, deadline, begins_by, memory, rank, work });
     }
 }
--- a/src/core/trace.rs
+++ b/src/core/trace.rs
@@ -1,10 +1,10 @@
 //! A log line for each step of a request, for whoever counts over many coordinators. Off unless
 //! `deploy/trace.toml` says otherwise: at size it is most of what the program writes.
 
-use super::Told;
+use super::AttemptReport;
 use crate::config::optional;
 use crate::net::Time;
-use dahliaspoke::interface::{EngineId, Note, Outcome, RequestId};
+use dahliaspoke::policy::{EngineId, Outcome, Progress, RequestId};
 use dahliaspoke::settings::Res;
 use serde::Deserialize;
 use std::fmt;
@@ -43,7 +43,7 @@
     }
 
     /// The engine's cores, memory and disks, as parts in use, and the attempt's work (ms) and memory (MB), where told.
-    pub fn ended(self, now: Time, id: &RequestId, attempt: u32, outcome: Outcome, told: Told) {
+    pub fn ended(self, now: Time, id: &RequestId, attempt: u32, outcome: Outcome, told: AttemptReport) {
         let report = told.report.unwrap_or_default();
         let [work, need] = [told.work, told.memory].map(|n| n.map_or("-".into(), |n| format!("{n:.0}")));
         let [cores, memory, disks] = [report.util, report.memory, report.disk]
@@ -54,8 +54,8 @@
         );
     }
 
-    pub fn noted(self, now: Time, id: &RequestId, attempt: u32, note: Note) {
-        self.line(now, format_args!("noted {id} {attempt} {note:?}"));
+    pub fn noted(self, now: Time, id: &RequestId, attempt: u32, progress: Progress) {
+        self.line(now, format_args!("noted {id} {attempt} {progress:?}"));
     }
 
     /// Once a second: bounds and work in hand over all engines (ms), and how many are left out as bad.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,26 +1,26 @@
 //! The loop: waits for what is ready or due, lets each part of the daemon work, and carries news between
 //! them and the core.
 
-use crate::bodies::{self, Bodies};
+use crate::admin::{AdminInterface, Command};
+use crate::body_store::{self, Bodies};
 use crate::config::{optional, Config};
-use crate::console::{Command, Console};
-use crate::core::{Core, Door, FrontEvent, Link, Trace};
-use crate::front::mysql::MysqlFront;
-use crate::front::platform::{Names, Platform};
+use crate::core::{Core, ListenerEvent, Route, Trace, Upstream};
+use crate::discovery::consul::{self, ConsulDiscovery};
+use crate::discovery::dns::DnsDiscovery;
+use crate::discovery::maintenance::MaintenanceSet;
+use crate::discovery::{endpoint_json, Discovery, Endpoint, EndpointChanges, EndpointSet};
+use crate::failpoints;
 use crate::limits::Limits;
-use crate::link::mysql::MysqlLink;
-use crate::link::resp::Resp;
-use crate::membership::bans::Bans;
-use crate::membership::consul::{self, Consul};
-use crate::membership::dns::Directory;
-use crate::membership::{known, Changes, Member, Members, Source};
+use crate::listener::http::{HttpListener, Names};
+use crate::listener::mysql::MysqlListener;
 use crate::mysql::{self, config::Mysql};
-use crate::net::{inherited, Backoff, Clock, Part, Poller, Ready, Sleep, Time, Token};
-use crate::points;
+use crate::net::{inherited, Backoff, Clock, EventHandler, Poller, Ready, SuspendDetector, Time, Token};
 use crate::store::{self, Store};
-use dahliaspoke::interface::{EngineId, Lifecycle, Scope, Settings};
+use crate::upstream::mysql::MysqlUpstream;
+use crate::upstream::resp::RespUpstream;
+use dahliaspoke::policy::{EngineId, Lifecycle, ListScope, Settings};
 use dahliaspoke::settings::{object, settings};
-use dahliaspoke_bodies::spool::Wake;
+use dahliaspoke_body_store::spool::Wake;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::io::Read;
@@ -65,15 +65,15 @@
     }
 }
 
-impl Part for Signals {
-    fn next(&mut self) -> Option<Time> {
+impl EventHandler for Signals {
+    fn next_deadline(&mut self) -> Option<Time> {
         None
     }
 
-    fn alarm(&mut self, _: Time) {}
+    fn on_timer(&mut self, _: Time) {}
 
-    fn ready(&mut self, _: Time, ready: Ready) {
-        let Some(signal) = self.pipes.get_mut(ready.token.place as usize) else { return };
+    fn on_ready(&mut self, _: Time, ready: Ready) {
+        let Some(signal) = self.pipes.get_mut(ready.token.slot as usize) else { return };
         // The pipe only wakes the loop; how many bytes it held does not matter.
         let _ = signal.pipe.read(&mut [0; 64]);
         self.come.push_back(signal.number);
@@ -82,27 +82,27 @@
 
 pub struct Daemon {
     clock: Clock,
-    sleep: Sleep,
+    sleep: SuspendDetector,
     poller: Rc<Poller>,
     limits: Rc<Limits>,
     signals: Signals,
     core: Core,
     classes: Vec<Arc<str>>,
-    source: Box<dyn Source>,
-    platform: Platform,
-    resp: Resp,
+    source: Box<dyn Discovery>,
+    platform: HttpListener,
+    resp: RespUpstream,
     /// Large bodies, where the deployment keeps them.
-    spool: Option<bodies::Shared>,
+    spool: Option<body_store::Shared>,
     /// The second door, where the deployment has one.
-    mysql: Option<(MysqlFront, MysqlLink)>,
+    mysql: Option<(MysqlListener, MysqlUpstream)>,
     /// The replicated store, where the deployment has one.
     store: Option<Store>,
     /// The engines as last told, as the store keeps them.
-    members: Members,
+    endpoints: EndpointSet,
     /// Engines that have left the list, and when: one that restarts is not unknown meanwhile.
     gone: HashMap<EngineId, Time>,
     /// The engines that operators have left out.
-    bans: Bans,
+    bans: MaintenanceSet,
     /// The same by the store.
     stored_bans: BTreeSet<EngineId>,
     /// When to look whether another process has changed them.
@@ -112,7 +112,7 @@
     /// A configuration that could not be read is read again.
     reload: Option<Reload>,
     /// The operators' door, where the configuration has one.
-    console: Option<Console>,
+    console: Option<AdminInterface>,
     /// The platform holds the clients' listening socket, and another process takes this one's place.
     in_pairs: bool,
     life: Life,
@@ -177,25 +177,26 @@
         }
         let classes: Vec<Arc<str>> = config.settings.classes.iter().map(|c| c.name.as_str().into()).collect();
         let (listen, names) = (config.listen, config.names);
-        let members = config.known.1.all();
+        let endpoints = config.known.1.all();
         let socket = config.inherited.map_or_else(|| TcpListener::bind(listen), inherited);
         let platform = socket
             .and_then(|socket| {
                 let tenants = config.settings.tenants.iter().map(|t| t.name.as_str().into()).collect();
                 let (names, spool) = (Names { classes: classes.clone(), tenants }, spool.clone());
-                Platform::open(PLATFORM, 0, socket, names, spool, poller.clone(), limits.clone())
+                HttpListener::open(PLATFORM, 0, socket, names, spool, poller.clone(), limits.clone())
             })
             .map_err(|e| format!("listen {listen}: {e}"))?;
         let address = platform.address().map_err(|e| format!("listen {listen}: {e}"))?;
-        let source: Box<dyn Source> = match optional(consul::FILE)? {
+        let source: Box<dyn Discovery> = match optional(consul::FILE)? {
             None => {
                 let (poller, limits) = (poller.clone(), limits.clone());
-                let directory = Directory::new(SOURCE, now, names, config.known, config.seed, poller, limits);
+                let directory =
+                    DnsDiscovery::new(SOURCE, now, names, config.known, config.seed, poller, limits);
                 Box::new(directory.map_err(|e| format!("directory {names}: {e}"))?)
             }
             Some(file) => {
                 let (own, held) = ((config.name.clone(), address), config.known.1);
-                Box::new(Consul::new(SOURCE, now, file, own, held, poller.clone(), limits.clone()))
+                Box::new(ConsulDiscovery::new(SOURCE, now, file, own, held, poller.clone(), limits.clone()))
             }
         };
         let mysql = match Mysql::from_file(&config.settings)? {
@@ -203,11 +204,23 @@
             Some(mysql) => {
                 let (listen, mysql) = (mysql.listen, Rc::new(mysql));
                 let (settings, poller) = (&config.settings, poller.clone());
-                let link =
-                    MysqlLink::new(MYSQL_LINK, mysql.clone(), spool.clone(), poller.clone(), limits.clone());
-                let front =
-                    MysqlFront::open(MYSQL_FRONT, 1, mysql, settings, spool.clone(), poller, limits.clone())
-                        .map_err(|e| format!("listen {listen}: {e}"))?;
+                let link = MysqlUpstream::new(
+                    MYSQL_LINK,
+                    mysql.clone(),
+                    spool.clone(),
+                    poller.clone(),
+                    limits.clone(),
+                );
+                let front = MysqlListener::open(
+                    MYSQL_FRONT,
+                    1,
+                    mysql,
+                    settings,
+                    spool.clone(),
+                    poller,
+                    limits.clone(),
+                )
+                .map_err(|e| format!("listen {listen}: {e}"))?;
                 let address = front.address().map_err(|e| format!("listen {listen}: {e}"))?;
                 tracing::info!("{} speaks MySQL on {address}", config.name);
                 Some((front, link))
@@ -216,7 +229,7 @@
         let mut console = None;
         if let Some(address) = config.console {
             let opened = TcpListener::bind(address)
-                .and_then(|socket| Console::open(CONSOLE, socket, poller.clone(), limits.clone()));
+                .and_then(|socket| AdminInterface::open(CONSOLE, socket, poller.clone(), limits.clone()));
             let opened = opened.map_err(|e| format!("console {address}: {e}"))?;
             let address = opened.address().map_err(|e| format!("console {address}: {e}"))?;
             tracing::info!("{} hears operators on {address}", config.name);
@@ -229,19 +242,19 @@
         }
         let mut daemon = Self {
             clock,
-            sleep: Sleep::new(now),
+            sleep: SuspendDetector::new(now),
             console,
             in_pairs: config.inherited.is_some(),
             mysql,
             store,
-            members: Members::default(),
+            endpoints: EndpointSet::default(),
             gone: HashMap::new(),
-            bans: Bans::open(),
+            bans: MaintenanceSet::open(),
             stored_bans: BTreeSet::new(),
             look_at: now,
             lapsed: false,
             reload: None,
-            resp: Resp::new(RESP, spool.clone(), poller.clone(), limits.clone()),
+            resp: RespUpstream::new(RESP, spool.clone(), poller.clone(), limits.clone()),
             poller,
             limits,
             signals,
@@ -258,8 +271,8 @@
         }
         // A process that this one takes over from kept to its part of what cold engines bear, and so does this
         // one from here on. After a crash nothing is known of that.
-        let scope = if daemon.in_pairs { Scope::Complete } else { Scope::Restored };
-        daemon.members(now, scope, Changes { told: now, members });
+        let scope = if daemon.in_pairs { ListScope::Complete } else { ListScope::Restored };
+        daemon.endpoints(now, scope, EndpointChanges { told: now, endpoints });
         tracing::info!("{} listens on {address}", config.name);
         Ok(daemon)
     }
@@ -268,7 +281,7 @@
         let mut ready = Vec::new();
         loop {
             // It may have slept between any two lines; what it then holds is old, and what waits for it comes first.
-            if self.sleep.woke(self.clock.now(), None, self.limits.slept) {
+            if self.sleep.woke(self.clock.now(), None, self.limits.event_loop.suspend_threshold) {
                 self.catch_up(&mut ready)?;
                 self.take(&mut ready);
             }
@@ -281,7 +294,7 @@
             }
             let next = self.next();
             self.poller.wait(self.clock.now(), next, &mut ready).map_err(|e| format!("epoll: {e}"))?;
-            if self.sleep.woke(self.clock.now(), Some(next), self.limits.slept) {
+            if self.sleep.woke(self.clock.now(), Some(next), self.limits.event_loop.suspend_threshold) {
                 self.catch_up(&mut ready)?;
             }
             self.take(&mut ready);
@@ -298,9 +311,9 @@
             PLATFORM | MYSQL_FRONT => 2,
             _ => 3,
         };
-        ready.sort_by_key(|ready| rank(ready.token.part));
+        ready.sort_by_key(|ready| rank(ready.token.owner));
         for ready in ready {
-            self.ready(now, *ready);
+            self.on_ready(now, *ready);
             self.carry(now);
         }
     }
@@ -311,7 +324,7 @@
     fn catch_up(&mut self, ready: &mut Vec<Ready>) -> Result<(), String> {
         let now = self.clock.now();
         tracing::info!(at = now, "the process slept");
-        let until = now + self.limits.catch_up;
+        let until = now + self.limits.event_loop.catch_up_timeout;
         self.source.ask(now);
         loop {
             let now = self.clock.now();
@@ -323,8 +336,8 @@
                 self.hear(now);
                 return Ok(());
             }
-            match ready.iter().find(|ready| ready.token.part == SOURCE) {
-                Some(news) => self.source.ready(now, *news),
+            match ready.iter().find(|ready| ready.token.owner == SOURCE) {
+                Some(news) => self.source.on_ready(now, *news),
                 // What else is ready stays so, and the answer takes a moment.
                 None => std::thread::sleep(std::time::Duration::from_millis(1)),
             }
@@ -332,43 +345,43 @@
     }
 
     /// The parts of the loop that this deployment has, each by the number in its tokens.
-    fn parts(&mut self) -> impl Iterator<Item = (u8, &mut dyn Part)> {
+    fn parts(&mut self) -> impl Iterator<Item = (u8, &mut dyn EventHandler)> {
         let (front, link) = self.mysql.as_mut().map(|(front, link)| (front, link)).unzip();
-        let parts: [(u8, Option<&mut dyn Part>); 9] = [
+        let parts: [(u8, Option<&mut dyn EventHandler>); 9] = [
             (SIGNALS, Some(&mut self.signals)),
             (SOURCE, Some(&mut *self.source)),
             (PLATFORM, Some(&mut self.platform)),
             (RESP, Some(&mut self.resp)),
-            (SPOOL, self.spool.as_mut().map(|part| part as &mut dyn Part)),
-            (STORE, self.store.as_mut().map(|part| part as &mut dyn Part)),
-            (CONSOLE, self.console.as_mut().map(|part| part as &mut dyn Part)),
-            (MYSQL_FRONT, front.map(|part| part as &mut dyn Part)),
-            (MYSQL_LINK, link.map(|part| part as &mut dyn Part)),
+            (SPOOL, self.spool.as_mut().map(|part| part as &mut dyn EventHandler)),
+            (STORE, self.store.as_mut().map(|part| part as &mut dyn EventHandler)),
+            (CONSOLE, self.console.as_mut().map(|part| part as &mut dyn EventHandler)),
+            (MYSQL_FRONT, front.map(|part| part as &mut dyn EventHandler)),
+            (MYSQL_LINK, link.map(|part| part as &mut dyn EventHandler)),
         ];
         parts.into_iter().filter_map(|(number, part)| part.map(|part| (number, part)))
     }
 
     /// When there is next something to do that no descriptor tells of.
     fn next(&mut self) -> Time {
-        let parts = self.parts().filter_map(|(_, part)| part.next()).fold(f64::INFINITY, f64::min);
+        let parts = self.parts().filter_map(|(_, part)| part.next_deadline()).fold(f64::INFINITY, f64::min);
         let lease = Some(self.source.valid_until()).filter(|_| !self.lapsed);
         let reload = self.reload.as_ref().map(|reload| reload.at);
-        let own = [self.core.next(), self.life.next(), Some(self.look_at), lease, reload];
+        let own = [self.core.next_deadline(), self.life.next(), Some(self.look_at), lease, reload];
         own.into_iter().flatten().fold(parts, f64::min)
     }
 
     fn alarms(&mut self, now: Time) {
-        self.parts().for_each(|(_, part)| part.alarm(now));
+        self.parts().for_each(|(_, part)| part.on_timer(now));
         self.hear(now);
         if self.look_at <= now {
-            self.look_at = now + self.limits.look;
+            self.look_at = now + self.limits.discovery.maintenance_poll_interval;
             self.look(now);
         }
         if self.reload.as_ref().is_some_and(|reload| reload.at <= now) {
             self.reload(now);
         }
-        let (core, mut doors) = self.doors();
-        core.alarm(now, &mut doors);
+        let (core, mut routes) = self.routes();
+        core.on_timer(now, &mut routes);
         self.live(now);
     }
 
@@ -387,16 +400,16 @@
         }
         if let Life::Draining(_, give_up) | Life::Closing(give_up) = self.life {
             if now >= give_up {
-                self.life = Life::GivenUp(now + self.limits.last_answers);
-                let (core, mut doors) = self.doors();
-                core.give_up(now, &mut doors);
+                self.life = Life::GivenUp(now + self.limits.shutdown.flush_timeout);
+                let (core, mut routes) = self.routes();
+                core.give_up(now, &mut routes);
             }
         }
     }
 
-    fn ready(&mut self, now: Time, ready: Ready) {
-        if let Some((_, part)) = self.parts().find(|(number, _)| *number == ready.token.part) {
-            part.ready(now, ready);
+    fn on_ready(&mut self, now: Time, ready: Ready) {
+        if let Some((_, part)) = self.parts().find(|(number, _)| *number == ready.token.owner) {
+            part.on_ready(now, ready);
         }
         self.hear(now);
     }
@@ -407,7 +420,7 @@
             self.signal(now, number);
         }
         if let Some(changes) = self.source.take() {
-            self.members(now, Scope::Changes, changes);
+            self.endpoints(now, ListScope::Changes, changes);
         }
         self.follow_lease(now);
         self.stored(now);
@@ -415,11 +428,11 @@
     }
 
     /// The core, and the doors in the order of their numbers.
-    fn doors(&mut self) -> (&mut Core, Vec<Door<'_>>) {
+    fn routes(&mut self) -> (&mut Core, Vec<Route<'_>>) {
         let Self { core, platform, resp, mysql, .. } = self;
-        let mut doors = vec![Door { front: platform, link: resp }];
-        doors.extend(mysql.as_mut().map(|(front, link)| Door { front, link }));
-        (core, doors)
+        let mut routes = vec![Route { front: platform, link: resp }];
+        routes.extend(mysql.as_mut().map(|(front, link)| Route { front, link }));
+        (core, routes)
     }
 
     /// Carries what fronts and links have to say to the core, until none has.
@@ -436,8 +449,8 @@
                         }
                     }
                     Wake::Spent(body) => {
-                        let (core, mut doors) = self.doors();
-                        core.spent(now, body, &mut doors);
+                        let (core, mut routes) = self.routes();
+                        core.spent(now, body, &mut routes);
                     }
                     Wake::Room(body) | Wake::Kept(body) | Wake::Passed(body) | Wake::Lost(body) => {
                         self.platform.wake(now, body, &wake);
@@ -451,21 +464,21 @@
             let mysql = &mut self.mysql;
             let event = self.platform.take().or_else(|| mysql.as_mut().and_then(|(front, _)| front.take()));
             if let Some(mut event) = event {
-                if let FrontEvent::Ask(ask) = &mut event {
+                if let ListenerEvent::Request(ask) = &mut event {
                     // A client's time runs from when it asked, and that may have been before a sleep.
                     ask.deadline -= now - self.sleep.came(now);
                     if matches!(self.life, Life::GivenUp(_)) {
                         ask.deadline = now; // it is refused at once
                     }
                 }
-                let (core, mut doors) = self.doors();
-                core.front_event(now, event, &mut doors);
+                let (core, mut routes) = self.routes();
+                core.front_event(now, event, &mut routes);
                 continue;
             }
             let news = self.resp.take().or_else(|| mysql.as_mut().and_then(|(_, link)| link.take()));
             let Some(news) = news else { return };
-            let (core, mut doors) = self.doors();
-            core.news(now, news, &mut doors);
+            let (core, mut routes) = self.routes();
+            core.news(now, news, &mut routes);
         }
     }
 
@@ -482,14 +495,18 @@
             if key == store::SETTINGS {
                 self.take_settings(now, text);
             }
-            if key != store::ENGINES || !self.members.all().is_empty() {
+            if key != store::ENGINES || !self.endpoints.all().is_empty() {
                 continue;
             }
-            match known::servers(text) {
-                Ok(members) => {
+            match endpoint_json::servers(text) {
+                Ok(endpoints) => {
                     // The source must know of them, or it could not tell that one is gone.
-                    self.source.hold(now, members.clone());
-                    self.members(now, Scope::Restored, Changes { told: now, members: members.all() });
+                    self.source.hold(now, endpoints.clone());
+                    self.endpoints(
+                        now,
+                        ListScope::Restored,
+                        EndpointChanges { told: now, endpoints: endpoints.all() },
+                    );
                 }
                 Err(e) => tracing::info!(at = now, part = "store", "engines: {e}"),
             }
@@ -499,8 +516,8 @@
     /// Settings of the store count from here on.
     fn take_settings(&mut self, now: Time, text: &str) {
         let version = self.store.as_ref().map_or(0, |store| store.version_of(store::SETTINGS));
-        let (core, mut doors) = self.doors();
-        let done = parsed(text).and_then(|settings| core.settings(now, settings, &mut doors));
+        let (core, mut routes) = self.routes();
+        let done = parsed(text).and_then(|settings| core.settings(now, settings, &mut routes));
         match done {
             Ok(()) => tracing::info!(at = now, part = "store", "settings of version {version} count"),
             // They were checked by the member that took them; its classes may be others.
@@ -526,16 +543,21 @@
     }
 
     /// Takes news of the list.
-    fn members(&mut self, now: Time, scope: Scope, Changes { told, members }: Changes) {
-        self.members.change(members.clone());
-        let left = members.iter().filter(|m| m.entry.lifecycle == Lifecycle::Gone);
+    fn endpoints(
+        &mut self,
+        now: Time,
+        scope: ListScope,
+        EndpointChanges { told, endpoints }: EndpointChanges,
+    ) {
+        self.endpoints.change(endpoints.clone());
+        let left = endpoints.iter().filter(|m| m.entry.lifecycle == Lifecycle::Gone);
         self.gone.extend(left.map(|m| (m.entry.id.clone(), now)));
-        self.gone.retain(|_, at| now - *at < self.limits.remembered);
+        self.gone.retain(|_, at| now - *at < self.limits.discovery.departed_retention);
         // One that knows of none has nothing to tell: peers may know better.
-        if let Some(store) = self.store.as_mut().filter(|_| !self.members.all().is_empty()) {
-            store.lead_with(now, store::ENGINES, &known::write(&self.members));
+        if let Some(store) = self.store.as_mut().filter(|_| !self.endpoints.all().is_empty()) {
+            store.lead_with(now, store::ENGINES, &endpoint_json::write(&self.endpoints));
         }
-        self.follow(now, told, scope, members);
+        self.follow(now, told, scope, endpoints);
     }
 
     /// Looks whether the list may still be believed. Once it may not, all engines count as draining here, and links begin
@@ -552,13 +574,13 @@
         }
         let what = if lapsed { "is too old: nothing begins" } else { "counts again" };
         tracing::info!(at = now, "the list of engines {what}");
-        self.follow(now, now, Scope::Changes, self.members.all());
+        self.follow(now, now, ListScope::Changes, self.endpoints.all());
     }
 
     /// Tells links and core of engines. One that operators have left out drains, whatever the list says; `told` is since
     /// when the list counts as told.
-    fn follow(&mut self, now: Time, told: Time, scope: Scope, mut members: Vec<Member>) {
-        for Member { entry, address } in &mut members {
+    fn follow(&mut self, now: Time, told: Time, scope: ListScope, mut endpoints: Vec<Endpoint>) {
+        for Endpoint { entry, address } in &mut endpoints {
             let banned = self.out_since(now, &entry.id).filter(|_| entry.lifecycle == Lifecycle::Ready);
             if banned.is_some() {
                 entry.lifecycle = Lifecycle::Draining;
@@ -575,9 +597,9 @@
                 entry.lifecycle = Lifecycle::Draining;
             }
         }
-        let entries = members.into_iter().map(|m| m.entry).collect();
-        let (core, mut doors) = self.doors();
-        core.engines(now, scope, entries, &mut doors);
+        let entries = endpoints.into_iter().map(|m| m.entry).collect();
+        let (core, mut routes) = self.routes();
+        core.engines(now, scope, entries, &mut routes);
     }
 
     /// Takes what the process beside this one has heard from operators.
@@ -594,11 +616,11 @@
         for id in engines {
             let out = self.out_since(now, &id).is_some();
             tracing::info!(at = now, "engine {id} {}", if out { "is left out" } else { "may serve again" });
-            let Some(mut member) = self.members.get(&id).cloned() else { continue };
+            let Some(mut endpoint) = self.endpoints.get(&id).cloned() else { continue };
             if !out {
-                member.entry.started = Some(now);
+                endpoint.entry.started = Some(now);
             }
-            self.follow(now, now, Scope::Changes, vec![member]);
+            self.follow(now, now, ListScope::Changes, vec![endpoint]);
         }
     }
 
@@ -606,7 +628,7 @@
     fn maintain(&mut self, now: Time, id: EngineId, out: bool) -> (u16, String) {
         self.look(now);
         let was = self.bans.since(&id).is_some();
-        if !was && self.members.get(&id).is_none() && !self.gone.contains_key(&id) {
+        if !was && self.endpoints.get(&id).is_none() && !self.gone.contains_key(&id) {
             return (404, format!("no worker group {id}\n"));
         }
         if out {
@@ -622,7 +644,7 @@
 
     /// Carries out what operators ask for.
     fn commands(&mut self, now: Time) {
-        while let Some((token, command)) = self.console.as_mut().and_then(Console::command) {
+        while let Some((token, command)) = self.console.as_mut().and_then(AdminInterface::command) {
             let (status, text) = match command {
                 Command::Health if self.life != Life::Serving => (503, "leaving\n".to_string()),
                 Command::Health => (200, "ok\n".to_string()),
@@ -644,8 +666,8 @@
             self.reload(now);
         } else if self.life == Life::Serving {
             // The front goes on sending for a while: what comes is still served.
-            let until = now + self.limits.grace;
-            self.life = Life::Draining(until, now + self.limits.give_up);
+            let until = now + self.limits.shutdown.grace_period;
+            self.life = Life::Draining(until, now + self.limits.shutdown.force_after);
             self.platform.last_upload(until);
             if let Some((front, _)) = &mut self.mysql {
                 front.last_upload(until);
@@ -691,10 +713,10 @@
         if last || self.core.open() > 0 || !idle {
             return Ok(last);
         }
-        points::reach("shutdown.last");
+        failpoints::reach("shutdown.last");
         let now = self.clock.now();
         self.poller.wait(now, now, ready).map_err(|e| format!("epoll: {e}"))?;
-        let unheard = ready.iter().any(|ready| matches!(ready.token.part, PLATFORM | MYSQL_FRONT));
+        let unheard = ready.iter().any(|ready| matches!(ready.token.owner, PLATFORM | MYSQL_FRONT));
         Ok(!unheard)
     }
 
@@ -707,17 +729,17 @@
             line(&format!("rejected.{class}"), answers.refused);
             line(&format!("failed.{class}"), answers.failed);
         }
-        let members = self.members.all();
-        let serves = |m: &&Member| {
+        let endpoints = self.endpoints.all();
+        let serves = |m: &&Endpoint| {
             let left_out = self.out_since(0.0, &m.entry.id).is_some();
             let ready = m.entry.lifecycle == Lifecycle::Ready && !left_out;
             ready && !self.core.avoids(&m.entry.id)
         };
-        let available = members.iter().filter(serves).count();
+        let available = endpoints.iter().filter(serves).count();
         let mysql = self.mysql.as_ref().map_or(0, |(_, link)| link.written());
         if let Some(spool) = &self.spool {
             for (class, figures) in self.classes.iter().zip(spool.borrow().figures()) {
-                bodies::figures(class, figures, &mut line);
+                body_store::figures(class, figures, &mut line);
             }
         }
         if let Some(store) = &self.store {
@@ -725,8 +747,8 @@
         }
         line("upstream_requests", self.resp.written() + mysql);
         line("pending", self.core.open() as u64);
-        line("members", members.len() as u64);
-        line("members_unavailable", (members.len() - available) as u64);
+        line("members", endpoints.len() as u64);
+        line("members_unavailable", (endpoints.len() - available) as u64);
         text
     }
 
@@ -747,7 +769,7 @@
 fn checked(key: &str, text: &str, fits: &dyn Fn(&Settings) -> Result<(), String>) -> Result<(), String> {
     match key {
         store::SETTINGS => fits(&parsed(text)?),
-        store::ENGINES => known::servers(text).map(|_| ()),
+        store::ENGINES => endpoint_json::servers(text).map(|_| ()),
         _ => Ok(()),
     }
 }
--- a/src/membership/consul/http.rs
+++ b/src/discovery/consul/http.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
-    /// `X-Consul-Index`.
+    /// `X-ConsulDiscovery-Index`.
     pub index: Option<u64>,
     pub body: Vec<u8>,
 }
@@ -23,9 +23,9 @@
 
 /// The answer at the start of the input and the bytes it took, once all of it is here.
 pub fn read(input: &[u8], limits: &Limits) -> Result<Option<(Reply, usize)>, Malformed> {
-    let searched = &input[..input.len().min(limits.head)];
+    let searched = &input[..input.len().min(limits.http.max_head_bytes)];
     let Some(end) = searched.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if input.len() >= limits.head { Err(Malformed) } else { Ok(None) };
+        return if input.len() >= limits.http.max_head_bytes { Err(Malformed) } else { Ok(None) };
     };
     let head = std::str::from_utf8(&input[..end]).map_err(|_| Malformed)?;
     let mut lines = head.split("\r\n");
@@ -42,7 +42,11 @@
         }
     }
     let rest = &input[end + 4..];
-    let body = if chunked { chunks(rest, limits.list)? } else { plain(rest, length, limits.list)? };
+    let body = if chunked {
+        chunks(rest, limits.discovery.max_consul_answer_bytes)?
+    } else {
+        plain(rest, length, limits.discovery.max_consul_answer_bytes)?
+    };
     Ok(body.map(|(body, taken)| (Reply { status, index, body }, end + 4 + taken)))
 }
 
--- a/src/membership/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -3,11 +3,13 @@
 
 mod http;
 
-use super::{Changes, Member, Members, Source};
+use super::{Discovery, Endpoint, EndpointChanges, EndpointSet};
 use crate::limits::Limits;
-use crate::net::{Channel, Connection, Flow, Part, Poller, Ready, Table, Time, Token};
-use dahliaspoke::interface::{EngineEntry, Lifecycle};
-use dahliaspoke::lease::Lease;
+use crate::net::{
+    BufferedStream, Connection, ConnectionSlab, EventHandler, Flow, Poller, Ready, Time, Token,
+};
+use dahliaspoke::endpoints::lease::Lease;
+use dahliaspoke::policy::{EngineEntry, Lifecycle};
 use dahliaspoke::settings::{field, list, num, object, part, word, Res};
 use http::Malformed;
 use serde::Deserialize;
@@ -38,7 +40,7 @@
 
 /// A connection to the agent with one call on it.
 struct Line {
-    channel: Channel,
+    channel: BufferedStream,
     token: Token,
     answered: bool,
 }
@@ -51,44 +53,44 @@
     Rests(Time),
 }
 
-pub struct Consul {
+pub struct ConsulDiscovery {
     config: Config,
     /// This coordinator's name and address in the catalogue.
     own: (String, SocketAddr),
-    table: Table<Line>,
+    table: ConnectionSlab<Line>,
     shared: Shared,
     watch: Watch,
     index: u64,
     /// The last call failed: the next one is not held, so that its answer renews the lease at once.
     failed: bool,
-    members: Members,
+    endpoints: EndpointSet,
     registered: bool,
     lease: Lease,
     /// What has changed and was not told yet.
-    changes: Option<Changes>,
+    changes: Option<EndpointChanges>,
     bad: u64,
 }
 
-impl Consul {
+impl ConsulDiscovery {
     pub fn new(
         part: u8,
         now: Time,
         config: Config,
         own: (String, SocketAddr),
-        members: Members,
+        endpoints: EndpointSet,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> Self {
         Self {
             config,
             own,
-            table: Table::new(part, poller),
-            lease: Lease::new(now, limits.drain_grace),
+            table: ConnectionSlab::new(part, poller),
+            lease: Lease::new(now, limits.engines.drain_grace),
             shared: Shared { limits, replies: Vec::new() },
             watch: Watch::Rests(0.0),
             index: 0,
             failed: false,
-            members,
+            endpoints,
             registered: false,
             changes: None,
             bad: 0,
@@ -109,7 +111,7 @@
     }
 
     fn call(&mut self, now: Time, method: &str, path: &str, body: &str) -> Option<Token> {
-        let mut channel = Channel::connect(self.config.agent).ok()?;
+        let mut channel = BufferedStream::connect(self.config.agent).ok()?;
         channel.push(http::call(method, path, &self.config.agent.to_string(), body));
         let token = self.table.add(|token| Some(Line { channel, token, answered: false })).ok()??;
         self.table.settle(now, token, Flow::Open, &mut self.shared);
@@ -117,13 +119,13 @@
     }
 }
 
-impl Source for Consul {
-    fn take(&mut self) -> Option<Changes> {
+impl Discovery for ConsulDiscovery {
+    fn take(&mut self) -> Option<EndpointChanges> {
         self.changes.take()
     }
 
-    fn hold(&mut self, _: Time, members: Members) {
-        self.members = members;
+    fn hold(&mut self, _: Time, endpoints: EndpointSet) {
+        self.endpoints = endpoints;
     }
 
     fn valid_until(&self) -> Time {
@@ -143,16 +145,16 @@
     }
 }
 
-impl Part for Consul {
-    fn next(&mut self) -> Option<Time> {
+impl EventHandler for ConsulDiscovery {
+    fn next_deadline(&mut self) -> Option<Time> {
         match self.watch {
             Watch::Waits { due: until, .. } | Watch::Rests(until) => Some(until),
         }
     }
 
     /// Asks, when it is time to. An agent that holds a blocking query too long is asked anew.
-    fn alarm(&mut self, now: Time) {
-        if self.next().is_some_and(|at| now < at) {
+    fn on_timer(&mut self, now: Time) {
+        if self.next_deadline().is_some_and(|at| now < at) {
             return;
         }
         if let Watch::Waits { token, .. } = self.watch {
@@ -165,19 +167,19 @@
         if !self.registered {
             self.register(now);
         }
-        let wait = self.shared.limits.watch;
+        let wait = self.shared.limits.discovery.consul_wait;
         let index = if self.failed { 0 } else { self.index };
         let path = format!("/v1/health/service/{}?index={index}&wait={wait}s", self.config.service);
         self.watch = match self.call(now, "GET", &path, "") {
             // The agent adds up to a sixteenth to the wait.
             Some(token) => Watch::Waits { token, asked: now, due: now + wait * 1.25 },
-            None => Watch::Rests(now + self.shared.limits.again),
+            None => Watch::Rests(now + self.shared.limits.discovery.consul_retry_delay),
         };
     }
 
     /// Reads what has come.
-    fn ready(&mut self, now: Time, ready: Ready) {
-        self.table.ready(now, ready, &mut self.shared);
+    fn on_ready(&mut self, now: Time, ready: Ready) {
+        self.table.on_ready(now, ready, &mut self.shared);
         for (token, reply) in std::mem::take(&mut self.shared.replies) {
             let watched = match self.watch {
                 Watch::Waits { token: waits, asked, .. } if waits == token => Some(asked),
@@ -187,18 +189,20 @@
                 if reply.status != 200 {
                     return Err(format!("status {}", reply.status));
                 }
-                watched.map(|asked| read(&reply).map(|(index, members)| (asked, index, members))).transpose()
+                watched
+                    .map(|asked| read(&reply).map(|(index, endpoints)| (asked, index, endpoints)))
+                    .transpose()
             });
             match list {
-                Ok(Some((asked, index, members))) => {
+                Ok(Some((asked, index, endpoints))) => {
                     // An index that goes back starts from nothing; one of 0 would not block.
                     self.index = if index < self.index { 0 } else { index.max(1) };
                     self.failed = false;
                     let told = self.lease.confirmed();
                     self.lease.confirm(asked);
-                    let members = self.members.replace(members);
-                    let changes = Changes { told, members: Vec::new() };
-                    self.changes.get_or_insert(changes).members.extend(members);
+                    let endpoints = self.endpoints.replace(endpoints);
+                    let changes = EndpointChanges { told, endpoints: Vec::new() };
+                    self.changes.get_or_insert(changes).endpoints.extend(endpoints);
                     self.watch = Watch::Rests(now);
                 }
                 Ok(None) => {}
@@ -206,7 +210,7 @@
                     tracing::info!(at = now, part = "consul", "{why}");
                     self.bad += 1;
                     // What is held stays: an agent that fails says nothing of the engines.
-                    let rest = Watch::Rests(now + self.shared.limits.again);
+                    let rest = Watch::Rests(now + self.shared.limits.discovery.consul_retry_delay);
                     if watched.is_some() {
                         self.failed = true;
                         self.watch = rest;
@@ -222,7 +226,7 @@
 impl Connection for Line {
     type Shared = Shared;
 
-    fn channel(&mut self) -> &mut Channel {
+    fn channel(&mut self) -> &mut BufferedStream {
         &mut self.channel
     }
 
@@ -248,14 +252,14 @@
 }
 
 /// The index and the engines in an answer of the health API.
-fn read(reply: &http::Reply) -> Res<(u64, Vec<Member>)> {
+fn read(reply: &http::Reply) -> Res<(u64, Vec<Endpoint>)> {
     let value: Value = serde_json::from_slice(&reply.body).map_err(|e| format!("not JSON: {e}"))?;
     let entries = value.as_array().ok_or("the answer is not a list")?;
-    let members = entries.iter().map(|entry| member(object(entry, "an entry")?)).collect::<Res<_>>()?;
-    Ok((reply.index.ok_or("no X-Consul-Index")?, members))
+    let endpoints = entries.iter().map(|entry| endpoint(object(entry, "an entry")?)).collect::<Res<_>>()?;
+    Ok((reply.index.ok_or("no X-Consul-Index")?, endpoints))
 }
 
-fn member(entry: &Map<String, Value>) -> Res<Member> {
+fn endpoint(entry: &Map<String, Value>) -> Res<Endpoint> {
     let none = Map::new();
     let (node, service) = (part(entry, "Node", &none)?, part(entry, "Service", &none)?);
     let meta = part(service, "Meta", &none)?;
@@ -280,5 +284,5 @@
         lifecycle: if drains { Lifecycle::Draining } else { Lifecycle::Ready },
         started: super::started(number("started_ms")?),
     };
-    Ok(Member { entry, address: Some(SocketAddr::new(ip, port as u16)) })
+    Ok(Endpoint { entry, address: Some(SocketAddr::new(ip, port as u16)) })
 }
--- a/src/membership/dns/message.rs
+++ b/src/discovery/dns/message.rs
@@ -1,7 +1,7 @@
 //! DNS messages (RFC 1035, SRV by RFC 2782): the one query, and the answers to it.
 
-use crate::membership::{started, Member};
-use dahliaspoke::interface::{EngineEntry, Lifecycle};
+use crate::discovery::{started, Endpoint};
+use dahliaspoke::policy::{EngineEntry, Lifecycle};
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -18,7 +18,7 @@
     pub id: u16,
     /// Number of the last event in it.
     pub serial: u32,
-    pub members: Vec<Member>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 const IN: u16 = 1;
@@ -179,16 +179,16 @@
         }
         reader.at = end;
     }
-    let member = |service: Service| member(service, &addresses, &texts);
-    let members = services.into_iter().map(member).collect::<Res<_>>()?;
-    Ok(Answer { id, serial: serial.ok_or(Malformed)?, members })
+    let endpoint = |service: Service| endpoint(service, &addresses, &texts);
+    let endpoints = services.into_iter().map(endpoint).collect::<Res<_>>()?;
+    Ok(Answer { id, serial: serial.ok_or(Malformed)?, endpoints })
 }
 
-fn member(
+fn endpoint(
     service: Service,
     addresses: &HashMap<String, IpAddr>,
     texts: &HashMap<String, Vec<String>>,
-) -> Res<Member> {
+) -> Res<Endpoint> {
     let mut labels = service.target.split('.');
     let (id, zone) = (labels.next().unwrap_or_default(), labels.next().unwrap_or_default());
     let address = addresses.get(&service.target).ok_or(Malformed)?;
@@ -208,5 +208,5 @@
         lifecycle: if service.draining { Lifecycle::Draining } else { Lifecycle::Ready },
         started: started(number("started")?),
     };
-    Ok(Member { entry, address: Some(SocketAddr::new(*address, service.port)) })
+    Ok(Endpoint { entry, address: Some(SocketAddr::new(*address, service.port)) })
 }
--- a/src/membership/dns/mod.rs
+++ b/src/discovery/dns/mod.rs
@@ -1,14 +1,14 @@
 //! The directory: the list of engines by DNS over UDP, polled.
 //!
-//! What an answer may change is decided in [`Roster`]; here are the questions, their sockets and their times.
+//! What an answer may change is decided in [`EndpointTracker`]; here are the questions, their sockets and their times.
 
 mod message;
 mod socket;
 
-use super::{Changes, Members, Source};
+use super::{Discovery, EndpointChanges, EndpointSet};
 use crate::limits::Limits;
-use crate::net::{Backoff, Part, Poller, Ready, Time, Token};
-use dahliaspoke::roster::{List, Roster, Verdict};
+use crate::net::{Backoff, EventHandler, Poller, Ready, Time, Token};
+use dahliaspoke::endpoints::tracker::{EndpointList, EndpointTracker, ListVerdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use socket::Sockets;
@@ -53,11 +53,11 @@
 }
 
 /// Asks for the whole list again and again; a lost datagram costs one pause.
-pub struct Directory {
+pub struct DnsDiscovery {
     sockets: Sockets,
     poller: Rc<Poller>,
     limits: Rc<Limits>,
-    roster: Roster,
+    roster: EndpointTracker,
     /// Ids cannot be guessed: an answer to another life of this process, or a forged one, has none that is waited for.
     ids: Pcg64Mcg,
     /// Questions that no answer has come to, the latest last.
@@ -68,17 +68,17 @@
     at: Time,
     hearing: Hearing,
     moving: Option<Move>,
-    changes: Option<Changes>,
+    changes: Option<EndpointChanges>,
     bad: u64,
 }
 
-impl Directory {
+impl DnsDiscovery {
     /// Starts from the list that the configuration holds, and its number.
     pub fn new(
         part: u8,
         now: Time,
         names: SocketAddr,
-        (number, members): (u32, Members),
+        (number, endpoints): (u32, EndpointSet),
         seed: u64,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
@@ -89,7 +89,7 @@
         Ok(Self {
             sockets,
             poller,
-            roster: Roster::new(now, limits.drain_grace, number, members),
+            roster: EndpointTracker::new(now, limits.engines.drain_grace, number, endpoints),
             limits,
             ids: Pcg64Mcg::seed_from_u64(seed),
             questions: VecDeque::new(),
@@ -145,7 +145,7 @@
         while self.questions.iter().any(|question| question.id == id) {
             id = id.wrapping_add(1);
         }
-        if self.questions.len() == self.limits.queries {
+        if self.questions.len() == self.limits.discovery.max_outstanding_queries {
             self.questions.pop_front();
         }
         self.latest = id;
@@ -169,7 +169,7 @@
             tracing::info!(at = now, part = "directory", "answers again, silent since {since:.3}");
         }
         self.hearing = Hearing::Heard(now);
-        self.take_list(now, asked, List { number: answer.serial, members: answer.members });
+        self.take_list(now, asked, EndpointList { number: answer.serial, endpoints: answer.endpoints });
     }
 
     fn unusable(&mut self, now: Time, why: &str, length: usize) {
@@ -177,13 +177,13 @@
         tracing::info!(at = now, part = "directory", "an answer of {length} bytes {why}");
     }
 
-    fn take_list(&mut self, now: Time, asked: Time, list: List) {
+    fn take_list(&mut self, now: Time, asked: Time, list: EndpointList) {
         let number = list.number;
         let held = self.roster.number();
         // What the list tells anew came after the last time that it was confirmed, and may have been told since.
         let told = self.roster.lease().confirmed();
-        let (verdict, members) = self.roster.answer(now, asked, list);
-        if verdict != Verdict::Confirmed {
+        let (verdict, endpoints) = self.roster.answer(now, asked, list);
+        if verdict != ListVerdict::Confirmed {
             let age = now - asked;
             tracing::info!(
                 at = now,
@@ -191,19 +191,22 @@
                 "list {number}, {held:?} held, asked for {age:.3} s ago: {verdict:?}"
             );
         }
-        if !members.is_empty() {
-            self.changes.get_or_insert_with(|| Changes { told, members: Vec::new() }).members.extend(members);
+        if !endpoints.is_empty() {
+            self.changes
+                .get_or_insert_with(|| EndpointChanges { told, endpoints: Vec::new() })
+                .endpoints
+                .extend(endpoints);
         }
     }
 }
 
-impl Source for Directory {
-    fn take(&mut self) -> Option<Changes> {
+impl Discovery for DnsDiscovery {
+    fn take(&mut self) -> Option<EndpointChanges> {
         self.changes.take()
     }
 
-    fn hold(&mut self, now: Time, members: Members) {
-        self.roster.hold(now, members);
+    fn hold(&mut self, now: Time, endpoints: EndpointSet) {
+        self.roster.hold(now, endpoints);
     }
 
     fn valid_until(&self) -> Time {
@@ -217,7 +220,7 @@
 
     fn ask(&mut self, now: Time) {
         self.at = now;
-        self.alarm(now);
+        self.on_timer(now);
     }
 
     fn waits(&self) -> bool {
@@ -229,28 +232,28 @@
     }
 }
 
-impl Part for Directory {
-    fn next(&mut self) -> Option<Time> {
+impl EventHandler for DnsDiscovery {
+    fn next_deadline(&mut self) -> Option<Time> {
         let moving = self.moving.as_ref().map_or(Time::INFINITY, |moving| moving.at);
         Some(self.at.min(moving))
     }
 
     /// Asks, when it is time to.
-    fn alarm(&mut self, now: Time) {
+    fn on_timer(&mut self, now: Time) {
         if self.moving.as_ref().is_some_and(|moving| moving.at <= now) {
             self.turn(now);
         }
         if now < self.at {
             return;
         }
-        self.at = now + self.limits.poll;
+        self.at = now + self.limits.discovery.poll_interval;
         self.listen(now);
         self.ask_once(now);
     }
 
     /// Reads what has come.
-    fn ready(&mut self, now: Time, _: Ready) {
-        let mut buffer = vec![0; self.limits.datagram];
+    fn on_ready(&mut self, now: Time, _: Ready) {
+        let mut buffer = vec![0; self.limits.discovery.max_datagram_bytes];
         for _ in 0..DATAGRAMS {
             let Some(length) = self.sockets.receive(&mut buffer) else { return };
             self.datagram(now, &buffer[..length]);
--- a/src/membership/dns/socket.rs
+++ b/src/discovery/dns/socket.rs
@@ -37,13 +37,12 @@
     /// socket the one that is open is turned to it.
     pub fn turn_to(&mut self, directory: SocketAddr, poller: &Poller) -> io::Result<()> {
         self.former = None;
-        match open(self.token, directory, poller) {
-            Ok(socket) => self.current = socket,
-            Err(_) => {
-                // Unconnected first: the source address is chosen anew.
-                rustix::net::connect_unspec(&self.current)?;
-                self.current.connect(directory)?;
-            }
+        if let Ok(socket) = open(self.token, directory, poller) {
+            self.current = socket;
+        } else {
+            // Unconnected first: the source address is chosen anew.
+            rustix::net::connect_unspec(&self.current)?;
+            self.current.connect(directory)?;
         }
         self.directory = directory;
         Ok(())
--- a/src/membership/bans.rs
+++ b/src/discovery/maintenance.rs
@@ -1,9 +1,9 @@
 //! Engines that operators have left out, whatever a list says of them. They stand in a file beside the
 //! program, so that the processes of an upgrade hold to the same.
 
-use crate::files::SharedFile;
 use crate::net::Time;
-use dahliaspoke::interface::EngineId;
+use crate::shared_file::SharedFile;
+use dahliaspoke::policy::EngineId;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::PathBuf;
@@ -14,13 +14,13 @@
 /// By engine, since when.
 type Since = BTreeMap<EngineId, Time>;
 
-pub struct Bans {
+pub struct MaintenanceSet {
     /// Absent where the platform names no folder: then they last as long as the process.
     file: Option<SharedFile>,
     since: Since,
 }
 
-impl Bans {
+impl MaintenanceSet {
     /// With what an earlier process has left.
     pub fn open() -> Self {
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
--- a/src/membership/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,28 +1,28 @@
 //! Which engines there are. A source of membership tells the core of changes and the links of addresses.
 
-pub mod bans;
 pub mod consul;
 pub mod dns;
-pub mod known;
+pub mod endpoint_json;
+pub mod maintenance;
 
-use crate::net::{Part, Time};
-pub use dahliaspoke::roster::{Member, Members};
+use crate::net::{EventHandler, Time};
+pub use dahliaspoke::endpoints::tracker::{Endpoint, EndpointSet};
 use std::net::SocketAddr;
 
 /// What has changed in the list.
-pub struct Changes {
+pub struct EndpointChanges {
     /// Since when it may count as told.
     pub told: Time,
-    pub members: Vec<Member>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// Where news of the engines comes from.
-pub trait Source: Part {
+pub trait Discovery: EventHandler {
     /// What has changed since this was last asked.
-    fn take(&mut self) -> Option<Changes>;
+    fn take(&mut self) -> Option<EndpointChanges>;
 
     /// Holds this list from here on.
-    fn hold(&mut self, now: Time, members: Members);
+    fn hold(&mut self, now: Time, endpoints: EndpointSet);
 
     /// Until when the list may be believed: after that nothing may begin on its word.
     fn valid_until(&self) -> Time;
--- a/src/roster.rs
+++ b/src/endpoints/tracker.rs
@@ -14,8 +14,8 @@
 //!   back where one numbering tells of both, the drain and the return, and [`CONFIRMATIONS_TO_RETURN`] answers in a row
 //!   agree.
 
-use crate::interface::{EngineEntry, EngineId, Lifecycle};
-use crate::lease::Lease;
+use super::lease::Lease;
+use crate::policy::{EngineEntry, EngineId, Lifecycle};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
 
 /// An engine as a list tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// What the decisions know of it.
     pub entry: EngineEntry,
     /// Where it listens; absent for one that is gone.
@@ -46,27 +46,27 @@
 
 /// Engines by id.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Members(BTreeMap<EngineId, Member>);
+pub struct EndpointSet(BTreeMap<EngineId, Endpoint>);
 
-impl Members {
+impl EndpointSet {
     /// Takes changed entries.
-    pub fn change(&mut self, changes: Vec<Member>) {
-        for member in changes {
-            if member.entry.lifecycle == Lifecycle::Gone {
-                self.0.remove(&member.entry.id);
+    pub fn change(&mut self, changes: Vec<Endpoint>) {
+        for endpoint in changes {
+            if endpoint.entry.lifecycle == Lifecycle::Gone {
+                self.0.remove(&endpoint.entry.id);
             } else {
-                self.0.insert(member.entry.id.clone(), member);
+                self.0.insert(endpoint.entry.id.clone(), endpoint);
             }
         }
     }
 
     /// Takes a complete list and returns what has changed; who is missing in it is gone.
-    pub fn replace(&mut self, list: Vec<Member>) -> Vec<Member> {
+    pub fn replace(&mut self, list: Vec<Endpoint>) -> Vec<Endpoint> {
         let new: BTreeMap<_, _> = list.into_iter().map(|m| (m.entry.id.clone(), m)).collect();
         let changed = new.values().filter(|m| self.0.get(&m.entry.id) != Some(m)).cloned();
         let gone = self.0.values().filter(|m| !new.contains_key(&m.entry.id)).map(|m| {
             let entry = EngineEntry { lifecycle: Lifecycle::Gone, ..m.entry.clone() };
-            Member { entry, address: None }
+            Endpoint { entry, address: None }
         });
         let changes = changed.chain(gone).collect();
         self.0 = new;
@@ -75,13 +75,13 @@
 
     /// One of them.
     #[must_use]
-    pub fn get(&self, id: &EngineId) -> Option<&Member> {
+    pub fn get(&self, id: &EngineId) -> Option<&Endpoint> {
         self.0.get(id)
     }
 
     /// All of them, by id.
     #[must_use]
-    pub fn all(&self) -> Vec<Member> {
+    pub fn all(&self) -> Vec<Endpoint> {
         self.0.values().cloned().collect()
     }
 
@@ -94,16 +94,16 @@
 
 /// A complete list, as an answer holds it.
 #[derive(Clone, Debug)]
-pub struct List {
+pub struct EndpointList {
     /// The number of the last event in it.
     pub number: u32,
     /// Every engine that it tells of.
-    pub members: Vec<Member>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// What became of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ListVerdict {
     /// It brought a newer list.
     Newer,
     /// It says what is held.
@@ -148,14 +148,14 @@
 
 /// The engine list that one coordinator holds.
 #[derive(Debug)]
-pub struct Roster {
+pub struct EndpointTracker {
     lease: Lease,
     /// The number of the list in `said`; none where the next answer begins a numbering.
     number: Option<u32>,
     /// The list as it was told last.
-    said: Members,
+    said: EndpointSet,
     /// The list as it is believed.
-    held: Members,
+    held: EndpointSet,
     /// Since when an engine in `held` has drained.
     draining: BTreeMap<EngineId, f64>,
     departed: BTreeMap<EngineId, Departure>,
@@ -168,15 +168,15 @@
     contradiction: Contradiction,
 }
 
-impl Roster {
+impl EndpointTracker {
     /// Starts from the list of the configuration, true at `now`.
     #[must_use]
-    pub fn new(now: f64, grace: f64, number: u32, members: Members) -> Self {
+    pub fn new(now: f64, grace: f64, number: u32, endpoints: EndpointSet) -> Self {
         let mut roster = Self {
             lease: Lease::new(now, grace),
             number: Some(number),
-            said: Members::default(),
-            held: Members::default(),
+            said: EndpointSet::default(),
+            held: EndpointSet::default(),
             draining: BTreeMap::new(),
             departed: BTreeMap::new(),
             candidates: BTreeMap::new(),
@@ -184,7 +184,7 @@
             withheld: BTreeSet::new(),
             contradiction: Contradiction::default(),
         };
-        roster.hold(now, members);
+        roster.hold(now, endpoints);
         roster
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// Holds a list from another source.
-    pub fn hold(&mut self, now: f64, members: Members) {
-        self.take(now, members.all(), Numbering::New);
+    pub fn hold(&mut self, now: f64, endpoints: EndpointSet) {
+        self.take(now, endpoints.all(), Numbering::New);
     }
 
     /// Another directory is asked from here on: its numbers have nothing to do with those so far.
@@ -213,7 +213,7 @@
 
     /// Takes the answer, come at `now`, to a question asked at `asked`. Gives what became of it, and what changed: an engine
     /// that is withheld counts as draining.
-    pub fn answer(&mut self, now: f64, asked: f64, list: List) -> (Verdict, Vec<Member>) {
+    pub fn answer(&mut self, now: f64, asked: f64, list: EndpointList) -> (ListVerdict, Vec<Endpoint>) {
         let before = self.believed();
         let verdict = self.judge(now, asked, list);
         let mut changed = before;
@@ -221,7 +221,7 @@
         (verdict, changes)
     }
 
-    fn judge(&mut self, now: f64, asked: f64, list: List) -> Verdict {
+    fn judge(&mut self, now: f64, asked: f64, list: EndpointList) -> ListVerdict {
         let Some(number) = self.number else {
             return self.begin_numbering(now, asked, list);
         };
@@ -229,21 +229,21 @@
         let ahead = list.number.wrapping_sub(number) as i32;
         if ahead > 0 {
             self.accept(now, asked, list, Numbering::Same);
-            return Verdict::Newer;
+            return ListVerdict::Newer;
         }
         if asked <= self.lease.confirmed() {
-            return Verdict::Overtaken;
+            return ListVerdict::Overtaken;
         }
-        if ahead == 0 && same(&self.said, &list.members) {
+        if ahead == 0 && same(&self.said, &list.endpoints) {
             self.vanished.clear();
             self.settle(asked);
-            return Verdict::Confirmed;
+            return ListVerdict::Confirmed;
         }
         self.contradict(now, asked, list)
     }
 
     /// Either the answer is an old one, or the numbering began again: which, only further answers tell.
-    fn contradict(&mut self, now: f64, asked: f64, list: List) -> Verdict {
+    fn contradict(&mut self, now: f64, asked: f64, list: EndpointList) -> ListVerdict {
         if asked > self.contradiction.asked {
             self.contradiction.asked = asked;
             self.contradiction.count += 1;
@@ -256,21 +256,21 @@
             }
             return self.begin_numbering(now, asked, list);
         }
-        let ready = |m: &&Member| m.entry.lifecycle == Lifecycle::Ready;
-        let ready: BTreeSet<&EngineId> = list.members.iter().filter(ready).map(|m| &m.entry.id).collect();
+        let ready = |m: &&Endpoint| m.entry.lifecycle == Lifecycle::Ready;
+        let ready: BTreeSet<&EngineId> = list.endpoints.iter().filter(ready).map(|m| &m.entry.id).collect();
         let doubted = self.held.0.keys().filter(|id| !ready.contains(id));
         self.withheld = doubted.cloned().collect();
-        Verdict::Contradicts(self.contradiction.count)
+        ListVerdict::Contradicts(self.contradiction.count)
     }
 
-    fn begin_numbering(&mut self, now: f64, asked: f64, list: List) -> Verdict {
+    fn begin_numbering(&mut self, now: f64, asked: f64, list: EndpointList) -> ListVerdict {
         self.accept(now, asked, list, Numbering::New);
-        Verdict::Renumbered
+        ListVerdict::Renumbered
     }
 
-    fn accept(&mut self, now: f64, asked: f64, list: List, numbering: Numbering) {
+    fn accept(&mut self, now: f64, asked: f64, list: EndpointList, numbering: Numbering) {
         self.number = Some(list.number);
-        self.take(now, list.members, numbering);
+        self.take(now, list.endpoints, numbering);
         self.settle(asked);
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Takes a complete list into what is believed, each engine by its life cycle.
-    fn take(&mut self, now: f64, list: Vec<Member>, numbering: Numbering) {
+    fn take(&mut self, now: f64, list: Vec<Endpoint>, numbering: Numbering) {
         self.departed.retain(|_, departure| now - departure.at < REMEMBERED);
         self.find_candidates(&list, numbering);
         self.vanished.clear();
@@ -305,13 +305,13 @@
         let believed = list.iter().filter_map(|told| self.believe(now, told)).collect();
         self.said.replace(list);
         let changes = self.held.replace(believed);
-        for Member { entry, .. } in changes {
+        for Endpoint { entry, .. } in changes {
             self.draining.remove(&entry.id);
             match entry.lifecycle {
                 Lifecycle::Ready => drop(self.departed.remove(&entry.id)),
                 Lifecycle::Draining => drop(self.draining.insert(entry.id, now)),
                 Lifecycle::Gone => {
-                    let ready = |held: &Member| held.entry.lifecycle == Lifecycle::Ready;
+                    let ready = |held: &Endpoint| held.entry.lifecycle == Lifecycle::Ready;
                     if before.get(&entry.id).is_some_and(ready) {
                         self.vanished.insert(entry.id.clone());
                     }
@@ -324,7 +324,7 @@
 
     /// Where nothing else is ready, engines that join need not wait for a second answer: a replacement of all at once.
     fn hurry_candidates(&mut self) {
-        if self.held.0.values().any(|member| member.entry.lifecycle == Lifecycle::Ready) {
+        if self.held.0.values().any(|endpoint| endpoint.entry.lifecycle == Lifecycle::Ready) {
             return;
         }
         let joining = self.candidates.values_mut().filter(|c| c.needed == CONFIRMATIONS_TO_JOIN);
@@ -333,9 +333,9 @@
 
     /// Which engines the list tells as ready that its numbering told otherwise before. The first list of a numbering has
     /// nothing before it.
-    fn find_candidates(&mut self, list: &[Member], numbering: Numbering) {
-        let ready = |told: &&Member| told.entry.lifecycle == Lifecycle::Ready;
-        let ready: BTreeMap<&EngineId, &Member> =
+    fn find_candidates(&mut self, list: &[Endpoint], numbering: Numbering) {
+        let ready = |told: &&Endpoint| told.entry.lifecycle == Lifecycle::Ready;
+        let ready: BTreeMap<&EngineId, &Endpoint> =
             list.iter().filter(ready).map(|m| (&m.entry.id, m)).collect();
         self.candidates.retain(|id, _| numbering == Numbering::Same && ready.contains_key(id));
         if numbering == Numbering::New || self.held.is_empty() {
@@ -349,7 +349,7 @@
     }
 
     /// How many answers must tell that an engine is ready; none where one is enough, or where none is.
-    fn confirmations_needed(&self, told: &Member) -> Option<u32> {
+    fn confirmations_needed(&self, told: &Endpoint) -> Option<u32> {
         let id = &told.entry.id;
         if let Some(departure) = self.departed.get(id) {
             let needed = if told.entry.started > departure.started {
@@ -367,7 +367,7 @@
     }
 
     /// An engine as it is believed after a list told this of it; none where it stays gone.
-    fn believe(&self, now: f64, told: &Member) -> Option<Member> {
+    fn believe(&self, now: f64, told: &Endpoint) -> Option<Endpoint> {
         let id = &told.entry.id;
         let held = self.held.get(id);
         let restarted = |started: Option<f64>| told.entry.started > started;
@@ -387,11 +387,11 @@
         let since = self.draining.get(id).copied().unwrap_or(now);
         let lifecycle = if now - since < REMEMBERED { Lifecycle::Draining } else { Lifecycle::Ready };
         let entry = EngineEntry { lifecycle, ..told.entry.clone() };
-        Some(Member { entry, address: told.address.or(drains.address) })
+        Some(Endpoint { entry, address: told.address.or(drains.address) })
     }
 
     /// Whether the numbering in use told otherwise of this engine before.
-    fn changed(&self, told: &Member) -> bool {
+    fn changed(&self, told: &Endpoint) -> bool {
         self.said.get(&told.entry.id).is_none_or(|said| said.entry.lifecycle != told.entry.lifecycle)
     }
 
@@ -405,11 +405,11 @@
     }
 
     /// What is held, less what is withheld.
-    fn believed(&self) -> Members {
+    fn believed(&self) -> EndpointSet {
         let mut believed = self.held.clone();
         for id in &self.withheld {
-            if let Some(member) = believed.0.get_mut(id) {
-                member.entry.lifecycle = Lifecycle::Draining;
+            if let Some(endpoint) = believed.0.get_mut(id) {
+                endpoint.entry.lifecycle = Lifecycle::Draining;
             }
         }
         believed
@@ -417,6 +417,6 @@
 }
 
 /// Whether a list says just that.
-fn same(said: &Members, list: &[Member]) -> bool {
-    said.0.len() == list.len() && list.iter().all(|member| said.get(&member.entry.id) == Some(member))
+fn same(said: &EndpointSet, list: &[Endpoint]) -> bool {
+    said.0.len() == list.len() && list.iter().all(|endpoint| said.get(&endpoint.entry.id) == Some(endpoint))
 }
--- a/src/front/http.rs
+++ b/src/listener/http/codec.rs
@@ -54,9 +54,13 @@
 
 /// Reads the call at the start of the input.
 pub fn read(input: &[u8], limits: &Limits) -> Result<Read, Bad> {
-    let searched = &input[..input.len().min(limits.head)];
+    let searched = &input[..input.len().min(limits.http.max_head_bytes)];
     let Some(head) = searched.windows(END.len()).position(|w| w == END) else {
-        return if input.len() >= limits.head { Err(Bad(431)) } else { Ok(Read::Partial { expects: false }) };
+        return if input.len() >= limits.http.max_head_bytes {
+            Err(Bad(431))
+        } else {
+            Ok(Read::Partial { expects: false })
+        };
     };
     let text = std::str::from_utf8(&input[..head]).map_err(|_| Bad(400))?;
     let mut lines = text.split("\r\n");
@@ -82,7 +86,7 @@
         if name.is_empty() || !name.bytes().all(token) || value.bytes().any(|b| b < b' ' && b != b'\t') {
             return Err(Bad(400));
         }
-        if fields.len() == limits.fields {
+        if fields.len() == limits.http.max_header_fields {
             return Err(Bad(431));
         }
         fields.push((name.to_string(), value.to_string()));
@@ -92,14 +96,14 @@
         return Err(Bad(501));
     }
     let length = length(&call)?;
-    if length > limits.body.max(limits.large) {
+    if length > limits.http.max_body_bytes.max(limits.bodies.max_bytes) {
         return Err(Bad(413));
     }
     let head = head + END.len();
     let expects = || call.field("Expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
     let expects = newer && input.len() == head && expects();
     let end = head + length;
-    let large = limits.large > 0 && length > limits.inline;
+    let large = limits.bodies.max_bytes > 0 && length > limits.bodies.max_inline_bytes;
     if input.len() < end && !large {
         return Ok(Read::Partial { expects });
     }
--- a/src/front/platform.rs
+++ b/src/listener/http/mod.rs
@@ -2,17 +2,18 @@
 //! through the spool, where there is one: a request that is kept begins once its body is here whole, one that
 //! is passed on as soon as its first bytes are.
 
+pub mod codec;
 mod upload;
 
-use super::http::{self, Bad, Call, Read};
 use super::server::{ClientConnection, Server, State};
 use super::sql;
-use crate::bodies;
-use crate::core::{Answer, Ask, Front, Parts, Work};
+use crate::body_store;
+use crate::core::{Answer, Listener, QueryPayload, Request, ResultParts};
 use crate::limits::Limits;
-use crate::net::{Channel, Connection, Flow, Poller, Time, Token};
-use dahliaspoke::interface::RequestId;
-use dahliaspoke_bodies::plan::BodyId;
+use crate::net::{BufferedStream, Connection, Flow, Poller, Time, Token};
+use codec::{Bad, Call, Read};
+use dahliaspoke::policy::RequestId;
+use dahliaspoke_body_store::plan::BodyId;
 use std::collections::HashMap;
 use std::io;
 use std::net::TcpListener;
@@ -32,14 +33,14 @@
     state: State,
     names: Names,
     /// Keeps large bodies, where the deployment has that.
-    spool: Option<bodies::Shared>,
+    spool: Option<body_store::Shared>,
     /// The connection that each body comes in by.
     uploads: HashMap<BodyId, Token>,
 }
 
 /// A client's connection: one call at a time.
 pub struct Client {
-    channel: Channel,
+    channel: BufferedStream,
     token: Token,
     open: Option<RequestId>,
     /// The large body that is coming in.
@@ -58,24 +59,24 @@
 }
 
 /// The platform's front.
-pub type Platform = Server<Client>;
+pub type HttpListener = Server<Client>;
 
-impl Platform {
+impl HttpListener {
     pub fn open(
         part: u8,
-        door: usize,
+        route: usize,
         socket: TcpListener,
         names: Names,
-        spool: Option<bodies::Shared>,
+        spool: Option<body_store::Shared>,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> io::Result<Self> {
-        let (state, uploads) = (State::new(door, limits), HashMap::new());
+        let (state, uploads) = (State::new(route, limits), HashMap::new());
         Self::new(part, socket, Shared { state, names, spool, uploads }, poller)
     }
 }
 
-impl Front for Platform {
+impl Listener for HttpListener {
     fn waits(&mut self, id: &RequestId) -> bool {
         Server::waits(self, id)
     }
@@ -99,9 +100,9 @@
 }
 
 impl ClientConnection for Client {
-    fn accepted(now: Time, channel: Channel, token: Token, shared: &Shared) -> Option<Self> {
+    fn accepted(now: Time, channel: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
         // Whoever connects has a call to make.
-        let until = now + shared.state.limits.call;
+        let until = now + shared.state.limits.clients.request_timeout;
         Some(Client {
             channel,
             token,
@@ -144,14 +145,14 @@
     }
 
     fn most(limits: &Limits) -> usize {
-        limits.clients
+        limits.clients.max_connections
     }
 }
 
 impl Connection for Client {
     type Shared = Shared;
 
-    fn channel(&mut self) -> &mut Channel {
+    fn channel(&mut self) -> &mut BufferedStream {
         &mut self.channel
     }
 
@@ -161,7 +162,7 @@
         }
         if self.open.is_some() {
             // Calls sent ahead wait here; more than one call's worth is no client of ours.
-            let most = shared.state.limits.head + shared.state.limits.body;
+            let most = shared.state.limits.http.max_head_bytes + shared.state.limits.http.max_body_bytes;
             return if self.channel.input.len() > most { Flow::Close } else { Flow::Open };
         }
         self.next_call(now, shared)
@@ -187,17 +188,17 @@
     /// Reads calls until one needs the core, or no whole one is left.
     fn next_call(&mut self, now: Time, shared: &mut Shared) -> Flow {
         while self.open.is_none() && self.upload.is_none() && !self.channel.input.is_empty() {
-            if self.channel.queued() > shared.state.limits.unread {
+            if self.channel.queued() > shared.state.limits.clients.max_unread_answer_bytes {
                 return Flow::Close;
             }
-            match http::read(&self.channel.input, &shared.state.limits) {
+            match codec::read(&self.channel.input, &shared.state.limits) {
                 Ok(Read::Partial { expects }) => {
                     // What has begun must end: an unfinished call is no idle connection.
                     if !std::mem::replace(&mut self.calling, true) {
-                        self.until = now + shared.state.limits.call;
+                        self.until = now + shared.state.limits.clients.request_timeout;
                     }
                     if expects && !std::mem::replace(&mut self.continued, true) {
-                        self.channel.push(http::CONTINUE.to_vec());
+                        self.channel.push(codec::CONTINUE.to_vec());
                     }
                     return Flow::Open;
                 }
@@ -223,7 +224,7 @@
                         Ok(Flow::Open) => {
                             // Only now is there room for it.
                             if expects {
-                                self.channel.push(http::CONTINUE.to_vec());
+                                self.channel.push(codec::CONTINUE.to_vec());
                             }
                             self.take_body(now, shared)
                         }
@@ -244,7 +245,7 @@
             // A part of its body was sent on; the rest cannot be.
             shared.state.left(id);
         }
-        self.channel.push(http::answer(status, None, b"{\"err\":\"Lost\"}", false));
+        self.channel.push(codec::answer(status, None, b"{\"err\":\"Lost\"}", false));
         self.finish(now, shared)
     }
 
@@ -252,12 +253,12 @@
     fn rest(&mut self, now: Time, shared: &Shared) {
         self.since = now;
         self.calling = false;
-        self.until = now + shared.state.limits.client_idle;
+        self.until = now + shared.state.limits.clients.idle_timeout;
     }
 
     fn finish(&mut self, now: Time, shared: &mut Shared) -> Flow {
         self.channel.input = Vec::new();
-        self.until = now + shared.state.limits.linger;
+        self.until = now + shared.state.limits.clients.linger_timeout;
         shared.state.look(self.until, self.token);
         Flow::Finish
     }
@@ -269,12 +270,12 @@
             if call.method != "GET" {
                 return Err(Bad(405));
             }
-            self.channel.push(http::answer(200, None, b"{}", self.stays));
+            self.channel.push(codec::answer(200, None, b"{}", self.stays));
             return Ok(());
         }
         let Some(class) = path.strip_prefix("/invoke/") else {
             // Nothing hangs on it, so the connection stays.
-            self.channel.push(http::answer(404, None, b"{\"err\":\"Lost\"}", self.stays));
+            self.channel.push(codec::answer(404, None, b"{\"err\":\"Lost\"}", self.stays));
             return Ok(());
         };
         let told = told(&call, class, shared)?;
@@ -286,7 +287,7 @@
     }
 
     /// Hands a request on.
-    fn ask(&mut self, ask: Ask, shared: &mut Shared) {
+    fn ask(&mut self, ask: Request, shared: &mut Shared) {
         self.open = Some(ask.id.clone());
         shared.state.ask(self.token, ask);
     }
@@ -344,7 +345,7 @@
     Ok(Told {
         class,
         id,
-        allow: (allow / 1000.0).min(shared.state.limits.allow),
+        allow: (allow / 1000.0).min(shared.state.limits.clients.max_request_time),
         estimate: number(call, "X-Size-Ms")?.filter(|ms| *ms > 0.0),
         memory: number(call, "X-Est-Mb")?.filter(|mb| *mb > 0.0),
         key: key.map(Arc::from),
@@ -355,9 +356,9 @@
 
 impl Told {
     /// The request, but for its statement. Its time runs from now.
-    fn ask(&self, now: Time, tables: Option<i64>, shared: &Shared) -> Ask {
-        Ask {
-            door: shared.state.door,
+    fn ask(&self, now: Time, tables: Option<i64>, shared: &Shared) -> Request {
+        Request {
+            route: shared.state.route,
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
@@ -367,10 +368,10 @@
             memory: self.memory,
             tables: tables.unwrap_or(-1),
             uploading: false,
-            work: Work {
+            work: QueryPayload {
                 class: shared.names.classes[self.class].clone(),
                 key: self.key.clone(),
-                ..Work::default()
+                ..QueryPayload::default()
             },
         }
     }
@@ -389,18 +390,18 @@
 
 fn encode(answer: Answer, stays: bool) -> Vec<u8> {
     match answer {
-        Answer::Served(parts) => http::answer(200, None, &rows(&parts), stays),
-        Answer::Refused(wait) => {
+        Answer::Served(parts) => codec::answer(200, None, &rows(&parts), stays),
+        Answer::Rejected(wait) => {
             // Rounded up: a client must not come back before its time.
             let wait = wait.map(|w| ("X-Wait-Ms", format!("{}", (w * 1000.0).ceil().max(1.0))));
-            http::answer(503, wait, b"{\"err\":\"Backoff\"}", stays)
+            codec::answer(503, wait, b"{\"err\":\"Backoff\"}", stays)
         }
-        Answer::Failed => http::answer(502, None, b"{\"err\":\"Lost\"}", stays),
+        Answer::Failed => codec::answer(502, None, b"{\"err\":\"Lost\"}", stays),
     }
 }
 
 /// Rows as JSON. The engine's pages hold a line a row and a tab between columns.
-fn rows(parts: &Parts) -> Vec<u8> {
+fn rows(parts: &ResultParts) -> Vec<u8> {
     let mut out = b"{\"page\":[".to_vec();
     let mut first_row = true;
     for part in parts {
--- a/src/front/platform/upload.rs
+++ b/src/listener/http/upload.rs
@@ -1,12 +1,12 @@
 //! A large body, on its way from its client into the spool.
 
-use super::{encode, sql, told, Client, Platform, Shared, Told};
+use super::codec::{Bad, Call};
+use super::{encode, sql, told, Client, HttpListener, Shared, Told};
 use crate::core::Answer;
-use crate::front::http::{Bad, Call};
-use crate::front::server::Server;
+use crate::listener::server::Server;
 use crate::net::{Flow, Time};
-use dahliaspoke_bodies::plan::{BodyId, Refusal, Tier};
-use dahliaspoke_bodies::spool::{Body, Wake};
+use dahliaspoke_body_store::plan::{BodyId, Refusal, Tier};
+use dahliaspoke_body_store::spool::{Body, Wake};
 
 /// Bytes from which a statement's tables are read: they stand at its beginning.
 const HEAD: usize = 4 << 10;
@@ -89,10 +89,11 @@
         let told = told(call, class, shared)?;
         let spool = shared.spool.clone().ok_or(Bad(413))?;
         let limits = shared.state.limits.clone();
-        let by = now + limits.upload;
-        let taken = match now < shared.state.last_upload {
-            true => spool.borrow_mut().admit(now, told.class, length as u64, by + told.allow),
-            false => Err(Refusal::NoRoom),
+        let by = now + limits.bodies.upload_timeout;
+        let taken = if now < shared.state.last_upload {
+            spool.borrow_mut().admit(now, told.class, length as u64, by + told.allow)
+        } else {
+            Err(Refusal::NoRoom)
         };
         let (body, tier) = match taken {
             Ok(taken) => taken,
@@ -101,7 +102,7 @@
         };
         shared.uploads.insert(body.id(), self.token);
         shared.state.uploads += 1;
-        self.until = by.min(now + limits.stall);
+        self.until = by.min(now + limits.bodies.stall_timeout);
         let (head, text) = (Vec::new(), Text::default());
         let (passed, full) = (tier == Tier::Passed, false);
         self.upload = Some(Upload { told, body, left: length, head, text, by, whole: None, passed, full });
@@ -112,7 +113,7 @@
     fn turn_away(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
         self.end_upload(shared);
         shared.state.turned_away(class);
-        self.channel.push(encode(Answer::Refused(shared.state.limits.come_back), false));
+        self.channel.push(encode(Answer::Rejected(shared.state.limits.bodies.retry_after), false));
         self.finish(now, shared)
     }
 
@@ -135,7 +136,7 @@
             spool.borrow_mut().push(now, id, bytes);
             self.channel.input.drain(..count);
             upload.left -= count;
-            self.until = upload.by.min(now + shared.state.limits.stall);
+            self.until = upload.by.min(now + shared.state.limits.bodies.stall_timeout);
         }
         if upload.left == 0 {
             upload.whole.get_or_insert(now);
@@ -188,7 +189,7 @@
         let Some(upload) = &mut self.upload else { return Flow::Open };
         match wake {
             Wake::Room(_) => {
-                self.until = upload.by.min(now + shared.state.limits.stall);
+                self.until = upload.by.min(now + shared.state.limits.bodies.stall_timeout);
                 self.take_body(now, shared)
             }
             Wake::Kept(_) => {
@@ -209,7 +210,7 @@
     }
 }
 
-impl Platform {
+impl HttpListener {
     /// Something has become of a body.
     pub fn wake(&mut self, now: Time, body: BodyId, wake: &Wake) {
         let Some(token) = self.shared.uploads.get(&body).copied() else { return };
--- a/src/front/mod.rs
+++ b/src/listener/mod.rs
@@ -2,6 +2,5 @@
 
 pub mod http;
 pub mod mysql;
-pub mod platform;
 pub mod server;
 mod sql;
--- a/src/front/mysql/large.rs
+++ b/src/listener/mysql/large.rs
@@ -3,11 +3,11 @@
 //! spool as they come, and are always kept: a session that waits for its answer cannot be told to send again.
 
 use super::{encode, sql, statement, unknown, Refusal, Session, Shared, Statement};
-use crate::core::{Answer, Ask, Value};
+use crate::core::{Answer, Request, Value};
 use crate::mysql::packet::{self, command, Malformed, Reader, Res, SPLIT};
 use crate::net::{Flow, Time};
-use dahliaspoke_bodies::plan::{BodyId, Refusal as NoPlace};
-use dahliaspoke_bodies::spool::{Body, Wake};
+use dahliaspoke_body_store::plan::{BodyId, Refusal as NoPlace};
+use dahliaspoke_body_store::spool::{Body, Wake};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
 
 enum Target {
     /// The rest of a request: its statement, or its arguments' values.
-    Request { body: Body, ask: Box<Ask>, time: f64, values: Option<Values> },
+    Request { body: Body, ask: Box<Request>, time: f64, values: Option<Values> },
     /// A parameter of a prepared statement.
     Parameter(u32, u16),
     /// Nobody's: it was answered already.
@@ -39,7 +39,7 @@
 
 /// A request that is whole, as soon as what the spool has of it is kept.
 pub struct Pending {
-    ask: Box<Ask>,
+    ask: Box<Request>,
     /// How long its client waits (s), from when its last byte came.
     time: f64,
     since: Time,
@@ -124,14 +124,15 @@
     /// Length and number of the packet at the start of the input, if it is one that does not come at once.
     pub fn large_packet(&self, shared: &Shared) -> Option<(usize, u8)> {
         let limits = &shared.state.limits;
-        packet::header(&self.channel.input).filter(|(length, _)| limits.large > 0 && *length > limits.body)
+        packet::header(&self.channel.input)
+            .filter(|(length, _)| limits.bodies.max_bytes > 0 && *length > limits.http.max_body_bytes)
     }
 
     /// Begins to take a payload whose first packet is that large; nothing while its beginning is not here.
     pub fn begin_large(&mut self, now: Time, length: usize, sequence: u8, shared: &mut Shared) -> Flow {
         let head = packet::HEADER + length.min(HEAD);
         if self.channel.input.len() < head {
-            self.until = self.until.min(now + shared.state.limits.call);
+            self.until = self.until.min(now + shared.state.limits.clients.request_timeout);
             return Flow::Open;
         }
         self.answer_from = sequence.wrapping_add(1);
@@ -233,7 +234,7 @@
     fn request(
         &mut self,
         now: Time,
-        ask: Ask,
+        ask: Request,
         time: f64,
         used: usize,
         length: Option<usize>,
@@ -241,7 +242,7 @@
         shared: &mut Shared,
     ) -> Result<(usize, Target), Refusal> {
         let spool = shared.spool.clone().ok_or_else(too_large)?;
-        let by = now + shared.state.limits.upload + time;
+        let by = now + shared.state.limits.bodies.upload_timeout + time;
         let open = now < shared.state.last_upload;
         // Its length may be known, and still it is asked for as one that is not: it must be kept.
         if (length.unwrap_or(SPLIT) - used) as u64 > spool.borrow().largest(ask.class) {
@@ -274,7 +275,7 @@
             self.channel.input.drain(..taken);
             large.left -= taken;
             if taken > 0 {
-                self.until = now + shared.state.limits.stall;
+                self.until = now + shared.state.limits.bodies.stall_timeout;
             }
             if large.left > 0 {
                 large.full = taken < count;
@@ -338,7 +339,7 @@
     /// All of a payload has come.
     fn whole(&mut self, now: Time, large: Large, shared: &mut Shared) -> Flow {
         shared.state.uploads -= 1;
-        self.until = now + shared.state.limits.session_idle;
+        self.until = now + shared.state.limits.mysql.session_idle_timeout;
         let Target::Request { body, mut ask, time, values } = large.target else {
             return self.next_packet(now, shared);
         };
@@ -356,7 +357,7 @@
     }
 
     /// Hands a request on once all that the spool has of it is kept.
-    pub fn wait_for(&mut self, now: Time, ask: Box<Ask>, time: f64, shared: &mut Shared) -> Flow {
+    pub fn wait_for(&mut self, now: Time, ask: Box<Request>, time: f64, shared: &mut Shared) -> Flow {
         let mut missing = Vec::new();
         let long = ask.work.long.iter().filter_map(|(_, value)| match value {
             Value::Spool(body) => Some(body),
@@ -390,11 +391,14 @@
         };
         let here: usize =
             self.parameters.values().map(|p| if let Parameter::Here(b) = p { b.len() } else { 0 }).sum();
-        let many = self.parameters.len() >= shared.state.limits.statements;
-        let most = shared.state.limits.body;
-        let held = self.parameters.entry(place).or_insert_with(|| match many {
-            true => Parameter::Lost,
-            false => Parameter::Here(Vec::new()),
+        let many = self.parameters.len() >= shared.state.limits.mysql.max_statements;
+        let most = shared.state.limits.http.max_body_bytes;
+        let held = self.parameters.entry(place).or_insert_with(|| {
+            if many {
+                Parameter::Lost
+            } else {
+                Parameter::Here(Vec::new())
+            }
         });
         if let Parameter::Here(held) = held {
             if here + bytes.len() <= most {
@@ -408,7 +412,7 @@
         };
         if let Parameter::Here(held_here) = held {
             // It has outgrown the door's own room.
-            let by = now + shared.state.limits.session_idle;
+            let by = now + shared.state.limits.mysql.session_idle_timeout;
             let begun = std::mem::take(held_here);
             let taken = spool.borrow_mut().admit_open(now, class, by);
             *held = match taken {
@@ -472,7 +476,7 @@
             Wake::Room(_) => {
                 if let Some(large) = &mut self.large {
                     large.full = false;
-                    self.until = now + shared.state.limits.stall;
+                    self.until = now + shared.state.limits.bodies.stall_timeout;
                 }
                 self.take_large(now, shared)
             }
@@ -511,7 +515,7 @@
             if let Target::Request { ask, body: own, .. } = &large.target {
                 if own.id() == body {
                     let class = ask.class;
-                    let outgrown = |spool: &crate::bodies::Shared| {
+                    let outgrown = |spool: &crate::body_store::Shared| {
                         spool.borrow().came(body) >= spool.borrow().largest(class)
                     };
                     if shared.spool.as_ref().is_some_and(outgrown) {
@@ -530,12 +534,12 @@
 
     fn turn_away(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
         shared.state.turned_away(class);
-        self.push(self.answer_from, &encode(Answer::Refused(shared.state.limits.come_back), false));
+        self.push(self.answer_from, &encode(Answer::Rejected(shared.state.limits.bodies.retry_after), false));
         self.next_packet(now, shared)
     }
 }
 
 /// There is no room now.
 fn busy(shared: &Shared) -> Refusal {
-    super::refused(shared.state.limits.come_back)
+    super::refused(shared.state.limits.bodies.retry_after)
 }
--- a/src/front/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -1,4 +1,4 @@
-//! The MySQL front: sessions in, results and errors out. Each execution is a request of its own; nothing of
+//! The `MySQL` front: sessions in, results and errors out. Each execution is a request of its own; nothing of
 //! a session lives on an engine.
 
 mod large;
@@ -6,16 +6,16 @@
 
 use super::server::{ClientConnection, Server, State};
 use super::sql;
-use crate::bodies;
-use crate::core::{Answer, Ask, Front, Work};
+use crate::body_store;
+use crate::core::{Answer, Listener, QueryPayload, Request};
 use crate::limits::Limits;
 use crate::mysql::auth;
 use crate::mysql::config::Mysql;
 use crate::mysql::packet::{self, capability, column, command, eof, error, ok, Malformed, Reader, Res};
-use crate::net::{Channel, Connection, Flow, Poller, Time, Token};
-use dahliaspoke::interface::{RequestId, Settings};
-use dahliaspoke_bodies::plan::BodyId;
-use dahliaspoke_bodies::spool::Wake;
+use crate::net::{BufferedStream, Connection, Flow, Poller, Time, Token};
+use dahliaspoke::policy::{RequestId, Settings};
+use dahliaspoke_body_store::plan::BodyId;
+use dahliaspoke_body_store::spool::Wake;
 use large::{Large, Parameter, Pending};
 use setup::Plan;
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
     classes: Vec<(Arc<str>, f64)>,
     requests: u64,
     /// Keeps what is large, where the deployment has that.
-    spool: Option<bodies::Shared>,
+    spool: Option<body_store::Shared>,
     /// The session that each body comes in by.
     uploads: HashMap<BodyId, Token>,
 }
@@ -74,7 +74,7 @@
 
 /// A client's session.
 pub struct Session {
-    channel: Channel,
+    channel: BufferedStream,
     token: Token,
     stage: Stage,
     challenge: [u8; auth::CHALLENGE],
@@ -105,21 +105,21 @@
     }
 }
 
-/// The MySQL front.
-pub type MysqlFront = Server<Session>;
+/// The `MySQL` front.
+pub type MysqlListener = Server<Session>;
 
-impl MysqlFront {
+impl MysqlListener {
     pub fn open(
         part: u8,
-        door: usize,
+        route: usize,
         config: Rc<Mysql>,
         settings: &Settings,
-        spool: Option<bodies::Shared>,
+        spool: Option<body_store::Shared>,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> io::Result<Self> {
-        let (socket, state) = (TcpListener::bind(config.listen)?, State::new(door, limits));
-        let classes = settings.classes.iter().map(|c| (c.name.as_str().into(), c.give_up)).collect();
+        let (socket, state) = (TcpListener::bind(config.listen)?, State::new(route, limits));
+        let classes = settings.classes.iter().map(|c| (c.name.as_str().into(), c.client_timeout)).collect();
         let uploads = HashMap::new();
         Self::new(part, socket, Shared { state, config, classes, requests: 0, spool, uploads }, poller)
     }
@@ -137,12 +137,12 @@
 }
 
 impl ClientConnection for Session {
-    fn accepted(now: Time, mut channel: Channel, token: Token, shared: &Shared) -> Option<Self> {
+    fn accepted(now: Time, mut channel: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
         let mut challenge = [0; auth::CHALLENGE];
         getrandom::fill(&mut challenge).ok()?; // without a challenge nobody can be let in
                                                // A zero byte would end it, and a dollar sign is read otherwise by some.
         challenge.iter_mut().for_each(|b| *b = *b % 90 + 37);
-        channel.push(packet::packet(0, &greeting(token.place, &challenge)));
+        channel.push(packet::packet(0, &greeting(token.slot, &challenge)));
         Some(Session {
             channel,
             token,
@@ -158,7 +158,7 @@
             answer_from: 1,
             deadline: 0.0,
             since: now,
-            until: now + shared.state.limits.call,
+            until: now + shared.state.limits.clients.request_timeout,
         })
     }
 
@@ -180,7 +180,7 @@
     }
 
     fn most(limits: &Limits) -> usize {
-        limits.sessions
+        limits.mysql.max_sessions
     }
 }
 
@@ -206,7 +206,7 @@
     out
 }
 
-impl Front for MysqlFront {
+impl Listener for MysqlListener {
     fn waits(&mut self, id: &RequestId) -> bool {
         Server::waits(self, id)
     }
@@ -214,8 +214,8 @@
     fn answer(&mut self, now: Time, id: &RequestId, answer: Answer) {
         Server::answer(self, now, id, |session, shared| {
             session.open = None;
-            session.until = now + shared.state.limits.session_idle;
-            let late = now + shared.state.limits.late >= session.deadline;
+            session.until = now + shared.state.limits.mysql.session_idle_timeout;
+            let late = now + shared.state.limits.results.deadline_margin >= session.deadline;
             session.push(session.answer_from, &encode(answer, late));
             session.next_packet(now, shared)
         });
@@ -231,7 +231,7 @@
             "HY000",
             "Query execution was interrupted, maximum statement execution time exceeded".into(),
         ),
-        Answer::Refused(wait) => refused(wait),
+        Answer::Rejected(wait) => refused(wait),
         Answer::Failed => Refusal(1317, "70100", "Query execution was interrupted".into()),
     };
     vec![refusal.encode()]
@@ -253,7 +253,7 @@
 impl Connection for Session {
     type Shared = Shared;
 
-    fn channel(&mut self) -> &mut Channel {
+    fn channel(&mut self) -> &mut BufferedStream {
         &mut self.channel
     }
 
@@ -263,7 +263,7 @@
         }
         if self.open.is_some() || self.pending.is_some() {
             // Commands sent ahead wait here, but not without bound.
-            return if self.channel.input.len() > 2 * shared.state.limits.body {
+            return if self.channel.input.len() > 2 * shared.state.limits.http.max_body_bytes {
                 Flow::Close
             } else {
                 Flow::Open
@@ -303,7 +303,7 @@
     /// Reads packets until one needs the core, or no whole one is left.
     fn next_packet(&mut self, now: Time, shared: &mut Shared) -> Flow {
         while self.open.is_none() && self.pending.is_none() && self.large.is_none() {
-            if self.channel.queued() > shared.state.limits.unread {
+            if self.channel.queued() > shared.state.limits.clients.max_unread_answer_bytes {
                 return Flow::Close;
             }
             self.answer_from = 1;
@@ -312,24 +312,25 @@
                     return self.begin_large(now, length, sequence, shared);
                 }
             }
-            let (sequence, payload) = match packet::read(&self.channel.input, shared.state.limits.body) {
-                Ok(None) => {
-                    // What has begun must end: an unfinished packet is no idle session.
-                    if !self.channel.input.is_empty() {
-                        self.until = self.until.min(now + shared.state.limits.call);
+            let (sequence, payload) =
+                match packet::read(&self.channel.input, shared.state.limits.http.max_body_bytes) {
+                    Ok(None) => {
+                        // What has begun must end: an unfinished packet is no idle session.
+                        if !self.channel.input.is_empty() {
+                            self.until = self.until.min(now + shared.state.limits.clients.request_timeout);
+                        }
+                        return Flow::Open;
                     }
-                    return Flow::Open;
-                }
-                Ok(Some((sequence, payload, length))) => {
-                    let payload = payload.to_vec();
-                    self.channel.input.drain(..length);
-                    (sequence, payload)
-                }
-                Err(Malformed) => {
-                    let message = "Got a packet bigger than 'max_allowed_packet' bytes".into();
-                    return self.end(now, 1, Refusal(1153, "08S01", message), shared);
-                }
-            };
+                    Ok(Some((sequence, payload, length))) => {
+                        let payload = payload.to_vec();
+                        self.channel.input.drain(..length);
+                        (sequence, payload)
+                    }
+                    Err(Malformed) => {
+                        let message = "Got a packet bigger than 'max_allowed_packet' bytes".into();
+                        return self.end(now, 1, Refusal(1153, "08S01", message), shared);
+                    }
+                };
             let next = sequence.wrapping_add(1);
             let done = match self.stage {
                 Stage::Ready if payload.first() == Some(&command::QUIT) => return Flow::Close,
@@ -338,7 +339,7 @@
                 Stage::Switched => Ok(self.prove(next, &payload, shared)),
             };
             if self.stage == Stage::Ready {
-                self.until = now + shared.state.limits.session_idle;
+                self.until = now + shared.state.limits.mysql.session_idle_timeout;
             }
             match done {
                 Ok(None) => {}
@@ -354,7 +355,7 @@
     fn end(&mut self, now: Time, sequence: u8, refusal: Refusal, shared: &mut Shared) -> Flow {
         shared.state.bad += 1;
         self.push(sequence, &[refusal.encode()]);
-        self.until = now + shared.state.limits.linger;
+        self.until = now + shared.state.limits.clients.linger_timeout;
         shared.state.look(self.until, self.token);
         Flow::Finish
     }
@@ -480,8 +481,8 @@
             Ok(statement) => statement,
             Err(refusal) => return Ok(Some(refusal)),
         };
-        if self.statements.len() >= shared.state.limits.statements {
-            let most = shared.state.limits.statements;
+        if self.statements.len() >= shared.state.limits.mysql.max_statements {
+            let most = shared.state.limits.mysql.max_statements;
             let message =
                 format!("Can't create more than max_prepared_stmt_count statements (current value: {most})");
             return Ok(Some(Refusal(1461, "42000", message)));
@@ -545,14 +546,14 @@
         arguments: Option<Vec<u8>>,
         key: Option<Arc<str>>,
         shared: &mut Shared,
-    ) -> Ask {
+    ) -> Request {
         let key = match &statement.key {
             Some(Key::Told(key)) => Some(key.clone()),
             _ => key,
         };
         shared.requests += 1;
-        Ask {
-            door: shared.state.door,
+        Request {
+            route: shared.state.route,
             id: format!("mysql-{:x}", shared.requests).into(),
             class: statement.class,
             tenant: None,
@@ -562,19 +563,19 @@
             memory: statement.memory,
             tables: statement.tables,
             uploading: false,
-            work: Work {
+            work: QueryPayload {
                 class: shared.classes[statement.class].0.clone(),
                 statement: statement.text.clone(),
                 arguments: arguments.map(Arc::from),
                 key,
-                ..Work::default()
+                ..QueryPayload::default()
             },
         }
     }
 
     /// Hands a request on to the core. Its time runs from now.
-    fn hand_on(&mut self, now: Time, mut ask: Ask, time: f64, shared: &mut Shared) {
-        self.deadline = now + time.min(shared.state.limits.allow);
+    fn hand_on(&mut self, now: Time, mut ask: Request, time: f64, shared: &mut Shared) {
+        self.deadline = now + time.min(shared.state.limits.clients.max_request_time);
         ask.deadline = self.deadline;
         self.open = Some(ask.id.clone());
         shared.state.ask(self.token, ask);
@@ -583,7 +584,7 @@
 
 /// The largest packet that is taken.
 fn most(shared: &Shared) -> usize {
-    shared.state.limits.body.max(shared.state.limits.large)
+    shared.state.limits.http.max_body_bytes.max(shared.state.limits.bodies.max_bytes)
 }
 
 fn unknown(id: u32, place: &str) -> Refusal {
--- a/src/front/server.rs
+++ b/src/listener/server.rs
@@ -1,10 +1,13 @@
 //! What both fronts have: a listener, connections with a time to live, requests that are open.
 
-use crate::core::{Ask, FrontEvent};
+use crate::core::{ListenerEvent, Request};
+use crate::failpoints;
 use crate::limits::Limits;
-use crate::net::{Channel, Connection, Flow, Listener, Part, Poller, Ready, Table, Time, Timers, Token};
-use crate::points;
-use dahliaspoke::interface::RequestId;
+use crate::net::{
+    Acceptor, BufferedStream, Connection, ConnectionSlab, EventHandler, Flow, Poller, Ready, Time,
+    TimerQueue, Token,
+};
+use dahliaspoke::policy::RequestId;
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -13,11 +16,11 @@
 /// What the connections of a front have in common, whatever they speak.
 pub struct State {
     pub limits: Rc<Limits>,
-    pub door: usize,
-    events: VecDeque<FrontEvent>,
+    pub route: usize,
+    events: VecDeque<ListenerEvent>,
     /// The connection that each open request came by.
     open: HashMap<RequestId, Token>,
-    timers: Timers<Token>,
+    timers: TimerQueue<Token>,
     /// The program is about to end: each connection is closed with its next answer.
     pub leaving: bool,
     /// Another process takes the connections that come.
@@ -31,11 +34,11 @@
 }
 
 impl State {
-    pub fn new(door: usize, limits: Rc<Limits>) -> Self {
-        let (events, open, timers) = (VecDeque::new(), HashMap::new(), Timers::default());
+    pub fn new(route: usize, limits: Rc<Limits>) -> Self {
+        let (events, open, timers) = (VecDeque::new(), HashMap::new(), TimerQueue::default());
         let last_upload = Time::INFINITY;
         let (leaving, handed_over) = (false, false);
-        Self { limits, door, events, open, timers, leaving, handed_over, bad: 0, uploads: 0, last_upload }
+        Self { limits, route, events, open, timers, leaving, handed_over, bad: 0, uploads: 0, last_upload }
     }
 
     pub fn is_open(&self, id: &RequestId) -> bool {
@@ -43,20 +46,20 @@
     }
 
     /// Hands a request on to the core.
-    pub fn ask(&mut self, token: Token, ask: Ask) {
+    pub fn ask(&mut self, token: Token, ask: Request) {
         self.open.insert(ask.id.clone(), token);
-        self.events.push_back(FrontEvent::Ask(ask));
+        self.events.push_back(ListenerEvent::Request(ask));
     }
 
     /// The client of an open request has gone.
     pub fn left(&mut self, id: RequestId) {
         self.open.remove(&id);
-        self.events.push_back(FrontEvent::Left(id));
+        self.events.push_back(ListenerEvent::ClientGone(id));
     }
 
     /// A request was turned away, with an answer, before it was one.
     pub fn turned_away(&mut self, class: usize) {
-        self.events.push_back(FrontEvent::TurnedAway(class));
+        self.events.push_back(ListenerEvent::Rejected(class));
     }
 
     /// Looks at the connection at that time.
@@ -68,7 +71,7 @@
 /// A client's connection.
 pub trait ClientConnection: Connection + Sized {
     /// Round a socket that was accepted; `None` if it cannot be served.
-    fn accepted(now: Time, channel: Channel, token: Token, shared: &Self::Shared) -> Option<Self>;
+    fn accepted(now: Time, channel: BufferedStream, token: Token, shared: &Self::Shared) -> Option<Self>;
     /// When its time is up; `None` while a request is open.
     fn until(&self) -> Option<Time>;
     /// Its time is up.
@@ -83,8 +86,8 @@
 
 /// A listener and the connections that came by it.
 pub struct Server<G: ClientConnection> {
-    listener: Listener,
-    table: Table<G>,
+    listener: Acceptor,
+    table: ConnectionSlab<G>,
     /// No connection is taken before: the system had nothing left for one.
     accepts_from: Time,
     pub shared: G::Shared,
@@ -92,8 +95,8 @@
 
 impl<G: ClientConnection> Server<G> {
     pub fn new(part: u8, socket: TcpListener, shared: G::Shared, poller: Rc<Poller>) -> io::Result<Self> {
-        let listener = Listener::new(part, socket, poller.clone())?;
-        Ok(Self { listener, table: Table::new(part, poller), accepts_from: 0.0, shared })
+        let listener = Acceptor::new(part, socket, poller.clone())?;
+        Ok(Self { listener, table: ConnectionSlab::new(part, poller), accepts_from: 0.0, shared })
     }
 
     /// Where it listens.
@@ -101,7 +104,7 @@
         self.listener.address()
     }
 
-    pub fn take(&mut self) -> Option<FrontEvent> {
+    pub fn take(&mut self) -> Option<ListenerEvent> {
         G::state(&mut self.shared).events.pop_front()
     }
 
@@ -164,7 +167,7 @@
     /// asked once and stay, would shut out those that come to ask. A new one keeps its place for a moment:
     /// its call is on the way.
     fn spare(&mut self, now: Time) -> Option<Token> {
-        let young = now - G::state(&mut self.shared).limits.young;
+        let young = now - G::state(&mut self.shared).limits.clients.min_connection_age;
         let mut heard = None;
         loop {
             let token = self.table.least(|client| client.spare().filter(|(_, since)| *since <= young))?;
@@ -180,7 +183,7 @@
 
     /// Reads what has come on a connection, before it might be closed.
     fn hear(&mut self, now: Time, token: Token) {
-        self.table.ready(
+        self.table.on_ready(
             now,
             Ready { token, readable: true, writable: false, ended: false },
             &mut self.shared,
@@ -201,7 +204,7 @@
 
     fn accept(&mut self, now: Time) {
         // Bounded, so that a flood does not keep the loop here: what is left is told of again.
-        for _ in 0..G::state(&mut self.shared).limits.accepts {
+        for _ in 0..G::state(&mut self.shared).limits.clients.accept_batch {
             if G::state(&mut self.shared).handed_over {
                 return;
             }
@@ -222,7 +225,7 @@
                 continue;
             };
             let state = G::state(&mut self.shared);
-            let young = now + state.limits.young;
+            let young = now + state.limits.clients.min_connection_age;
             state.look(young, token); // it may be closed for another from then on
             self.table.settle(now, token, Flow::Open, &mut self.shared);
         }
@@ -235,32 +238,32 @@
             self.table.close(now, token, &mut self.shared);
         }
         let state = G::state(&mut self.shared);
-        self.accepts_from = now + state.limits.accept_pause;
+        self.accepts_from = now + state.limits.clients.accept_backoff;
         state.look(self.accepts_from, self.listener.token());
         self.listener.room(false);
     }
 }
 
-impl<G: ClientConnection> Part for Server<G> {
-    fn next(&mut self) -> Option<Time> {
-        G::state(&mut self.shared).timers.next()
+impl<G: ClientConnection> EventHandler for Server<G> {
+    fn next_deadline(&mut self) -> Option<Time> {
+        G::state(&mut self.shared).timers.next_deadline()
     }
 
-    fn ready(&mut self, now: Time, ready: Ready) {
-        if ready.token.place == Listener::PLACE {
+    fn on_ready(&mut self, now: Time, ready: Ready) {
+        if ready.token.slot == Acceptor::SLOT {
             self.accept(now);
         } else {
-            self.table.ready(now, ready, &mut self.shared);
+            self.table.on_ready(now, ready, &mut self.shared);
         }
         self.rearm(now);
     }
 
     /// Closes the connections whose time is up.
-    fn alarm(&mut self, now: Time) {
+    fn on_timer(&mut self, now: Time) {
         while let Some(token) = G::state(&mut self.shared).timers.due(now) {
             let Some(client) = self.table.get(token) else { continue };
             if client.until().is_some_and(|until| until <= now) {
-                points::reach("client.overdue");
+                failpoints::reach("client.overdue");
                 // What has come meanwhile must not meet a close: it is heard first, and may change the time.
                 if client.channel().has_input() {
                     self.hear(now, token);
@@ -275,7 +278,9 @@
                 until => {
                     let state = G::state(&mut self.shared);
                     // A call that begins meanwhile brings it forward: an idle session is looked at in time.
-                    let again = until.unwrap_or(now + state.limits.linger).min(now + state.limits.call);
+                    let again = until
+                        .unwrap_or(now + state.limits.clients.linger_timeout)
+                        .min(now + state.limits.clients.request_timeout);
                     state.look(again, token);
                 }
             }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,22 +1,22 @@
 //! dahliaspoke: the coordinator before the query engines, round the decision module in the library.
 #![forbid(unsafe_code)]
 
-mod bodies;
+mod admin;
+mod body_store;
 mod check;
 mod config;
-mod console;
 mod core;
 mod daemon;
-mod files;
-mod front;
+mod discovery;
+mod failpoints;
 mod limits;
-mod link;
+mod listener;
 mod log;
-mod membership;
 mod mysql;
 mod net;
-mod points;
+mod shared_file;
 mod store;
+mod upstream;
 
 use std::process::ExitCode;
 
@@ -24,7 +24,7 @@
     "without words, starts as NODE_CONFIG says; `check FILE` checks a file of deploy/, or the configuration";
 
 fn main() -> ExitCode {
-    points::set();
+    failpoints::set();
     let words: Vec<String> = std::env::args().skip(1).collect();
     let end = match words.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
         [] => log::start()
--- a/src/mysql/auth.rs
+++ b/src/mysql/auth.rs
@@ -16,11 +16,11 @@
 }
 
 fn sha256(parts: &[&[u8]]) -> Vec<u8> {
-    parts.iter().fold(Sha256::new(), |hash, part| hash.chain_update(part)).finalize().to_vec()
+    parts.iter().fold(Sha256::new(), sha1::Digest::chain_update).finalize().to_vec()
 }
 
 fn sha1(parts: &[&[u8]]) -> Vec<u8> {
-    parts.iter().fold(Sha1::new(), |hash, part| hash.chain_update(part)).finalize().to_vec()
+    parts.iter().fold(Sha1::new(), sha1::Digest::chain_update).finalize().to_vec()
 }
 
 /// The answer to a challenge, as a client gives it; `None` for a plugin that is not spoken here.
--- a/src/mysql/config.rs
+++ b/src/mysql/config.rs
@@ -1,7 +1,7 @@
-//! The file that switches the MySQL door on: `deploy/mysql.toml`.
+//! The file that switches the `MySQL` door on: `deploy/mysql.toml`.
 
 use crate::config;
-use dahliaspoke::interface::Settings;
+use dahliaspoke::policy::Settings;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -81,7 +81,7 @@
 }
 
 impl Engine {
-    /// Where an engine's MySQL port is.
+    /// Where an engine's `MySQL` port is.
     pub fn address(&self, id: &str, told: Option<IpAddr>) -> Option<SocketAddr> {
         self.addresses.get(id).copied().or(told.map(|ip| SocketAddr::new(ip, self.port)))
     }
--- a/src/mysql/mod.rs
+++ b/src/mysql/mod.rs
@@ -1,5 +1,5 @@
-//! What both sides of the MySQL client/server protocol share: packets, values, authentication, the file
-//! that switches the MySQL door on.
+//! What both sides of the `MySQL` client/server protocol share: packets, values, authentication, the file
+//! that switches the `MySQL` door on.
 
 pub mod auth;
 pub mod config;
--- a/src/mysql/packet.rs
+++ b/src/mysql/packet.rs
@@ -1,4 +1,4 @@
-//! Packets of the MySQL client/server protocol (4.1 and later), and the values in them.
+//! Packets of the `MySQL` client/server protocol (4.1 and later), and the values in them.
 
 /// The bytes are no packet of the kind that is due.
 #[derive(Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 pub const EOF: u8 = 0xfe;
 pub const ERR: u8 = 0xff;
 
-/// utf8mb4_general_ci.
+/// `utf8mb4_general_ci`.
 pub const CHARSET: u8 = 45;
 /// The session commits by itself.
 pub const AUTOCOMMIT: u16 = 2;
--- a/src/net/listener.rs
+++ b/src/net/acceptor.rs
@@ -1,7 +1,7 @@
 //! A listening socket that takes connections only while there is room.
 
 use super::poller::polled;
-use super::{Channel, Poller, Token};
+use super::{BufferedStream, Poller, Token};
 use rustix::event::PollFlags;
 use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
 use std::io;
@@ -24,22 +24,22 @@
 /// Connections that may wait in the kernel's line.
 const LINE: i32 = 4096;
 
-pub struct Listener {
+pub struct Acceptor {
     socket: TcpListener,
     token: Token,
     poller: Rc<Poller>,
     armed: bool,
 }
 
-impl Listener {
+impl Acceptor {
     /// The place in a listener's token, which no connection has.
-    pub const PLACE: u32 = u32::MAX;
+    pub const SLOT: u32 = u32::MAX;
 
     pub fn new(part: u8, socket: TcpListener, poller: Rc<Poller>) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         // The library's own line is short: a crowd would fill it, and who comes then waits a second and more.
         rustix::net::listen(&socket, LINE)?;
-        let token = Token::new(part, Self::PLACE, 0);
+        let token = Token::new(part, Self::SLOT, 0);
         poller.add(&socket, token, false)?;
         Ok(Self { socket, token, poller, armed: true })
     }
@@ -50,14 +50,16 @@
 
     /// The next connection that waits, if there is one. Fails where one waits and the system has no descriptor or
     /// memory for it: it waits on.
-    pub fn accept(&self) -> io::Result<Option<Channel>> {
+    pub fn accept(&self) -> io::Result<Option<BufferedStream>> {
         loop {
             match self.socket.accept() {
-                Ok((stream, _)) => match Channel::accepted(stream) {
-                    Ok(channel) => return Ok(Some(channel)),
-                    Err(_) => continue, // it broke before it was taken
-                },
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => continue,
+                Ok((stream, _)) => {
+                    // One that broke before it was taken is passed over.
+                    if let Ok(stream) = BufferedStream::accepted(stream) {
+                        return Ok(Some(stream));
+                    }
+                }
+                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(None),
                 // The kernel looks for a descriptor before it looks whether anybody waits.
                 Err(_) if !self.is_waited_for() => return Ok(None),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,23 +1,23 @@
 //! The event loop's parts: epoll, connection objects with callbacks, buffers, timers, the clock, and
 //! the framing that more than one part speaks.
 
+mod acceptor;
 mod backoff;
-mod channel;
 mod clock;
-mod listener;
-mod part;
+mod event_handler;
 mod poller;
 pub mod resp;
-mod sleep;
-mod table;
+mod slab;
+mod stream;
+mod suspend;
 mod timers;
 
+pub use acceptor::{inherited, Acceptor};
 pub use backoff::Backoff;
-pub use channel::Channel;
 pub use clock::{Clock, Time};
-pub use listener::{inherited, Listener};
-pub use part::Part;
+pub use event_handler::EventHandler;
 pub use poller::{Poller, Ready, Token};
-pub use sleep::Sleep;
-pub use table::{Connection, Flow, Table};
-pub use timers::Timers;
+pub use slab::{Connection, ConnectionSlab, Flow};
+pub use stream::BufferedStream;
+pub use suspend::SuspendDetector;
+pub use timers::TimerQueue;
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -6,30 +6,33 @@
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 
-/// Names a descriptor to its owner: which part of the daemon, which place in it, which use of that place.
+/// Identifies a descriptor in epoll's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Token {
-    pub part: u8,
-    pub place: u32,
-    pub turn: u32,
+    /// The event handler that owns the descriptor.
+    pub owner: u8,
+    /// The descriptor's slot at its owner.
+    pub slot: u32,
+    /// How often the slot was used before: an event for an earlier use is stale.
+    pub generation: u32,
 }
 
-const TURN_BITS: u32 = 24;
+const GENERATION_BITS: u32 = 24;
 
 impl Token {
-    pub fn new(part: u8, place: u32, turn: u32) -> Self {
-        Self { part, place, turn: turn & ((1 << TURN_BITS) - 1) }
+    pub fn new(owner: u8, slot: u32, generation: u32) -> Self {
+        Self { owner, slot, generation: generation & ((1 << GENERATION_BITS) - 1) }
     }
 
     fn pack(self) -> u64 {
-        u64::from(self.part) << 56 | u64::from(self.turn) << 32 | u64::from(self.place)
+        u64::from(self.owner) << 56 | u64::from(self.generation) << 32 | u64::from(self.slot)
     }
 
     fn unpack(data: u64) -> Self {
         Self {
-            part: (data >> 56) as u8,
-            place: data as u32,
-            turn: (data >> 32) as u32 & ((1 << TURN_BITS) - 1),
+            owner: (data >> 56) as u8,
+            slot: data as u32,
+            generation: (data >> 32) as u32 & ((1 << GENERATION_BITS) - 1),
         }
     }
 }
--- a/src/net/table.rs
+++ b/src/net/slab.rs
@@ -1,7 +1,7 @@
-//! The connections of one part of the daemon, each an object with callbacks.
+//! The connections of one owner of the daemon, each an object with callbacks.
 
-use super::channel::Fill;
-use super::{Channel, Poller, Ready, Time, Token};
+use super::stream::Fill;
+use super::{BufferedStream, Poller, Ready, Time, Token};
 use std::io;
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
     /// The peer answers: what it has sent counts even after it has gone. Who asks and goes has nothing more to say.
     const ANSWERS: bool = false;
 
-    fn channel(&mut self) -> &mut Channel;
+    fn channel(&mut self) -> &mut BufferedStream;
 
     /// New bytes stand in the channel's input.
     fn readable(&mut self, now: Time, shared: &mut Self::Shared) -> Flow;
@@ -54,7 +54,7 @@
 const READS: usize = 64;
 
 struct Slot<C> {
-    turn: u32,
+    generation: u32,
     open: Option<Open<C>>,
 }
 
@@ -66,16 +66,16 @@
 }
 
 /// Connections by token.
-pub struct Table<C> {
-    part: u8,
+pub struct ConnectionSlab<C> {
+    owner: u8,
     poller: Rc<Poller>,
     slots: Vec<Slot<C>>,
     free: Vec<u32>,
 }
 
-impl<C: Connection> Table<C> {
-    pub fn new(part: u8, poller: Rc<Poller>) -> Self {
-        Self { part, poller, slots: Vec::new(), free: Vec::new() }
+impl<C: Connection> ConnectionSlab<C> {
+    pub fn new(owner: u8, poller: Rc<Poller>) -> Self {
+        Self { owner, poller, slots: Vec::new(), free: Vec::new() }
     }
 
     pub fn len(&self) -> usize {
@@ -84,23 +84,23 @@
 
     /// Takes in the connection that `make` builds round its own token, if it does.
     pub fn add(&mut self, make: impl FnOnce(Token) -> Option<C>) -> io::Result<Option<Token>> {
-        let place = self.free.last().copied().unwrap_or(self.slots.len() as u32);
-        let turn = self.slots.get(place as usize).map_or(0, |slot| slot.turn);
-        let token = Token::new(self.part, place, turn);
+        let index = self.free.last().copied().unwrap_or(self.slots.len() as u32);
+        let generation = self.slots.get(index as usize).map_or(0, |slot| slot.generation);
+        let token = Token::new(self.owner, index, generation);
         let Some(mut connection) = make(token) else { return Ok(None) };
         let write = connection.channel().connecting;
         self.poller.add(&connection.channel().stream, token, write)?;
         let open = Some(Open { connection, interest: (true, write), finishing: false, ended: false });
         match self.free.pop() {
-            Some(_) => self.slots[place as usize].open = open,
-            None => self.slots.push(Slot { turn, open }),
+            Some(_) => self.slots[index as usize].open = open,
+            None => self.slots.push(Slot { generation, open }),
         }
         Ok(Some(token))
     }
 
     fn open(&mut self, token: Token) -> Option<&mut Open<C>> {
-        let slot = self.slots.get_mut(token.place as usize)?;
-        slot.open.as_mut().filter(|_| Token::new(self.part, token.place, slot.turn) == token)
+        let slot = self.slots.get_mut(token.slot as usize)?;
+        slot.open.as_mut().filter(|_| Token::new(self.owner, token.slot, slot.generation) == token)
     }
 
     pub fn get(&mut self, token: Token) -> Option<&mut C> {
@@ -115,16 +115,16 @@
     /// The tokens of all connections.
     pub fn tokens(&self) -> Vec<Token> {
         let open = self.slots.iter().enumerate().filter(|(_, slot)| slot.open.is_some());
-        open.map(|(place, slot)| Token::new(self.part, place as u32, slot.turn)).collect()
+        open.map(|(index, slot)| Token::new(self.owner, index as u32, slot.generation)).collect()
     }
 
     /// The connection with the least of what `rank` gives, among those that it gives something.
     pub fn least<R: PartialOrd>(&self, rank: impl Fn(&C) -> Option<R>) -> Option<Token> {
         let mut least: Option<(R, Token)> = None;
-        for (place, slot) in self.slots.iter().enumerate() {
+        for (index, slot) in self.slots.iter().enumerate() {
             let Some(rank) = slot.open.as_ref().and_then(|open| rank(&open.connection)) else { continue };
             if least.as_ref().is_none_or(|(held, _)| rank < *held) {
-                least = Some((rank, Token::new(self.part, place as u32, slot.turn)));
+                least = Some((rank, Token::new(self.owner, index as u32, slot.generation)));
             }
         }
         least.map(|(_, token)| token)
@@ -137,7 +137,7 @@
     }
 
     /// Runs the callbacks that a ready descriptor calls for.
-    pub fn ready(&mut self, now: Time, ready: Ready, shared: &mut C::Shared) {
+    pub fn on_ready(&mut self, now: Time, ready: Ready, shared: &mut C::Shared) {
         let Some(open) = self.open(ready.token) else { return };
         let flow = open.step(now, ready, shared);
         self.settle(now, ready.token, flow, shared);
@@ -172,10 +172,10 @@
         if self.open(token).is_none() {
             return;
         }
-        let slot = &mut self.slots[token.place as usize];
+        let slot = &mut self.slots[token.slot as usize];
         let Some(mut open) = slot.open.take() else { return };
-        slot.turn = slot.turn.wrapping_add(1);
-        self.free.push(token.place);
+        slot.generation = slot.generation.wrapping_add(1);
+        self.free.push(token.slot);
         open.connection.closed(now, shared);
     }
 }
--- a/src/net/channel.rs
+++ b/src/net/stream.rs
@@ -45,7 +45,7 @@
 }
 
 /// A non-blocking TCP connection.
-pub struct Channel {
+pub struct BufferedStream {
     pub stream: TcpStream,
     pub input: Vec<u8>,
     output: VecDeque<Message>,
@@ -63,7 +63,7 @@
     pub refused: bool,
 }
 
-impl Channel {
+impl BufferedStream {
     /// Around a socket that was accepted.
     pub fn accepted(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
--- a/src/net/sleep.rs
+++ b/src/net/suspend.rs
@@ -4,14 +4,14 @@
 
 /// What a process slept over it has to make up for: the list is old, and what waits in its sockets may have come at any
 /// time since it last looked.
-pub struct Sleep {
+pub struct SuspendDetector {
     /// When the loop last ran.
     looked: Time,
     /// Since when what is read may have waited, and until when that counts.
     waited: (Time, Time),
 }
 
-impl Sleep {
+impl SuspendDetector {
     pub fn new(now: Time) -> Self {
         Self { looked: now, waited: (now, now) }
     }
--- a/src/net/timers.rs
+++ b/src/net/timers.rs
@@ -7,7 +7,7 @@
 struct Entry<T> {
     at: Time,
     turn: u64,
-    alarm: T,
+    on_timer: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -28,31 +28,31 @@
 }
 
 /// Alarms by time; those of one time in the order they were set.
-pub struct Timers<T> {
+pub struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     turn: u64,
 }
 
-impl<T> Default for Timers<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
         Self { heap: BinaryHeap::new(), turn: 0 }
     }
 }
 
-impl<T> Timers<T> {
-    pub fn set(&mut self, at: Time, alarm: T) {
+impl<T> TimerQueue<T> {
+    pub fn set(&mut self, at: Time, on_timer: T) {
         self.turn += 1;
-        self.heap.push(Reverse(Entry { at, turn: self.turn, alarm }));
+        self.heap.push(Reverse(Entry { at, turn: self.turn, on_timer }));
     }
 
     /// When the nearest alarm is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_deadline(&self) -> Option<Time> {
         self.heap.peek().map(|entry| entry.0.at)
     }
 
     /// Takes out one alarm that is due.
     pub fn due(&mut self, now: Time) -> Option<T> {
-        self.next().filter(|at| *at <= now)?;
-        self.heap.pop().map(|entry| entry.0.alarm)
+        self.next_deadline().filter(|at| *at <= now)?;
+        self.heap.pop().map(|entry| entry.0.on_timer)
     }
 }
--- a/src/interface.rs
+++ b/src/policy/interface.rs
@@ -11,18 +11,18 @@
 
 /// How far a class may be repeated once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
-    Repeatable,
+    Always,
     /// Repeats are dropped inside a group of engines, for a while.
-    Keyed,
+    WithKey,
     /// Must never run twice.
-    Once,
+    Never,
 }
 
 /// The engines that drop a keyed request's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All engines together.
     All,
     /// Those of one zone.
@@ -36,24 +36,24 @@
 pub struct ClassSettings {
     /// Its name.
     pub name: String,
-    /// Full worth is earned within this many seconds plus `aim_stretch` times work over threads.
-    pub aim: f64,
-    /// See `aim`.
-    pub aim_stretch: f64,
+    /// Full worth is earned within this many seconds plus `objective_stretch` times work over threads.
+    pub latency_objective: f64,
+    /// See `latency_objective`.
+    pub objective_stretch: f64,
     /// Seconds that a client waits in all.
-    pub give_up: f64,
+    pub client_timeout: f64,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth still earned after the aim.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// How it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes: who drops repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For keyed classes: how long repeats are dropped, from the first send that may have run (seconds).
-    pub memory_span: f64,
+    pub dedup_window: f64,
     /// Requests with one key run one at a time, in order.
-    pub in_order: bool,
+    pub ordered: bool,
     /// The answer is a stream.
     pub stream: bool,
     /// The only zones it may go to, if it is bound.
@@ -92,9 +92,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Attempts that are always allowed in a window.
-    pub free: f64,
+    pub min_attempts: f64,
     /// Attempts allowed per request taken in the window.
-    pub share: f64,
+    pub attempts_per_request: f64,
     /// The window (seconds).
     pub window: f64,
 }
@@ -111,39 +111,39 @@
     /// How many gateways share the engines.
     pub gateways: f64,
     /// The number of this gateway among them, from 0.
-    pub number: f64,
+    pub index: f64,
     /// The zone of this gateway.
     pub zone: String,
     /// Points that a send to another zone costs, in requests served.
-    pub cross_price: f64,
+    pub cross_zone_cost: f64,
     /// The same for a new connection to an engine.
-    pub handshake_price: f64,
+    pub handshake_cost: f64,
     /// The list must be subscribed to.
     pub must_subscribe: bool,
     /// Attempts may be cancelled, which frees what they held.
     pub may_cancel: bool,
     /// Two attempts of one request may be out together.
-    pub may_copy: bool,
+    pub may_hedge: bool,
     /// Refusals may carry a come-back time, of so many seconds at most.
-    pub come_back: Option<f64>,
+    pub retry_after: Option<f64>,
     /// Priorities are heeded.
     pub priorities: bool,
     /// The memory that a query is granted may be set.
     pub grants: bool,
     /// Successful outcomes tell the work and memory that the query needed.
-    pub tells_cost: bool,
+    pub reports_cost: bool,
     /// Attempts that one request may have.
     pub max_attempts: u32,
     /// Shortest time between two batches of events (seconds).
     pub tick: f64,
     /// A starting engine has at least this share of its capacity.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// A starting engine is warm after so many seconds.
-    pub cold_for: f64,
+    pub warmup_time: f64,
     /// More than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for so many seconds pushes a cold engine over.
-    pub fall_window: f64,
+    pub overload_window: f64,
     /// Rest of a key after an attempt that may still run (seconds).
     pub order_settle: f64,
     /// Budget for further attempts, if there is one.
@@ -181,7 +181,7 @@
 
 /// What a list event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum ListScope {
     /// Changed entries only.
     Changes,
     /// The complete list.
@@ -192,7 +192,7 @@
 
 /// An engine's load report; a field that is not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of the cores in use.
     pub util: Option<f64>,
     /// Queries that wait for memory.
@@ -223,13 +223,14 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    Expired,
 }
 
 impl Outcome {
     /// Whether it proves that the attempt never ran.
+    #[must_use]
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Unsent | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Unsent | Outcome::Expired)
     }
 }
 
@@ -245,20 +246,21 @@
     /// Key of classes that run in order.
     pub key: Option<Arc<str>>,
     /// Seconds until the client gives up.
-    pub left: f64,
+    pub time_left: f64,
     /// Estimated work (ms of one thread), if told.
     pub work: Option<f64>,
     /// Estimated memory (MB), if told.
     pub memory: Option<f64>,
     /// Group of tables that it reads or writes.
     pub tables: i64,
-    /// Its body is passed on as it comes from the client: how long an attempt takes says nothing of an engine.
+    /// Its body is passed on as it comes from the client: how long an attempt takes says nothing of an
+    /// engine.
     pub uploading: bool,
 }
 
 /// How an attempt ended, and what came along.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt, from 0.
@@ -272,12 +274,12 @@
     /// Memory that the query needed (MB), where told.
     pub memory: Option<f64>,
     /// The engine's load report, where one came along.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// News of an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Progress {
     /// The share done, roughly.
     Done(f64),
     /// It spills to disk: so many MB are missing.
@@ -292,9 +294,9 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the engine list.
-    Engines(Scope, Vec<EngineEntry>),
+    EngineList(ListScope, Vec<EngineEntry>),
     /// A call to the list failed, or the subscription broke.
-    ListFailed,
+    DiscoveryFailed,
     /// A client's query; it is owed one final answer.
     Query(Query),
     /// A stream has started; from here it is the client's.
@@ -303,31 +305,32 @@
         id: RequestId,
     },
     /// The request's body is gone: no further attempt can be sent.
-    Spent {
+    BodyDropped {
         /// The request.
         id: RequestId,
     },
     /// An attempt has ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnd),
     /// News of an attempt that is out.
-    Noted {
+    Progress {
         /// The request.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
         /// What is told.
-        note: Note,
+        progress: Progress,
     },
     /// The client has gone; nothing is owed any more.
-    ClientLeft {
+    ClientGone {
         /// The request.
         id: RequestId,
     },
     /// A timer has come due.
     Timer(u64),
     /// The gateway ends before its requests do: none may stay without an answer.
-    Ending,
-    /// Other settings count from here on, with the same classes in the same order. What was learnt stays, and so do
+    Shutdown,
+    /// Other settings count from here on, with the same classes in the same order. What was learnt stays,
+    /// and so do
     /// the deadlines of what is open.
     Settings(Box<Settings>),
 }
@@ -343,7 +346,8 @@
         engine: EngineId,
         /// Time-out in seconds; `None`: until the client gives up.
         timeout: Option<f64>,
-        /// Seconds within which its first byte has to go out, or it is not sent at all; `None`: as the time-out.
+        /// Seconds within which its first byte has to go out, or it is not sent at all; `None`: as the
+        /// time-out.
         within: Option<f64>,
     },
     /// Call an attempt off.
@@ -354,11 +358,11 @@
         attempt: u32,
     },
     /// Final answer: not served, and asking again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Seconds after which the client should come back.
-        come_back: Option<f64>,
+        retry_after: Option<f64>,
     },
     /// Final answer: not served, nothing promised.
     Fail {
@@ -366,7 +370,7 @@
         id: RequestId,
     },
     /// Memory and priority of the request's attempts from here on.
-    Terms {
+    SetTerms {
         /// The request.
         id: RequestId,
         /// Memory to grant (MB); `None` leaves it to the engine.
--- a/src/choice.rs
+++ b/src/policy/mod.rs
@@ -4,13 +4,18 @@
 //! query goes where a weighted draw puts it and the bound has room, and a PI loop moves the bound each
 //! second toward a set-point of the mean delay-to-deadline ratio (DDR). The rest are documented exceptions.
 
-use crate::interface::*;
-use crate::rings::{places, Seat};
-use crate::running::{uniform, Mean, Quantile};
+mod estimators;
+mod interface;
+pub mod subsetting;
+
+pub use interface::*;
+
+use estimators::{uniform, Mean, Quantile};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
+use subsetting::{places, Seat};
 
 // ---- Tuned constants: value, unit, reason ----
 
@@ -165,7 +170,7 @@
     // backlog
     flights: BTreeMap<(u64, u32), Flight>,
     ghosts: Vec<(f64, f64)>,
-    load: Report,
+    load: LoadReport,
     sent_since: f64,
     holds: BTreeMap<i64, f64>, // tables that a note told a load to hold, and until when that is believed
     // health
@@ -211,7 +216,7 @@
 }
 
 /// One gateway's decisions.
-pub struct Gateway {
+pub struct Policy {
     settings: Settings,
     rng: Pcg64Mcg,
     next_number: u64,
@@ -238,13 +243,14 @@
 
 type Out = Vec<Action>;
 
-impl Gateway {
+impl Policy {
     /// A gateway that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let top = settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
-        let untold = if settings.tells_cost { 1.0 } else { SLACK_UNTOLD };
-        let slack =
-            |c: &ClassSettings| untold * SLACK * (top / c.worth.max(top * 1e-3).max(1e-9)).powf(SLACK_SPREAD);
+        let top = settings.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
+        let untold = if settings.reports_cost { 1.0 } else { SLACK_UNTOLD };
+        let slack = |c: &ClassSettings| {
+            untold * SLACK * (top / c.priority_weight.max(top * 1e-3).max(1e-9)).powf(SLACK_SPREAD)
+        };
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             next_number: 1,
@@ -272,11 +278,13 @@
     }
 
     /// Requests, engines and keys that state is kept of, for operators and tests.
+    #[must_use]
     pub fn known(&self) -> (usize, usize, usize) {
         (self.requests.len(), self.engines.len(), self.turns.len())
     }
 
     /// Bound and backlog (ms of work) of an engine, and whether it is ejected, for operators and tests.
+    #[must_use]
     pub fn engine(&self, id: &str) -> Option<(f64, f64, bool)> {
         self.engines.get(id).map(|e| (e.bound, e.backlog(), e.ejected))
     }
@@ -295,16 +303,16 @@
             out.extend(self.settings.must_subscribe.then_some(Action::Subscribe));
         }
         match event {
-            Event::Engines(scope, entries) => self.on_list(now, scope, entries),
+            Event::EngineList(scope, entries) => self.on_list(now, scope, entries),
             // A gateway that stopped asking would go on sending to engines that drain.
-            Event::ListFailed => out.push(Action::SetTimer { after: LIST_AGAIN, token: LIST_TOKEN }),
+            Event::DiscoveryFailed => out.push(Action::SetTimer { after: LIST_AGAIN, token: LIST_TOKEN }),
             Event::Query(query) => self.on_query(now, query, out),
             Event::StreamStarted { id } => self.mark(&id, |request| request.streaming = true),
-            Event::Spent { id } => self.mark(&id, |request| request.spent = true),
-            Event::Ended(ended) => self.on_ended(now, ended, out),
-            Event::Noted { id, attempt, note } => self.on_note(now, &id, attempt, note, out),
-            Event::ClientLeft { id } => {
-                self.numbers.get(&id).copied().into_iter().for_each(|n| self.close(n, out))
+            Event::BodyDropped { id } => self.mark(&id, |request| request.spent = true),
+            Event::AttemptEnded(ended) => self.on_ended(now, ended, out),
+            Event::Progress { id, attempt, progress } => self.on_note(now, &id, attempt, progress, out),
+            Event::ClientGone { id } => {
+                self.numbers.get(&id).copied().into_iter().for_each(|n| self.close(n, out));
             }
             Event::Settings(settings) => {
                 let Self { settings, slack, tenants, .. } = Self::new(*settings, 0);
@@ -313,8 +321,13 @@
             Event::Timer(TICK_TOKEN) => self.on_tick(now, out),
             Event::Timer(LIST_TOKEN) => out.push(Action::Subscribe),
             Event::Timer(number) => self.give_up(number, out), // its time is up
-            Event::Ending => {
-                Vec::from_iter(self.requests.keys().copied()).into_iter().for_each(|n| self.give_up(n, out));
+            Event::Shutdown => {
+                self.requests
+                    .keys()
+                    .copied()
+                    .collect::<Vec<_>>()
+                    .into_iter()
+                    .for_each(|n| self.give_up(n, out));
             }
         }
         self.advance(now, out);
@@ -328,8 +341,8 @@
 
     // ---- Following the list ----
 
-    fn on_list(&mut self, now: f64, scope: Scope, entries: Vec<EngineEntry>) {
-        self.engines.values_mut().for_each(|engine| engine.listed &= scope == Scope::Changes);
+    fn on_list(&mut self, now: f64, scope: ListScope, entries: Vec<EngineEntry>) {
+        self.engines.values_mut().for_each(|engine| engine.listed &= scope == ListScope::Changes);
         for entry in entries {
             let kind = self.settings.kinds.iter().find(|k| *k.name == *entry.kind);
             let cores = kind.map_or(1.0, |k| k.cores.max(1.0));
@@ -353,12 +366,12 @@
             let known = self.engines.entry(entry.id.clone()).or_insert_with(fresh);
             // A new process: cold, with nothing of what the old one had. What this gateway sent before its
             // own restart is not known, so the first window counts as spent (rule 4).
-            if started > known.started && now - started < self.settings.cold_for {
+            if started > known.started && now - started < self.settings.warmup_time {
                 let flights = std::mem::take(&mut known.flights);
                 let warmth = self.settings.warmth(now - started);
                 *known = Engine { flights, bound: start * warmth, warmth, ..fresh() };
-                if scope == Scope::Restored {
-                    known.cold_spent_until = now + self.settings.fall_window;
+                if scope == ListScope::Restored {
+                    known.cold_spent_until = now + self.settings.overload_window;
                 }
             }
             known.started = known.started.max(started);
@@ -371,7 +384,7 @@
             .map(|e| (&e.entry, if e.listed { e.cores } else { 0.0 }))
             .map(|(entry, cores)| Seat { id: &entry.id, zone: &entry.zone, cores })
             .collect();
-        let places = places(&seats, &self.settings.zone, self.settings.number, self.settings.gateways);
+        let places = places(&seats, &self.settings.zone, self.settings.index, self.settings.gateways);
         self.engines.values_mut().zip(places).for_each(|(engine, place)| engine.place = place);
     }
 
@@ -389,9 +402,9 @@
         let cost = self.estimate(&query);
         let over_share = self.is_over_share(now, query.tenant);
         self.classes[query.class].demand += cost / LATELY;
-        let left = query.left;
+        let left = query.time_left;
         self.numbers.insert(query.id.clone(), number);
-        if let (true, Some(key)) = (self.settings.classes[query.class].in_order, query.key.clone()) {
+        if let (true, Some(key)) = (self.settings.classes[query.class].ordered, query.key.clone()) {
             self.turns.entry(key).or_default().line.push_back(number);
         }
         let request = Request { query, deadline: now + left, cost, over_share, ..Request::default() };
@@ -408,7 +421,7 @@
     fn estimate(&mut self, query: &Query) -> f64 {
         let settings = &self.settings.classes[query.class];
         let class = &mut self.classes[query.class];
-        let blind = settings.aim * 1000.0 * settings.threads / 4.0;
+        let blind = settings.latency_objective * 1000.0 * settings.threads / 4.0;
         let Some(told) = query.work else { return class.work.get().or(class.cost.get()).unwrap_or(blind) };
         class.told.add(told, MEAN_STEP);
         let cost = told * class.unit.value.exp();
@@ -438,7 +451,10 @@
     /// The same for a middling query of the class.
     fn usual_sigma(&self, class: usize) -> f64 {
         let settings = &self.settings.classes[class];
-        self.classes[class].cost.get().map_or(settings.aim / 4.0, |c| c / settings.threads.max(1.0) / 1000.0)
+        self.classes[class]
+            .cost
+            .get()
+            .map_or(settings.latency_objective / 4.0, |c| c / settings.threads.max(1.0) / 1000.0)
     }
 
     /// Sends the request, holds it for its turn, or gives it up.
@@ -460,13 +476,12 @@
             self.held.insert(number);
             return;
         }
-        match self.pick(now, number) {
-            Some(engine) => self.send(now, number, engine, out),
-            None => {
-                // A query turned away made full use of the bounds, whatever the backlog was.
-                self.turned_away = true;
-                self.give_up(number, out)
-            }
+        if let Some(engine) = self.pick(now, number) {
+            self.send(now, number, engine, out);
+        } else {
+            // A query turned away made full use of the bounds, whatever the backlog was.
+            self.turned_away = true;
+            self.give_up(number, out);
         }
     }
 
@@ -487,8 +502,8 @@
         let shared = 2 * sound < live().count() || allowed.iter().all(|e| e.ejected);
         allowed.retain(|e| shared || !e.ejected);
         // Past its aim a query earns little; in a jam it would only delay those still in time.
-        let aim = settings.aim + settings.aim_stretch * self.sigma(request);
-        let late = now - (request.deadline - request.query.left) > aim;
+        let latency_objective = settings.latency_objective + settings.objective_stretch * self.sigma(request);
+        let late = now - (request.deadline - request.query.time_left) > latency_objective;
         let room = self.share * if request.over_share || late { SECOND_ROOM } else { 1.0 };
         let mut order: Vec<(f64, &Engine)> = Vec::new();
         let reach = self.reach();
@@ -501,11 +516,11 @@
             weight /= engine.trouble(now).powi(2);
             // Those whose turn it is send a cold engine what it bears for all, from wherever they are.
             let turns = self.cold_turns(now, engine, class).map_or(f64::INFINITY, |(turns, _)| turns);
-            let urge = (self.settings.gateways / turns * self.settings.cold_share).max(1.0);
+            let urge = (self.settings.gateways / turns * self.settings.initial_capacity_share).max(1.0);
             let far = f64::from(engine.place > reach && now - engine.used > KEPT);
             let away = f64::from(engine.place > 1.0);
-            let price = NEW_PRICED * self.settings.handshake_price * far
-                + AWAY_PRICED * self.settings.cross_price * away;
+            let price = NEW_PRICED * self.settings.handshake_cost * far
+                + AWAY_PRICED * self.settings.cross_zone_cost * away;
             weight *= urge * if urge > RARE { 1.0 } else { (-price).exp() };
             // Another gateway's load is seen only by its readers of the group that stand still.
             let stands = |f: &Flight| f.is_load || now - f.sent > STALL_TIMES * f.expected;
@@ -578,14 +593,15 @@
         let owed = !request.finished && !request.streaming && !request.spent && now < request.deadline;
         let tries = (request.attempts.len() as u32) < self.settings.max_attempts;
         let there = |a: &Attempt| a.fate == Fate::MayHaveRun && a.engine == engine.entry.id; // it may run on
-        let apart = self.settings.may_copy || !request.out() && !request.attempts.iter().any(there);
-        let at_home = |a: &Attempt| class.group == Group::Zone || a.home.1 == engine.entry.cell;
-        let near = |a: &Attempt| class.group == Group::All || a.home.0 == engine.entry.zone && at_home(a);
+        let apart = self.settings.may_hedge || !request.out() && !request.attempts.iter().any(there);
+        let at_home = |a: &Attempt| class.dedup_scope == DedupScope::Zone || a.home.1 == engine.entry.cell;
+        let near =
+            |a: &Attempt| class.dedup_scope == DedupScope::All || a.home.0 == engine.entry.zone && at_home(a);
         let harmless =
-            request.attempts.iter().filter(|a| a.fate != Fate::NeverRan).all(|a| match class.effect {
-                Effect::Repeatable => true,
-                Effect::Once => false,
-                Effect::Keyed => near(a) && now + self.settings.tick < a.sent + class.memory_span,
+            request.attempts.iter().filter(|a| a.fate != Fate::NeverRan).all(|a| match class.idempotency {
+                Idempotency::Always => true,
+                Idempotency::Never => false,
+                Idempotency::WithKey => near(a) && now + self.settings.tick < a.sent + class.dedup_window,
             });
         let allowed = engine.live() && owed && tries && apart && harmless && placed(class, &engine.entry);
         let rationed = request.attempts.is_empty() || self.within_budget(now);
@@ -598,14 +614,14 @@
         let from = now - budget.window;
         let again = self.again.iter().filter(|a| a.0 >= from - self.settings.tick).count() as f64;
         let taken = self.taken.iter().filter(|t| **t > from + self.settings.tick).count() as f64;
-        again + 1.0 <= budget.free + budget.share * taken
+        again + 1.0 <= budget.min_attempts + budget.attempts_per_request * taken
     }
 
     /// What the usual query of a class weighs (ms of work), on the careful side.
     fn usual_work(&self, class: usize) -> f64 {
         let stats = &self.classes[class];
         let settings = &self.settings.classes[class];
-        let blind = settings.aim * 1000.0 * settings.threads / 2.0;
+        let blind = settings.latency_objective * 1000.0 * settings.threads / 2.0;
         let told = stats.cost.get().zip(stats.told.get()).map(|(cost, told)| cost.max(told));
         stats.work.get().or(told).unwrap_or(blind)
     }
@@ -614,13 +630,13 @@
     fn cold_room(&self, now: f64, engine: &Engine, class: usize) -> bool {
         let Some((turns, share)) = self.cold_turns(now, engine, class) else { return true };
         let s = &self.settings;
-        let (from, work) = (now - s.fall_window, self.usual_work(class));
+        let (from, work) = (now - s.overload_window, self.usual_work(class));
         let counts = |x: &&(f64, f64, usize)| x.0 >= from && (share.is_some() || x.2 == class);
         let sent: f64 = engine.sends.iter().filter(counts).map(|x| x.1).sum();
         // Golden-section steps bring every gateway to its turn, each engine from a place of its own.
         let first = engine.entry.id.bytes().fold(0.0, |sum, byte| sum * 31.0 % 65537.0 + f64::from(byte));
-        let window = (now / s.fall_window.max(1e-9)).floor();
-        let place = (s.number + first + window * 0.618 * s.gateways) % s.gateways;
+        let window = (now / s.overload_window.max(1e-9)).floor();
+        let place = (s.index + first + window * 0.618 * s.gateways) % s.gateways;
         let room = share.map_or(sent == 0.0, |share| sent + work <= share);
         now >= engine.cold_spent_until && place < turns && room
     }
@@ -631,12 +647,13 @@
     fn cold_turns(&self, now: f64, engine: &Engine, class: usize) -> Option<(f64, Option<f64>)> {
         let s = &self.settings;
         let started = engine.started.max(engine.unreached);
-        if now - started >= s.cold_for {
+        if now - started >= s.warmup_time {
             return None;
         }
-        let age = ((now - s.fall_window - started) / s.cold_for.max(1e-9)).clamp(0.0, 1.0);
-        let capacity = (s.cold_share + (1.0 - s.cold_share) * 0.5 * age) * engine.cores * 1000.0;
-        let budget = s.fall_multiple * capacity * s.fall_window;
+        let age = ((now - s.overload_window - started) / s.warmup_time.max(1e-9)).clamp(0.0, 1.0);
+        let capacity =
+            (s.initial_capacity_share + (1.0 - s.initial_capacity_share) * 0.5 * age) * engine.cores * 1000.0;
+        let budget = s.overload_multiple * capacity * s.overload_window;
         if COLD_CAUTION * budget >= s.gateways * self.cost.value {
             return Some((s.gateways, Some(COLD_ALL * budget / s.gateways)));
         }
@@ -645,8 +662,8 @@
     }
 
     fn turn_of(&self, request: &Request) -> Option<&Turn> {
-        let in_order = self.settings.classes[request.query.class].in_order;
-        request.query.key.as_ref().filter(|_| in_order).and_then(|key| self.turns.get(key))
+        let ordered = self.settings.classes[request.query.class].ordered;
+        request.query.key.as_ref().filter(|_| ordered).and_then(|key| self.turns.get(key))
     }
 
     /// Rule 5: it is first of its key, and the key has rested.
@@ -670,19 +687,22 @@
         let expected = sigma.max(0.5 * usual) * slowdown;
         let expected = if request.query.uploading { left.max(expected) } else { expected };
         let recall = (RECALL * expected).max(RECALL_LEAST);
-        let aim = class.aim + class.aim_stretch * sigma;
-        let patience = if self.settings.may_cancel { recall } else { recall.max(PATIENCE_AIMS * aim) };
+        let latency_objective = class.latency_objective + class.objective_stretch * sigma;
+        let patience =
+            if self.settings.may_cancel { recall } else { recall.max(PATIENCE_AIMS * latency_objective) };
         // A reader that goes where a load holds its tables does so for want of a better place, and waits.
         let held = class.yields_to_loads && self.engines[&id].holds(now, request.query.tables);
         let patience = patience + if held { self.load_time() } else { 0.0 };
         let more = (request.attempts.len() as u32 + 1) < self.settings.max_attempts;
-        let retried = class.effect == Effect::Repeatable && more && patience + usual < left;
+        let retried = class.idempotency == Idempotency::Always && more && patience + usual < left;
         let timeout = retried.then_some(patience);
         let memory = self.grant(request);
         // Past its window a repeat is none: it must not go out late either.
-        let ran =
-            request.attempts.iter().filter(|a| a.fate != Fate::NeverRan && class.effect == Effect::Keyed);
-        let within = ran.map(|a| a.sent + class.memory_span - self.settings.tick - now).reduce(f64::min);
+        let ran = request
+            .attempts
+            .iter()
+            .filter(|a| a.fate != Fate::NeverRan && class.idempotency == Idempotency::WithKey);
+        let within = ran.map(|a| a.sent + class.dedup_window - self.settings.tick - now).reduce(f64::min);
         let told_memory = request.query.memory.unwrap_or(0.0);
         let (cost, tables, is_load) = (request.cost, request.query.tables, class.is_load);
         let (attempt, request_id) = (request.attempts.len() as u32, request.query.id.clone());
@@ -705,7 +725,7 @@
         }
         self.peak = self.peak.max(self.engines.values().map(Engine::backlog).sum());
         if self.settings.priorities || memory.is_some() {
-            out.push(Action::Terms { id: request_id.clone(), memory, rank });
+            out.push(Action::SetTerms { id: request_id.clone(), memory, rank });
         }
         out.push(Action::Send { id: request_id, engine: id, timeout, within });
     }
@@ -718,13 +738,13 @@
         }
         let class = &self.settings.classes[request.query.class];
         let clean = request.attempts.iter().all(|a| a.fate == Fate::NeverRan);
-        let everywhere = class.effect == Effect::Keyed && class.group == Group::All;
-        let harmless = class.effect == Effect::Repeatable || everywhere;
+        let everywhere = class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All;
+        let harmless = class.idempotency == Idempotency::Always || everywhere;
         let id = request.query.id.clone();
         if clean || harmless {
-            let usual = COME_BACK_AIMS * class.aim * (0.5 + uniform(&mut self.rng));
-            let come_back = self.settings.come_back.map(|most| usual.min(most));
-            out.push(Action::Refuse { id, come_back });
+            let usual = COME_BACK_AIMS * class.latency_objective * (0.5 + uniform(&mut self.rng));
+            let retry_after = self.settings.retry_after.map(|most| usual.min(most));
+            out.push(Action::Reject { id, retry_after });
         } else {
             out.push(Action::Fail { id });
         }
@@ -763,7 +783,7 @@
 
     // ---- Outcomes ----
 
-    fn on_ended(&mut self, now: f64, mut ended: Ended, out: &mut Out) {
+    fn on_ended(&mut self, now: f64, mut ended: AttemptEnd, out: &mut Out) {
         let Some(&number) = self.numbers.get(&ended.id) else { return };
         let Some(request) = self.requests.get_mut(&number) else { return };
         let attempt = request.attempts.get_mut(ended.attempt as usize);
@@ -774,7 +794,7 @@
         let may_run_on = matches!(ended.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         // No query does more work than its engine could in all of its time: such a figure is not believed.
         let most = self.engines.get(&attempt.engine).map_or(0.0, |e| WORK_TIMES * 1000.0 * e.cores);
-        ended.work = ended.work.filter(|work| *work <= most * request.query.left);
+        ended.work = ended.work.filter(|work| *work <= most * request.query.time_left);
         let turn = request.query.key.as_ref().and_then(|key| self.turns.get_mut(key));
         if let Some(turn) = turn.filter(|_| may_run_on) {
             turn.rest_until = now + self.settings.order_settle + 2.0 * self.settings.tick;
@@ -790,7 +810,7 @@
             self.close(number, out);
         } else if !request.out() {
             // Out of time to be of use, or never sent by the wire's own word: answered at once.
-            if ended.outcome == Outcome::Moot || request.deadline - now < 2.0 * self.settings.tick {
+            if ended.outcome == Outcome::Expired || request.deadline - now < 2.0 * self.settings.tick {
                 self.give_up(number, out);
             } else {
                 self.dispatch(now, number, out);
@@ -822,7 +842,7 @@
     /// - a spill, once, with what it lacks: estimates that are off. May hurt where notes are late.
     /// - a wait for memory: engines fuller than any report tells. May hurt where all have lines.
     /// - a pace that leaves twice the expected delay to go: bad plans, engines gone slow.
-    fn on_note(&mut self, now: f64, id: &RequestId, attempt: u32, note: Note, out: &mut Out) {
+    fn on_note(&mut self, now: f64, id: &RequestId, attempt: u32, progress: Progress, out: &mut Out) {
         let Some(&number) = self.numbers.get(id) else { return };
         let request = &self.requests[&number];
         if attempt as usize + 1 != request.attempts.len() || !request.out() || request.finished {
@@ -831,11 +851,12 @@
         if let Some(engine) = self.engines.get_mut(&request.attempts[attempt as usize].engine) {
             engine.last_heard = now;
         }
-        let safe = self.settings.classes[request.query.class].effect == Effect::Repeatable;
+        let safe = self.settings.classes[request.query.class].idempotency == Idempotency::Always;
         // One that has told of a wait and has done nothing since still waits.
-        let waits =
-            request.attempts[attempt as usize].noted.is_none() && matches!(note, Note::Done(s) if s <= 0.0);
-        let moves = waits || !matches!(note, Note::Done(_)); // these leave one try in hand for failures
+        let waits = request.attempts[attempt as usize].noted.is_none()
+            && matches!(progress, Progress::Done(s) if s <= 0.0);
+        // these leave one try in hand for failures
+        let moves = waits || !matches!(progress, Progress::Done(_));
         let more = attempt + 1 + u32::from(moves) < self.settings.max_attempts && self.within_budget(now);
         let (again, sigma) = (safe && more && self.settings.may_cancel, self.sigma(request));
         let (tables, load) = (request.query.tables, self.load_time());
@@ -843,24 +864,24 @@
         let elsewhere = self.engines.values().filter(free).any(|e| !tried_there(request, e));
         let Some(request) = self.requests.get_mut(&number) else { return };
         let tried = &mut request.attempts[attempt as usize];
-        let worth = match (note, request.granted) {
-            (Note::Spills(missing), Some(granted)) if request.needs.is_none() => {
+        let priority_weight = match (progress, request.granted) {
+            (Progress::Spills(missing), Some(granted)) if request.needs.is_none() => {
                 request.needs = Some(granted + missing);
                 sigma * missing / (granted + missing) > 2.0 * self.settings.tick
             }
-            (Note::WaitsForMemory, _) => {
+            (Progress::WaitsForMemory, _) => {
                 tried.noted = None; // its pace counts from the first news after that
                 true
             }
-            (Note::WaitsForLoad, _) => {
+            (Progress::WaitsForLoad, _) => {
                 tried.noted = None; // it stands still: no pace until it goes on
                 if let Some(engine) = self.engines.get_mut(&tried.engine) {
                     engine.holds.insert(tables, now + HOLDS_FOR * load);
                 }
                 elsewhere
             }
-            (Note::Done(_), _) if waits => elsewhere,
-            (Note::Done(share), _) => {
+            (Progress::Done(_), _) if waits => elsewhere,
+            (Progress::Done(share), _) => {
                 let (since, had) = *tried.noted.get_or_insert((now, share));
                 let rest = (now - since) * (1.0 - share) / (share - had).max(0.01);
                 tried.whole = Some(now - tried.sent + rest);
@@ -868,7 +889,7 @@
             }
             _ => false,
         };
-        if again && worth && (elsewhere || self.settings.may_copy) {
+        if again && priority_weight && (elsewhere || self.settings.may_hedge) {
             tried.moved = moves;
             out.push(Action::Cancel { id: id.clone(), attempt });
         }
@@ -885,7 +906,7 @@
         let request = &self.requests[&number];
         let Some(told) = request.query.memory.filter(|_| request.granted.is_some()) else { return };
         let (s, at) = (&self.settings, request.query.class);
-        let cheap = s.may_cancel && s.max_attempts > 2 && s.classes[at].effect == Effect::Repeatable;
+        let cheap = s.may_cancel && s.max_attempts > 2 && s.classes[at].idempotency == Idempotency::Always;
         let grant = &mut self.classes[at].grant;
         let short = need.or(request.needs).is_some_and(|need| need > told * grant.value.exp());
         grant.add(short, if cheap && need.is_some() { 0.5 } else { GRANT_QUANTILE });
@@ -894,7 +915,7 @@
     // ---- Health ----
 
     /// Takes an outcome into the engine's backlog, loop and health.
-    fn judge(&mut self, now: f64, number: u64, ended: &Ended, delay: f64) {
+    fn judge(&mut self, now: f64, number: u64, ended: &AttemptEnd, delay: f64) {
         let request = &self.requests[&number];
         let sigma = self.sigma(request).max(1e-4);
         let expected = sigma.max(0.5 * self.usual_sigma(request.query.class));
@@ -919,7 +940,7 @@
         let ran = matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Cancelled);
         match outcome {
             // It never went out: it spent nothing of the budget for further attempts.
-            Outcome::Moot => return self.again.retain(|a| (a.1, a.2) != (number, ended.attempt)),
+            Outcome::Expired => return self.again.retain(|a| (a.1, a.2) != (number, ended.attempt)),
             Outcome::Cancelled if request.attempts[ended.attempt as usize].moved => return,
             // How long it took was its client's doing.
             Outcome::Ok | Outcome::Timeout | Outcome::Cancelled if request.query.uploading => return,
@@ -934,7 +955,7 @@
         if outcome == Outcome::Unreachable {
             engine.unreached = now;
         }
-        engine.served += (outcome == Outcome::Ok) as u32;
+        engine.served += u32::from(outcome == Outcome::Ok);
         // Errors are no service: a fast one must not look like speed. Full is past any deadline.
         if ran || outcome == Outcome::Full {
             engine.ddr_sum += if ran { ddr.min(DDR_CAP) } else { DDR_CAP };
@@ -958,7 +979,7 @@
 
     fn on_tick(&mut self, now: f64, out: &mut Out) {
         out.push(Action::SetTimer { after: TICK, token: TICK_TOKEN });
-        let window = self.settings.fall_window;
+        let window = self.settings.overload_window;
         for engine in self.engines.values_mut() {
             engine.ghosts.retain(|g| g.0 > now);
             engine.holds.retain(|_, until| *until > now);
@@ -1052,8 +1073,8 @@
 impl Settings {
     /// Share of its capacity that an engine of this age has at least.
     fn warmth(&self, age: f64) -> f64 {
-        let warmed = (age / self.cold_for.max(1e-9)).clamp(0.0, 1.0);
-        (self.cold_share + (1.0 - self.cold_share) * warmed).clamp(0.01, 1.0)
+        let warmed = (age / self.warmup_time.max(1e-9)).clamp(0.0, 1.0);
+        (self.initial_capacity_share + (1.0 - self.initial_capacity_share) * warmed).clamp(0.01, 1.0)
     }
 }
 
--- a/src/rings.rs
+++ b/src/policy/subsetting.rs
@@ -1,9 +1,13 @@
-//! Which engines a gateway keeps to, reckoned from what all gateways are told alike: ids, zones, cores, their number and
+//! Which engines a gateway keeps to, reckoned from what all gateways are told alike: ids, zones, cores,
+//! their number and
 //! how many they are. Pure: nobody asks anybody, and yet the subsets add up.
 //!
-//! The engines of a zone lie on a circle in the order of their hashed ids, each with an arc by its cores; gateways stand on
-//! it at even distances and prefer what follows. So every engine is kept to by equally many gateways, within one, and an
-//! engine that comes or goes changes two of a gateway's at the most. `docs/rings.md` has what else was weighed.
+//! The engines of a zone lie on a circle in the order of their hashed ids, each with an arc by its cores;
+//! gateways stand on
+//! it at even distances and prefer what follows. So every engine is kept to by equally many gateways,
+//! within one, and an
+//! engine that comes or goes changes two of a gateway's at the most. `docs/rings.md` has what else was
+//! weighed.
 
 /// An engine, as the list tells it.
 #[derive(Clone, Copy, Debug)]
@@ -16,9 +20,12 @@
     pub cores: f64,
 }
 
-/// Where each engine stands in a gateway's order of preference: above 0 and up to 1 in its own zone, above 1 and up to 2 in
-/// the others. Shape: as `seats`, whose order does not matter. `number` is from 0, below `gateways`; a fleet whose settings
+/// Where each engine stands in a gateway's order of preference: above 0 and up to 1 in its own zone, above
+/// 1 and up to 2 in
+/// the others. Shape: as `seats`, whose order does not matter. `number` is from 0, below `gateways`; a
+/// fleet whose settings
 /// tell otherwise gets an order all the same.
+#[must_use]
 pub fn places(seats: &[Seat], zone: &str, number: f64, gateways: f64) -> Vec<f64> {
     let mut places = vec![0.0; seats.len()];
     for away in [false, true] {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,12 +1,13 @@
 //! The settings object that every gateway is handed at its start, into the library's types.
 
-use crate::interface::*;
+use crate::policy::*;
 use serde_json::{Map, Value};
 
 /// What went wrong, in plain words.
 pub type Res<T> = Result<T, String>;
 
 /// A value that is there and not null.
+#[must_use]
 pub fn field<'a>(map: &'a Map<String, Value>, key: &str) -> Option<&'a Value> {
     map.get(key).filter(|v| !v.is_null())
 }
@@ -63,30 +64,30 @@
 
 fn class_settings(map: &Map<String, Value>, at: usize, family: &Map<String, Value>) -> Res<ClassSettings> {
     let bound = |key: &str| field(map, key).map(|_| words(map, key)).transpose();
-    let effect = match word(map, "effect", "once")? {
-        "repeatable" => Effect::Repeatable,
-        "by_key" => Effect::Keyed,
-        "once" => Effect::Once,
+    let idempotency = match word(map, "effect", "once")? {
+        "repeatable" => Idempotency::Always,
+        "by_key" => Idempotency::WithKey,
+        "once" => Idempotency::Never,
         other => return Err(format!("setting effect: unknown {other}")),
     };
     let group = match word(map, "group", "cell")? {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
         other => return Err(format!("setting group: unknown {other}")),
     };
     let give_up = num(map, "giveUp", 30.0)?;
     Ok(ClassSettings {
         name: field(map, "name").and_then(Value::as_str).ok_or("a class has no name")?.into(),
-        aim: num(map, "objective", give_up)?,
-        aim_stretch: num(map, "aimStretch", 0.0)?,
-        give_up,
-        worth: num(map, "importance", 1.0)?,
-        late_worth: num(map, "lateValue", 0.0)?,
-        effect,
-        group,
-        memory_span: num(map, "memorySpan", 0.0)?,
-        in_order: flag(map, "inTurn")?,
+        latency_objective: num(map, "objective", give_up)?,
+        objective_stretch: num(map, "aimStretch", 0.0)?,
+        client_timeout: give_up,
+        priority_weight: num(map, "importance", 1.0)?,
+        late_weight: num(map, "lateValue", 0.0)?,
+        idempotency,
+        dedup_scope: group,
+        dedup_window: num(map, "memorySpan", 0.0)?,
+        ordered: flag(map, "inTurn")?,
         stream: flag(map, "stream")?,
         zones: bound("zonesAllowed")?,
         kinds: bound("runsOn")?,
@@ -129,28 +130,32 @@
         kinds,
         tenants,
         gateways: num(conf, "fleetSize", 1.0)?.max(1.0),
-        number: num(conf, "me", 0.0)?,
+        index: num(conf, "me", 0.0)?,
         zone: word(conf, "locality", "")?.into(),
-        cross_price: num(prices, "crossZone", 0.0)?,
-        handshake_price: num(prices, "handshake", 0.0)?,
+        cross_zone_cost: num(prices, "crossZone", 0.0)?,
+        handshake_cost: num(prices, "handshake", 0.0)?,
         must_subscribe: word(conf, "discovery", "pushed")? == "on_request",
         may_cancel: flag(limits, "cancel")?,
-        may_copy: flag(limits, "parallelTries")?,
-        come_back: if flag(limits, "retryAfter")? { Some(num(limits, "maxRetryAfter", 0.0)?) } else { None },
+        may_hedge: flag(limits, "parallelTries")?,
+        retry_after: if flag(limits, "retryAfter")? {
+            Some(num(limits, "maxRetryAfter", 0.0)?)
+        } else {
+            None
+        },
         priorities: flag(family, "lanesCount")?,
         grants: flag(family, "grantsCount")?,
-        tells_cost: flag(family, "bills")?,
+        reports_cost: flag(family, "bills")?,
         max_attempts: num(limits, "tryLimit", 1.0)? as u32,
         tick: num(conf, "granularity", 0.001)?,
-        cold_share: num(rules, "coldShare", 1.0)?,
-        cold_for: num(rules, "cold", 0.0)?,
-        fall_multiple: num(rules, "fallMultiple", f64::INFINITY)?,
-        fall_window: num(rules, "overloadFor", 0.0)?,
+        initial_capacity_share: num(rules, "coldShare", 1.0)?,
+        warmup_time: num(rules, "cold", 0.0)?,
+        overload_multiple: num(rules, "fallMultiple", f64::INFINITY)?,
+        overload_window: num(rules, "overloadFor", 0.0)?,
         order_settle: num(rules, "orderSettle", 0.0)?,
         retry_budget: if budget {
             Some(RetryBudget {
-                free: num(rules, "budgetFree", 0.0)?,
-                share: num(rules, "resendRatio", 0.0)?,
+                min_attempts: num(rules, "budgetFree", 0.0)?,
+                attempts_per_request: num(rules, "resendRatio", 0.0)?,
                 window: num(rules, "lookBack", 10.0)?,
             })
         } else {
