--- a/benches/doors.rs
+++ b/benches/listeners.rs
@@ -1,6 +1,6 @@
 //! What the spool costs and brings at the HTTP door: small look-ups with it off and on, large loads by tier.
 //!
-//!     cargo bench --bench doors
+//!     cargo bench --bench listeners
 //!
 //! Off and on take turns, so that whatever else the machine does falls on both.
 
--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -21,7 +21,7 @@
 const READ: usize = 16 << 10;
 const BYTES: u64 = 512 * MB;
 
-/// A file a body: the option that was measured and not taken (`docs/bodies-design.md`).
+/// A file a body: the option that was measured and not taken (`docs/body-store-design.md`).
 struct Files {
     folder: Folder,
     files: Mutex<HashMap<u64, Arc<File>>>,
--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The queue that runs use: see `docs/lab.md` for the figures.
+/// The queue that runs use: see `docs/simulator.md` for the figures.
 pub type Queue<T> = Wheel<T>;
 
 struct Entry<T> {
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -6,7 +6,7 @@
 //! gateways stand on
 //! it at even distances and prefer what follows. So every engine is kept to by equally many gateways,
 //! within one, and an
-//! engine that comes or goes changes two of a gateway's at the most. `docs/rings.md` has what else was
+//! engine that comes or goes changes two of a gateway's at the most. `docs/subsetting.md` has what else was
 //! weighed.
 
 /// An engine, as the list tells it.
