--- a/crates/body-store/src/spool.rs
+++ b/crates/body-store/src/spool.rs
@@ -339,7 +339,7 @@
         })
     }
 
-    /// Readable when a disk has done something: [`Spool::ready`] is to be called then.
+    /// Readable when a disk has done something: [`Spool::on_ready`] is to be called then.
     #[must_use]
     pub fn bell(&self) -> BorrowedFd<'_> {
         self.bell.as_fd()
--- a/crates/raft/src/raft.rs
+++ b/crates/raft/src/raft.rs
@@ -2,7 +2,7 @@
 //! that steps down without a majority, reads by rounds (read index), members changed one at a time, learners, snapshots in
 //! pieces, hand-over.
 //!
-//! Events in, orders out. The caller carries out [`Action`]s in their order and says when a [`Action::Store`] is on disk;
+//! Events in, orders out. The caller carries out [`Action`]s in their order and says when a [`Action::Persist`] is on disk;
 //! what promises something (a vote, an acknowledgement) is held back here until then.
 
 use crate::log::Log;
@@ -127,14 +127,14 @@
         /// Its own address.
         address: String,
     },
-    /// Somebody wants this in the log. Answered by [`Action::Apply`] or [`Action::Refused`] with the same ticket.
+    /// Somebody wants this in the log. Answered by [`Action::Apply`] or [`Action::Rejected`] with the same ticket.
     Propose {
         /// The caller's own number for it.
         proposal_id: u64,
         /// A command of the machine's.
         data: Arc<Vec<u8>>,
     },
-    /// Somebody wants to read what counts now. Answered by [`Action::Read`] or [`Action::Refused`].
+    /// Somebody wants to read what counts now. Answered by [`Action::Read`] or [`Action::Rejected`].
     Read {
         /// The caller's own number for it.
         proposal_id: u64,
