--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -3,7 +3,7 @@
 
 mod members;
 
-use dahliaspoke_ctl::{Answer, Door, Store};
+use dahliaspoke_ctl::{Client, Connection, Reply};
 use dahliaspoke_test_harness::fleet::Fleet;
 use dahliaspoke_test_harness::history::{self, is_linearizable, Call, Op, Watch};
 use dahliaspoke_test_harness::relay::Pace;
@@ -52,7 +52,7 @@
 /// A client: reads, writes and swaps, said again in its session until it is told.
 fn client(board: &Board, watch: Watch, number: u64) {
     let (mut session, mut serial, mut guess, mut told) = (number, 0, number as usize, 0);
-    let mut lines: BTreeMap<SocketAddr, Door> = BTreeMap::new();
+    let mut lines: BTreeMap<SocketAddr, Connection> = BTreeMap::new();
     while !board.over.load(Ordering::SeqCst) {
         let call = board.calls.fetch_add(1, Ordering::SeqCst);
         let key = (call / CALLS_A_KEY) as usize;
@@ -84,22 +84,22 @@
                 words.extend(["SESSION", &id, &count]);
             }
             let patience = Duration::from_millis(1500);
-            let mut door = lines.remove(&store).or_else(|| Door::open(store, patience).ok());
+            let mut door = lines.remove(&store).or_else(|| Connection::open(store, patience).ok());
             let began = Instant::now();
-            let answer = door.as_mut().and_then(|door| door.say(&words).and_then(|()| door.hear()).ok());
+            let answer = door.as_mut().and_then(|door| door.request(&words).ok());
             if answer.is_some() {
                 lines.extend(door.map(|door| (store, door)));
             }
             answered = match answer {
-                Some(Answer::Texts(texts)) => {
+                Some(Reply::Texts(texts)) => {
                     let version = texts[0].parse().expect("a version");
                     Some(history::Answer::Held(Some((version, texts[1].clone()))))
                 }
-                Some(Answer::Text(None)) => Some(history::Answer::Held(None)),
-                Some(Answer::Line(word)) => {
+                Some(Reply::Text(None)) => Some(history::Answer::Held(None)),
+                Some(Reply::Status(word)) => {
                     word.strip_prefix("OK ").and_then(|v| v.parse().ok()).map(history::Answer::Done)
                 }
-                Some(Answer::No(kind, _)) if kind == "OTHER" => Some(history::Answer::Other),
+                Some(Reply::Error { code, .. }) if code == "OTHER" => Some(history::Answer::Other),
                 _ => None,
             };
             if answered.is_some() {
@@ -272,18 +272,18 @@
     for round in 0..3 {
         let led = until("a leader", || leader(&mut fleet));
         // Calls that it finds when it wakes.
-        let mut doors: Vec<Door> = (0..4)
-            .map(|_| Door::open(fleet.doors[led]["store"], Duration::from_secs(20)).expect("connected"))
+        let mut doors: Vec<Connection> = (0..4)
+            .map(|_| Connection::open(fleet.doors[led]["store"], Duration::from_secs(20)).expect("connected"))
             .collect();
-        doors.iter_mut().for_each(|door| drop(door.say(&["STATUS"]).and_then(|()| door.hear()).expect("up")));
+        doors.iter_mut().for_each(|door| drop(door.request(&["STATUS"]).expect("up")));
         fleet.processes[led].stop();
-        doors.iter_mut().for_each(|door| door.say(&["GET", "k"]).expect("sent"));
+        doors.iter_mut().for_each(|door| door.send(&["GET", "k"]).expect("sent"));
         until("another leads", || leader(&mut fleet));
         let value = format!("new{round}");
         set(&mut fleet, &format!("{}", 10 + round), "k", &value);
         fleet.processes[led].go_on();
         for door in &mut doors {
-            let said = plain(door.hear().expect("an answer"));
+            let said = plain(door.receive().expect("an answer"));
             assert!(said.starts_with("-LEADER"), "{said}");
         }
     }
@@ -304,11 +304,11 @@
         let sleeper = (led + 1) % 3;
         caught_up(&mut fleet, sleeper);
         let mut found =
-            Door::open(fleet.doors[sleeper]["store"], Duration::from_secs(60)).expect("connected");
-        found.say(&["STATUS"]).and_then(|()| found.hear()).expect("up");
+            Connection::open(fleet.doors[sleeper]["store"], Duration::from_secs(60)).expect("connected");
+        found.request(&["STATUS"]).expect("up");
         fleet.processes[sleeper].stop();
         // A call that it finds when it wakes.
-        found.say(&["GET", "k"]).expect("sent");
+        found.send(&["GET", "k"]).expect("sent");
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(seconds) {
             writes += 1;
@@ -317,7 +317,7 @@
         let now = until("a leader", || leader(&mut fleet));
         let before = term(&fleet, now);
         fleet.processes[sleeper].go_on();
-        let said = plain(found.hear().expect("an answer"));
+        let said = plain(found.receive().expect("an answer"));
         assert!(said.starts_with("-LEADER"), "{said}");
         caught_up(&mut fleet, sleeper);
         assert_eq!(get(&mut fleet, "k"), format!("v{writes}"));
@@ -335,11 +335,12 @@
     let door = fleet.doors[led]["store"];
     let patience = Duration::from_secs(30);
     let (reads, hears_nothing) = (number("READING", 8), number("DEAF", 4));
-    let mut reading: Vec<Door> = (0..reads).map(|_| Door::open(door, patience).expect("connected")).collect();
-    let mut deaf: Vec<Door> =
-        (0..hears_nothing).map(|_| Door::open(door, patience).expect("connected")).collect();
+    let mut reading: Vec<Connection> =
+        (0..reads).map(|_| Connection::open(door, patience).expect("connected")).collect();
+    let mut deaf: Vec<Connection> =
+        (0..hears_nothing).map(|_| Connection::open(door, patience).expect("connected")).collect();
     for watcher in reading.iter_mut().chain(&mut deaf) {
-        watcher.say(&["WATCH", "0"]).expect("sent");
+        watcher.send(&["WATCH", "0"]).expect("sent");
     }
     let large = "x".repeat(1 << 20);
     let readers: Vec<_> = reading
@@ -348,7 +349,7 @@
             std::thread::spawn(move || {
                 let mut seen = Vec::new();
                 while seen.last().map(String::as_str) != Some("24") {
-                    let Answer::Texts(line) = watcher.hear().expect("a line") else { continue };
+                    let Reply::Texts(line) = watcher.receive().expect("a line") else { continue };
                     if line[0] == "PUT" && line[2] == "n" {
                         seen.push(line[3].clone());
                     }
@@ -380,7 +381,7 @@
     let mut version = 0;
     for turn in 0..6 {
         let give_up = Instant::now() + Duration::from_secs(30);
-        let mut store = Store::new(members.clone(), give_up);
+        let mut store = Client::new(members.clone(), give_up);
         if turn % 2 == 1 {
             let led = until("a leader", || leader(&mut fleet));
             let name = format!("c{}", (led + 1) % 3);
@@ -388,7 +389,7 @@
         }
         let expected = version.to_string();
         let done = store.call(&["CAS", "counter", &expected, &turn.to_string()]).expect("done");
-        let Answer::Line(word) = done else { panic!("{done:?}") };
+        let Reply::Status(word) = done else { panic!("{done:?}") };
         version = word.strip_prefix("OK ").and_then(|v| v.parse::<u64>().ok()).expect("a version");
         assert!(store
             .call(&["CAS", "counter", &expected, "again"])
@@ -398,7 +399,7 @@
     fleet.processes[1].kill();
     fleet.processes[2].kill();
     let give_up = Instant::now() + Duration::from_secs(2);
-    let said = Store::new(members, give_up).call(&["SET", "counter", "lost"]);
+    let said = Client::new(members, give_up).call(&["SET", "counter", "lost"]);
     assert!(said.is_err(), "{said:?}");
 }
 
@@ -544,12 +545,12 @@
         for clients in [1, 8] {
             let (store, seconds) = (fleet.doors[led]["store"], number("SECONDS", 5));
             let write = |client: u64| {
-                let mut door = Door::open(store, Duration::from_secs(5)).expect("connected");
+                let mut door = Connection::open(store, Duration::from_secs(5)).expect("connected");
                 let (mut micros, began) = (Vec::new(), Instant::now());
                 while began.elapsed() < Duration::from_secs(seconds) {
                     let (at, value) = (Instant::now(), "x".repeat(100));
-                    door.say(&["SET", &format!("k{client}"), &value]).expect("sent");
-                    let Ok(Answer::Line(_)) = door.hear() else { panic!("not done") };
+                    door.send(&["SET", &format!("k{client}"), &value]).expect("sent");
+                    let Ok(Reply::Status(_)) = door.receive() else { panic!("not done") };
                     micros.push(at.elapsed().as_micros());
                 }
                 micros
--- a/tests/members/mod.rs
+++ b/tests/members/mod.rs
@@ -1,7 +1,7 @@
 //! Processes of the program that are members of one store, or watch it.
 #![allow(dead_code)]
 
-use dahliaspoke_ctl::{Answer, Door};
+use dahliaspoke_ctl::{Connection, Reply};
 use dahliaspoke_test_harness::fleet::{Files, Fleet};
 use dahliaspoke_test_harness::until;
 use std::collections::BTreeMap;
@@ -19,18 +19,17 @@
 }
 
 /// A member's answer as one text: `+OK 17`, `-LEADER c1 ...`, or what a key holds; `None` where there is none.
-pub fn ask_for(store: SocketAddr, words: &[&str], patience: Duration) -> Option<String> {
-    let mut door = Door::open(store, patience).ok()?;
-    door.say(words).ok()?;
-    door.hear().ok().map(plain)
-}
-
-pub fn plain(answer: Answer) -> String {
-    match answer {
-        Answer::Line(word) => format!("+{word}"),
-        Answer::No(kind, why) => format!("-{kind} {why}"),
-        Answer::Text(text) => text.unwrap_or_default(),
-        Answer::Texts(texts) => texts.join(" "),
+pub fn ask_for(store: SocketAddr, arguments: &[&str], timeout: Duration) -> Option<String> {
+    let mut connection = Connection::open(store, timeout).ok()?;
+    connection.request(arguments).ok().map(plain)
+}
+
+pub fn plain(reply: Reply) -> String {
+    match reply {
+        Reply::Status(line) => format!("+{line}"),
+        Reply::Error { code, message } => format!("-{code} {message}"),
+        Reply::Text(text) => text.unwrap_or_default(),
+        Reply::Texts(texts) => texts.join(" "),
     }
 }
 
