--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -15,7 +15,7 @@
 use crate::listener::mysql::MysqlListener;
 use crate::mysql::{self, config::Mysql};
 use crate::net::{inherited, Backoff, Clock, EventHandler, Poller, Ready, SuspendDetector, Time, Token};
-use crate::store::{self, Store};
+use crate::store::{self, LoopContext, Store};
 use crate::upstream::mysql::MysqlUpstream;
 use crate::upstream::resp::RespUpstream;
 use dahliaspoke::policy::{EngineId, Lifecycle, ListScope, Settings};
@@ -168,7 +168,7 @@
         let signals = Signals::open(&poller).map_err(|e| format!("signals: {e}"))?;
         let mut store = None;
         if let Some(file) = optional(store::FILE)? {
-            let opened = Store::open(STORE, now, file, &config.name, poller.clone(), limits.clone())?;
+            let opened = Store::open(file, &config.name, LoopContext::new(STORE, now, &poller, &limits))?;
             config.take_stored(opened.get(store::SETTINGS), opened.get(store::ENGINES))?;
             if let Some(address) = opened.address() {
                 tracing::info!("{} stores on {address}", config.name);
--- /dev/null
+++ b/src/store/member/requests.rs
@@ -0,0 +1,85 @@
+//! Requests of other members, operators and watchers.
+
+use super::connections::ReceivedRequest;
+use super::Member;
+use crate::net::{Time, Token};
+use crate::store::wire::{encode_answer, encode_hello, Answer, CallError, Hello, Reply, Request};
+use dahliaspoke_raft::state_machine::{Command, StateMachine};
+
+impl Member {
+    /// Handles all requests that were received, in order.
+    pub(super) fn handle_requests(&mut self, now: Time) {
+        while let Some(ReceivedRequest { connection, request }) = self.connections.next_request() {
+            let request = request.map_err(CallError::Decode).and_then(|request| self.check(request));
+            match request {
+                Ok(request) => self.handle_request(now, connection, request),
+                Err(error) => self.answer(now, connection, &Err(error)),
+            }
+            self.process_events(now);
+        }
+    }
+
+    fn handle_request(&mut self, now: Time, connection: Token, request: Request) {
+        let replica = &mut self.replica;
+        match request {
+            Request::Hello(hello) => self.on_hello(now, connection, hello),
+            Request::Raft(message) => replica.on_message(now, *message),
+            Request::Read { key, with_version } => replica.read(now, connection, key, with_version),
+            Request::Change(command) => replica.propose(now, connection, &command),
+            Request::Watch(version) => self.start_watch(now, connection, version),
+            Request::Status => {
+                let status = Reply::Text(Some(self.status(now).into()));
+                self.answer(now, connection, &Ok(status));
+            }
+            Request::Init => replica.init(now, connection),
+            Request::AddMember(name) => replica.add_member(now, connection, &name),
+            Request::RemoveMember(name) => replica.remove_member(now, connection, &name),
+            Request::TransferLeadership(name) => replica.transfer_leadership(now, connection, &name),
+            Request::Snapshot => {
+                replica.snapshot(now);
+                self.process_events(now);
+                self.answer(now, connection, &Ok(Reply::Done));
+            }
+        }
+    }
+
+    pub(super) fn answer(&mut self, now: Time, connection: Token, answer: &Answer) {
+        self.connections.send(now, connection, encode_answer(answer));
+    }
+
+    /// Rejects a change that can never be applied, before it is proposed.
+    fn check(&self, request: Request) -> Result<Request, CallError> {
+        if let Request::Change(command) = &request {
+            self.check_command(command)?;
+        }
+        Ok(request)
+    }
+
+    fn check_command(&self, command: &Command) -> Result<(), CallError> {
+        StateMachine::check(command).map_err(|reason| CallError::InvalidCommand(reason.to_string()))?;
+        for op in &command.ops {
+            let Some(text) = &op.value else { continue };
+            (self.value_check)(&op.key, text)
+                .map_err(|reason| CallError::InvalidValue { key: op.key.clone(), reason })?;
+        }
+        Ok(())
+    }
+
+    /// Another member has presented itself, on a connection that either end may have opened.
+    fn on_hello(&mut self, now: Time, connection: Token, hello: Hello) {
+        if !self.is_known(&hello.name) {
+            return self.answer(now, connection, &Err(CallError::UnknownPeer(hello.name)));
+        }
+        let opened_here = self.peers.identify(connection, &hello);
+        self.replica.presented.insert(hello.name.clone(), hello);
+        if !opened_here {
+            self.connections.send(now, connection, encode_hello(&self.replica.hello));
+        }
+    }
+
+    /// Whether the configuration or the log names a member so.
+    fn is_known(&self, name: &str) -> bool {
+        let members = self.replica.raft.members();
+        self.peers.contains(name) || members.values().any(|member| member.name == name)
+    }
+}
--- /dev/null
+++ b/src/store/member/status.rs
@@ -0,0 +1,60 @@
+//! A member's status for operators: lines of `name=value`.
+
+use super::Member;
+use crate::net::Time;
+use crate::store::replica::Replica;
+use std::fmt::{self, Write};
+
+impl Member {
+    /// What this member knows of itself, the leader and the other members.
+    pub(super) fn status(&self, now: Time) -> String {
+        let mut text = String::new();
+        // Writing to a string does not fail.
+        let _ = write_status(&mut text, &self.replica, now);
+        text
+    }
+}
+
+fn write_status(text: &mut String, replica: &Replica, now: Time) -> fmt::Result {
+    let raft = &replica.raft;
+    writeln!(text, "name={} role={} term={}", replica.hello.name, role(replica), raft.term())?;
+    writeln!(text, "leader={}", replica.leader())?;
+    let (committed, applied) = (raft.commit(), replica.state_machine.applied());
+    let (last, snapshot) = (raft.last(), raft.snapshot().index);
+    writeln!(text, "committed={committed} applied={applied} last={last} snapshot={snapshot}")?;
+    if let Some(index) = raft.changing() {
+        // A partition may still undo what the lines of members say.
+        writeln!(text, "changing={index}")?;
+    }
+    writeln!(text, "heard_ms={}", replica.age_ms(now))?;
+    write_members(text, replica)?;
+    if let Some(failure) = &replica.failure {
+        writeln!(text, "failed={failure}")?;
+    }
+    Ok(())
+}
+
+/// The members, and the instances that have presented themselves and are none.
+fn write_members(text: &mut String, replica: &Replica) -> fmt::Result {
+    let members = replica.raft.members();
+    for (id, member) in members {
+        let kind = if member.votes { "voter" } else { "learner" };
+        let matched = replica.raft.matched(*id).map_or("unknown".into(), |index| index.to_string());
+        writeln!(text, "member={} {} {kind} has={matched}", member.name, member.address)?;
+    }
+    for hello in replica.presented.values().filter(|hello| !members.contains_key(&hello.id)) {
+        writeln!(text, "waits={} {}", hello.name, hello.address)?;
+    }
+    Ok(())
+}
+
+fn role(replica: &Replica) -> &'static str {
+    let raft = &replica.raft;
+    match raft.members().get(&raft.id()) {
+        _ if replica.failure.is_some() => "failed",
+        _ if raft.leads() => "leader",
+        Some(member) if member.votes => "follower",
+        Some(_) => "learner",
+        None => "outside",
+    }
+}
--- /dev/null
+++ b/src/store/replica/error.rs
@@ -0,0 +1,53 @@
+//! Why a member cannot start, and why it takes no part any more.
+
+use dahliaspoke_raft::message::DecodeError;
+use std::io;
+use std::path::PathBuf;
+
+/// The system has no random numbers.
+#[derive(Debug, thiserror::Error)]
+#[error("no random numbers: {0}")]
+pub struct NoRandomNumbers(pub getrandom::Error);
+
+/// Why a member's log cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum OpenError {
+    /// No id could be drawn.
+    #[error("{0}")]
+    NoRandomNumbers(#[from] NoRandomNumbers),
+    /// The folder cannot be used.
+    #[error("{}: {error}", folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// What the system said.
+        error: io::Error,
+    },
+    /// The log is damaged.
+    #[error("{}: {reason}", folder.display())]
+    Log {
+        /// The folder.
+        folder: PathBuf,
+        /// File and byte, and what is wrong there.
+        reason: String,
+    },
+    /// The snapshot cannot be read.
+    #[error("{}: {error}", folder.display())]
+    Snapshot {
+        /// The folder.
+        folder: PathBuf,
+        /// What is wrong with it.
+        error: DecodeError,
+    },
+}
+
+/// Why a member takes no part any more.
+#[derive(Debug, thiserror::Error)]
+pub enum ReplicaFailure {
+    /// A write to the log has failed.
+    #[error("{0}")]
+    Disk(io::Error),
+    /// The leader's snapshot cannot be read.
+    #[error("{0}")]
+    Snapshot(DecodeError),
+}
--- /dev/null
+++ b/src/store/replica/mod.rs
@@ -0,0 +1,223 @@
+//! A member's replica: passes events to the consensus protocol and executes its actions on the log's writer, the
+//! state machine and the requests that wait.
+
+mod actions;
+mod error;
+mod membership;
+mod pending;
+
+pub use error::{NoRandomNumbers, OpenError, ReplicaFailure};
+
+use super::wire::{Answer, CallError, Hello};
+use crate::failpoints;
+use crate::net::{Time, Token};
+use dahliaspoke_raft::disk::{DiskLog, Folder};
+use dahliaspoke_raft::message::Message;
+use dahliaspoke_raft::raft::{Event, Options, Raft};
+use dahliaspoke_raft::state_machine::{Command, KeyChange, StateMachine};
+use dahliaspoke_raft::writer::{LogWriter, WriteResult};
+use dahliaspoke_raft::{Id, Index, Micros};
+use pending::{PendingCalls, PendingKind};
+use std::collections::BTreeMap;
+use std::os::fd::BorrowedFd;
+use std::path::Path;
+
+/// Entries after which the log is replaced by a snapshot.
+const SNAPSHOT_ENTRIES: Index = 1024;
+/// Bytes of entries after which it is.
+const SNAPSHOT_BYTES: usize = 1 << 20;
+
+/// What a replica asks its owner to do.
+pub enum ReplicaEvent {
+    /// Send this message to a member.
+    Send(Message),
+    /// Answer a request on this connection.
+    Answer(Token, Answer),
+    /// A key has changed.
+    KeyChanged(KeyChange),
+    /// The state machine was replaced: all keys may have changed.
+    Restored,
+}
+
+/// A member's replica of the store.
+pub struct Replica {
+    /// The consensus protocol.
+    pub raft: Raft,
+    /// The state that all applied entries make.
+    pub state_machine: StateMachine,
+    /// This member's identity.
+    pub hello: Hello,
+    /// Instances that have presented themselves, by name; bounded by whom the configuration and the log name.
+    pub presented: BTreeMap<String, Hello>,
+    /// Why this member takes no part any more.
+    pub failure: Option<ReplicaFailure>,
+    writer: LogWriter,
+    pending: PendingCalls,
+    /// The learner that becomes a voter once it has enough entries.
+    learner_to_promote: Option<Id>,
+    /// Bytes of entries that were applied since the last snapshot.
+    bytes_since_snapshot: usize,
+    events: Vec<ReplicaEvent>,
+}
+
+fn micros(now: Time) -> Micros {
+    (now * 1e6) as Micros
+}
+
+/// A random id, never 0.
+fn random_id() -> Result<u64, NoRandomNumbers> {
+    let mut bytes = [0; 8];
+    getrandom::fill(&mut bytes).map_err(NoRandomNumbers)?;
+    Ok(u64::from_le_bytes(bytes).max(1))
+}
+
+impl Replica {
+    /// Opens the log in `folder`, and creates it where there is none.
+    ///
+    /// # Errors
+    /// Where the folder cannot be used, or what is in it is damaged.
+    pub fn open(now: Time, folder: &Path, name: &str, address: String) -> Result<Self, OpenError> {
+        let unusable = |error| OpenError::Folder { folder: folder.into(), error };
+        let disk = Folder::open(folder).map_err(unusable)?;
+        let id = random_id()?;
+        let log = DiskLog::open(Box::new(disk), || id)
+            .map_err(|e| OpenError::Log { folder: folder.into(), reason: e.to_string() })?;
+        let saved = log.saved().clone();
+        let state_machine = StateMachine::restore(&saved.snapshot.data)
+            .map_err(|error| OpenError::Snapshot { folder: folder.into(), error })?;
+        let hello = Hello { id: saved.hard.id, name: name.into(), address };
+        let writer = LogWriter::start(log, failpoints::reach).map_err(unusable)?;
+        Ok(Self {
+            raft: Raft::new(Options::new(random_id()?), saved, micros(now)),
+            state_machine,
+            hello,
+            presented: BTreeMap::new(),
+            failure: None,
+            writer,
+            pending: PendingCalls::default(),
+            learner_to_promote: None,
+            bytes_since_snapshot: 0,
+            events: Vec::new(),
+        })
+    }
+
+    /// What is to be done, in order, since this was last called.
+    pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// The descriptor that is readable once the log's writer has results; see [`Self::on_written`].
+    pub fn writer_waker(&self) -> BorrowedFd<'_> {
+        self.writer.bell()
+    }
+
+    /// When [`Self::on_timer`] is due.
+    pub fn next_deadline(&self) -> Option<Time> {
+        let next = self.raft.next();
+        (next < Micros::MAX && self.failure.is_none()).then_some(next as f64 / 1e6)
+    }
+
+    /// How long ago a quorum, or the leader, was heard from (ms).
+    pub fn age_ms(&self, now: Time) -> u64 {
+        self.raft.silence(micros(now)) / 1000
+    }
+
+    /// Name and address of the leader, or that none is known.
+    pub fn leader(&self) -> String {
+        let leader = self.raft.leader().and_then(|id| self.raft.members().get(&id));
+        match leader {
+            Some(member) => format!("{} {}", member.name, member.address),
+            None => "nobody leads that this member knows of".into(),
+        }
+    }
+
+    /// Time has passed.
+    pub fn on_timer(&mut self, now: Time) {
+        if self.raft.next() <= micros(now) {
+            self.handle(now, Event::Tick);
+        }
+        self.promote_learner(now);
+    }
+
+    /// A member has sent a message.
+    pub fn on_message(&mut self, now: Time, message: Message) {
+        failpoints::reach("store.received");
+        self.handle(now, Event::Message(message));
+    }
+
+    /// The log's writer has results.
+    pub fn on_written(&mut self, now: Time) {
+        self.writer.heard();
+        while let Some(result) = self.writer.take() {
+            match result {
+                WriteResult::Up(number) => self.handle(now, Event::Persisted(number)),
+                WriteResult::Failed(error) => {
+                    tracing::error!(
+                        at = now,
+                        part = "store",
+                        "the disk has failed, this member takes no part any more: {error}"
+                    );
+                    self.failure = Some(ReplicaFailure::Disk(error));
+                    self.fail_pending(|| CallError::DiskFailedWhilePending);
+                }
+            }
+        }
+    }
+
+    /// Proposes a change; its outcome is the answer.
+    pub fn propose(&mut self, now: Time, connection: Token, command: &Command) {
+        let proposal_id = self.pending.add(connection, PendingKind::Change);
+        self.handle(now, Event::Propose { proposal_id, data: command.to_bytes() });
+    }
+
+    /// Reads a key as of now; its value is the answer.
+    pub fn read(&mut self, now: Time, connection: Token, key: String, with_version: bool) {
+        let proposal_id = self.pending.add(connection, PendingKind::Read { key, with_version });
+        self.handle(now, Event::Read { proposal_id });
+    }
+
+    /// Replaces the log's entries by a snapshot of the state machine.
+    pub fn snapshot(&mut self, now: Time) {
+        self.bytes_since_snapshot = 0;
+        let (index, data) = (self.state_machine.applied(), self.state_machine.save());
+        self.handle(now, Event::Snapshot { index, data });
+    }
+
+    /// Answers a request.
+    fn answer(&mut self, connection: Token, answer: Answer) {
+        self.events.push(ReplicaEvent::Answer(connection, answer));
+    }
+
+    /// Answers all requests that wait by an error.
+    fn fail_pending(&mut self, error: impl Fn() -> CallError) {
+        for connection in self.pending.drain_connections() {
+            self.answer(connection, Err(error()));
+        }
+    }
+
+    /// Passes an event to the consensus protocol and executes its actions. After a failure there are none: what was
+    /// promised may not be on disk, so it neither votes nor acknowledges.
+    fn handle(&mut self, now: Time, event: Event) {
+        if self.failure.is_some() {
+            return self.fail_pending(|| CallError::DiskFailed);
+        }
+        let (mut actions, did_lead) = (Vec::new(), self.raft.leads());
+        self.raft.handle(micros(now), event, &mut actions);
+        if did_lead != self.raft.leads() {
+            self.log_leadership(now);
+        }
+        for action in actions {
+            self.execute(action);
+        }
+        let entries = self.state_machine.applied().saturating_sub(self.raft.snapshot().index);
+        if entries >= SNAPSHOT_ENTRIES || self.bytes_since_snapshot >= SNAPSHOT_BYTES {
+            self.snapshot(now);
+        }
+    }
+
+    fn log_leadership(&self, now: Time) {
+        let leads = if self.raft.leads() { "leads" } else { "leads no longer" };
+        let (name, term) = (&self.hello.name, self.raft.term());
+        tracing::info!(at = now, part = "store", "{name} {leads} in term {term}");
+    }
+}
--- /dev/null
+++ b/src/store/watcher/mod.rs
@@ -0,0 +1,120 @@
+//! A daemon that is no member: it watches one, and goes on to the next where that is lost or falls silent.
+
+mod connection;
+mod view;
+
+use super::wire::{encode_watch, WatchEvent};
+use super::{Config, LoopContext};
+use crate::net::{BufferedStream, ConnectionSlab, EventHandler, Ready, Time, Token};
+use connection::{ReceivedEvent, WatchConnection};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use view::View;
+
+/// A member that has reported no progress for that long (s) is not watched any more.
+const SILENCE_TIMEOUT: Time = 2.0;
+/// Interval (s) of the checks whether a member is watched.
+const POLL_INTERVAL: Time = 0.25;
+
+/// Watches one member at a time.
+pub struct Watcher {
+    /// The members, in the order of their names.
+    members: Vec<SocketAddr>,
+    /// How many members were tried; the index of the one that is watched, modulo their count.
+    rotation: usize,
+    /// The connection to the one that is watched; it may be closed already.
+    connection: Option<Token>,
+    /// The member that is watched must report progress until then.
+    silence_deadline: Time,
+    next_poll: Time,
+    connections: ConnectionSlab<WatchConnection>,
+    received: VecDeque<ReceivedEvent>,
+    view: View,
+}
+
+impl Watcher {
+    /// A watcher of the configured members; `name` is this daemon's own.
+    pub fn new(config: &Config, name: &str, context: LoopContext) -> Self {
+        let members = config.peers.iter().filter(|(other, _)| *other != name);
+        Self {
+            members: members.map(|(_, address)| *address).collect(),
+            rotation: 0,
+            connection: None,
+            silence_deadline: 0.0,
+            next_poll: context.now,
+            connections: ConnectionSlab::new(context.owner, context.poller),
+            received: VecDeque::new(),
+            view: View::default(),
+        }
+    }
+
+    /// What is known of the store.
+    pub fn view(&self) -> &View {
+        &self.view
+    }
+
+    /// The next key that has changed.
+    pub fn next_changed_key(&mut self) -> Option<String> {
+        self.view.next_changed_key()
+    }
+
+    /// Goes on to the next member, unless the one that is watched is connected and reports progress.
+    fn check_connection(&mut self, now: Time) {
+        let is_open = self.connection.is_some_and(|token| self.connections.get(token).is_some());
+        if is_open && now < self.silence_deadline {
+            return;
+        }
+        if let Some(token) = self.connection.take() {
+            self.connections.close(now, token, &mut self.received);
+        }
+        self.rotation += 1;
+        let index = self.rotation % self.members.len().max(1);
+        if let Some(member) = self.members.get(index).copied() {
+            self.silence_deadline = now + SILENCE_TIMEOUT;
+            self.connection = self.connect(member);
+        }
+    }
+
+    /// Begins to watch a member, from the version that is known.
+    fn connect(&mut self, member: SocketAddr) -> Option<Token> {
+        let mut channel = BufferedStream::connect(member).ok()?;
+        channel.push(encode_watch(self.view.version()));
+        self.connections.add(|token| Some(WatchConnection { channel, token })).ok()?
+    }
+
+    /// Applies what was received, but from members that are not watched any more.
+    fn apply_received(&mut self, now: Time) {
+        while let Some(ReceivedEvent { connection, event }) = self.received.pop_front() {
+            if self.connection != Some(connection) {
+                continue;
+            }
+            match event {
+                WatchEvent::Change(change) => self.view.apply(change),
+                WatchEvent::Restart(version) => self.view.restart(version),
+                WatchEvent::Progress(progress) => {
+                    if self.view.advance(now, progress) {
+                        self.silence_deadline = now + SILENCE_TIMEOUT;
+                    }
+                }
+            }
+        }
+    }
+}
+
+impl EventHandler for Watcher {
+    fn next_deadline(&mut self) -> Option<Time> {
+        Some(self.next_poll)
+    }
+
+    fn on_timer(&mut self, now: Time) {
+        if self.next_poll <= now {
+            self.next_poll = now + POLL_INTERVAL;
+            self.check_connection(now);
+        }
+    }
+
+    fn on_ready(&mut self, now: Time, ready: Ready) {
+        self.connections.on_ready(now, ready, &mut self.received);
+        self.apply_received(now);
+    }
+}
--- /dev/null
+++ b/src/store/wire/encode.rs
@@ -0,0 +1,79 @@
+//! Encodes answers, what members send to each other, and the lines of a watch.
+
+use super::{Answer, CallError, Hello, Reply};
+use crate::net::resp::{array, bulk};
+use dahliaspoke_raft::message::{seal, Message, VERSION};
+use dahliaspoke_raft::state_machine::KeyChange;
+use dahliaspoke_raft::Index;
+
+/// The null bulk string.
+const NULL: &[u8] = b"$-1\r\n";
+
+/// The answer to a request.
+#[must_use]
+pub fn encode_answer(answer: &Answer) -> Vec<u8> {
+    match answer {
+        Ok(Reply::Done) => b"+OK\r\n".to_vec(),
+        Ok(Reply::Changed(version)) => format!("+OK {version}\r\n").into_bytes(),
+        Ok(Reply::Text(text)) => text.as_ref().map_or(NULL.to_vec(), |text| text_reply(text)),
+        Ok(Reply::Versioned(None)) => NULL.to_vec(),
+        Ok(Reply::Versioned(Some(value))) => {
+            array(&[value.version.to_string().as_bytes(), value.text.as_bytes()])
+        }
+        Err(error) => error_reply(error),
+    }
+}
+
+fn text_reply(text: &str) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    bulk(&mut bytes, text.as_bytes());
+    bytes
+}
+
+/// An error in one line: its code, then the reason.
+fn error_reply(error: &CallError) -> Vec<u8> {
+    let reason = error.to_string().replace(['\r', '\n'], " ");
+    format!("-{} {reason}\r\n", error.code()).into_bytes()
+}
+
+/// A member's identity.
+#[must_use]
+pub fn encode_hello(hello: &Hello) -> Vec<u8> {
+    let (version, id) = (VERSION.to_string(), hello.id.to_string());
+    array(&[b"HELLO", version.as_bytes(), id.as_bytes(), hello.name.as_bytes(), hello.address.as_bytes()])
+}
+
+/// A message of the consensus protocol.
+#[must_use]
+pub fn encode_message(message: &Message) -> Vec<u8> {
+    array(&[b"RAFT", &seal(message)])
+}
+
+/// The request for all changes after a version.
+#[must_use]
+pub fn encode_watch(version: Index) -> Vec<u8> {
+    array(&[b"WATCH", version.to_string().as_bytes()])
+}
+
+/// A line of a watch: a change, or, after a restart, what a key holds.
+#[must_use]
+pub fn encode_change(change: &KeyChange) -> Vec<u8> {
+    let version = change.version.to_string();
+    match &change.value {
+        Some(text) => array(&[b"PUT", version.as_bytes(), change.key.as_bytes(), text.as_bytes()]),
+        None => array(&[b"GONE", version.as_bytes(), change.key.as_bytes()]),
+    }
+}
+
+/// A line of a watch: all changes up to this version were sent, and the member was in touch with a quorum or the leader
+/// `age_ms` milliseconds ago.
+#[must_use]
+pub fn encode_progress(version: Index, age_ms: u64) -> Vec<u8> {
+    array(&[b"AT", version.to_string().as_bytes(), age_ms.to_string().as_bytes()])
+}
+
+/// A line of a watch: what was sent before no longer holds. `age_ms` as in [`encode_progress`].
+#[must_use]
+pub fn encode_restart(version: Index, age_ms: u64) -> Vec<u8> {
+    array(&[b"ANEW", version.to_string().as_bytes(), age_ms.to_string().as_bytes()])
+}
