--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_change_goes_to_whoever_leads_under_one_session() {
+fn a_change_is_retried_until_the_leader_answers_under_one_session() {
     let (address, asked) = member(&["-LEADER c1 127.0.0.1:1\r\n", "-UNKNOWN it may count\r\n", "+OK 17\r\n"]);
     let (code, out, _) = said(&run(&address.to_string(), &["set", "k", "v"]));
     assert_eq!((code, out.as_str()), (0, "OK 17\n"));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_refused_ends_with_1_and_says_why() {
+fn a_refused_call_exits_with_1_and_prints_the_reason() {
     let (address, _) = member(&["-ERR settings: classes: cannot change\r\n"]);
     let (code, _, why) = said(&run(&address.to_string(), &["set", "settings", "{}"]));
     assert_eq!(code, 1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_member_is_said_to_count_once_its_change_cannot_be_undone() {
+fn member_add_succeeds_only_once_the_change_is_committed() {
     const CHANGING: &str =
         "$72\r\nname=c0 role=leader term=1\nchanging=9\nmember=c1 127.0.0.1:1 voter has=9\n\r\n";
     const DONE: &str = "$61\r\nname=c0 role=leader term=1\nmember=c1 127.0.0.1:1 voter has=9\n\r\n";
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_bad_word_ends_with_2_nobody_with_3_and_what_nobody_knows_with_4() {
+fn exit_codes_tell_usage_errors_unavailability_and_unknown_outcomes_apart() {
     assert_eq!(said(&run("127.0.0.1:1", &["sett"])).0, 2);
     assert_eq!(said(&run("nowhere", &["status"])).0, 2);
     assert_eq!(said(&run("127.0.0.1:1", &["set", "k", "v"])).0, 3);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_watch_prints_changes_and_ends_after_so_many() {
+fn watch_prints_changes_and_ends_after_count() {
     const LINES: &str =
         "*3\r\n$2\r\nAT\r\n$1\r\n4\r\n$1\r\n0\r\n*4\r\n$3\r\nPUT\r\n$1\r\n5\r\n$1\r\nk\r\n$1\r\nv\r\n\
                  *3\r\n$4\r\nGONE\r\n$1\r\n6\r\n$1\r\nk\r\n";
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_gossip_stores_file_is_taken_over_and_what_is_there_stays() {
+fn take_over_writes_the_gossip_stores_file_and_keeps_existing_values() {
     let file = std::env::temp_dir().join(format!("dahliaspoke-ctl-{}.json", std::process::id()));
     std::fs::write(&file, r#"{"engines":[3,"n1","[]"],"settings":[5,"n2","{}"]}"#).expect("written");
     let (address, asked) = member(&["+OK 7\r\n", "-OTHER 2 settings has version 2\r\n"]);
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -26,13 +26,13 @@
         let others: Vec<usize> = (0..3).filter(|at| *at != took).collect();
         // One link stalls: a majority is left.
         fleet.pace(took, others[0], Pace::Hold);
-        let done = ask(fleet.doors[took]["store"], &["SET", &key, &value]);
+        let done = request(fleet.doors[took]["store"], &["SET", &key, &value]);
         assert!(done.is_some_and(|done| done.starts_with("+OK")));
         fleet.act(&Step::StartEmpty(took), |_, _| true);
         fleet.mend();
         assert_eq!(get(&mut fleet, &key), value);
         // It lost its disk: it is another member of the same name, and comes in anew.
-        bring_in_anew(&mut fleet, &format!("c{took}"));
+        replace_member(&mut fleet, &format!("c{took}"));
     }
 }
 
@@ -176,9 +176,9 @@
 }
 
 #[test]
-fn members_killed_and_links_at_fault_in_rotation_lose_nothing() {
-    let troubles = number("TROUBLES", 100) as usize;
-    let seed = number("SEED", 1);
+fn members_killed_and_links_at_fault_in_rotation_keep_histories_linearizable() {
+    let troubles = env_number("TROUBLES", 100) as usize;
+    let seed = env_number("SEED", 1);
     let mut fleet = start(5, 5);
     let script = Script::rotation(seed, 5, troubles, "served");
     println!("seed {seed}:\n{script}");
@@ -198,7 +198,7 @@
 
 /// Each point between receiving and answering, at the leader and at another member.
 #[test]
-fn a_member_that_ends_at_any_point_loses_nothing_that_was_told() {
+fn a_member_killed_at_any_point_loses_no_acknowledged_write() {
     let mut fleet = start(3, 3);
     let points = ["received", "write", "synced", "send", "apply", "answer"];
     for (turn, point) in points.into_iter().enumerate() {
@@ -214,7 +214,7 @@
                         return Some(());
                     }
                     let now = leader(&mut fleet)?;
-                    ask(fleet.doors[now]["store"], &["MEMBER", "TRANSFER", &name]);
+                    request(fleet.doors[now]["store"], &["MEMBER", "TRANSFER", &name]);
                     (now == victim).then_some(())
                 });
             }
@@ -240,7 +240,7 @@
 
 /// The minor side may say no, or that nobody knows; it never says yes, and it serves nothing old.
 #[test]
-fn a_split_with_the_leader_on_the_minor_side_heals_without_a_lost_write() {
+fn a_partition_with_the_leader_in_the_minority_heals_without_a_lost_write() {
     let mut fleet = start(5, 5);
     set(&mut fleet, "1", "k", "before");
     for round in 0..2 {
@@ -248,15 +248,17 @@
         let minor = [led, (led + 1) % 5];
         let major: Vec<usize> = (0..5).filter(|at| !minor.contains(at)).collect();
         fleet.split(&minor, &major);
-        let said = ask(fleet.doors[led]["store"], &["SET", "k", "minor"]).expect("an answer");
+        let said = request(fleet.doors[led]["store"], &["SET", "k", "minor"]).expect("an answer");
         assert!(said.starts_with("-UNKNOWN") || said.starts_with("-LEADER"), "{said}");
         let other = until("the major side has a leader", || {
             major.iter().copied().find(|at| status(&fleet, *at).contains("role=leader"))
         });
         let (value, door) = (format!("major{round}"), fleet.doors[other]["store"]);
-        until("the major side writes", || ask(door, &["SET", "k", &value])?.starts_with("+OK").then_some(()));
+        until("the major side writes", || {
+            request(door, &["SET", "k", &value])?.starts_with("+OK").then_some(())
+        });
         for at in minor {
-            let read = ask(fleet.doors[at]["store"], &["GET", "k"]).expect("an answer");
+            let read = request(fleet.doors[at]["store"], &["GET", "k"]).expect("an answer");
             assert!(read.starts_with("-LEADER"), "the minor side serves {read}");
         }
         fleet.mend();
@@ -266,7 +268,7 @@
 
 /// A process may sleep between any two lines: one that led, slept and woke must not serve what is old.
 #[test]
-fn a_leader_that_slept_does_not_serve_what_is_old() {
+fn a_leader_that_was_suspended_serves_no_stale_read() {
     let mut fleet = start(3, 3);
     set(&mut fleet, "1", "k", "old");
     for round in 0..3 {
@@ -283,7 +285,7 @@
         set(&mut fleet, &format!("{}", 10 + round), "k", &value);
         fleet.processes[led].go_on();
         for door in &mut doors {
-            let said = plain(door.receive().expect("an answer"));
+            let said = reply_text(door.receive().expect("an answer"));
             assert!(said.starts_with("-LEADER"), "{said}");
         }
     }
@@ -293,16 +295,16 @@
 /// comes of it. A machine that is busy may lose its leader by itself, so one wake of three has to show that. `SLEEP` is in
 /// seconds.
 #[test]
-fn a_follower_that_slept_for_half_a_minute_disturbs_nobody_and_catches_up() {
+fn a_follower_suspended_for_half_a_minute_catches_up_without_an_election() {
     let mut fleet = start(3, 3);
     let term = |fleet: &Fleet, at: usize| {
         status(fleet, at).split_whitespace().find_map(|word| word.strip_prefix("term=").map(str::to_string))
     };
     let (mut writes, mut undisturbed) = (0, 0);
-    for seconds in [number("SLEEP", 30), 2, 2] {
+    for seconds in [env_number("SLEEP", 30), 2, 2] {
         let led = until("a leader", || leader(&mut fleet));
         let sleeper = (led + 1) % 3;
-        caught_up(&mut fleet, sleeper);
+        wait_until_caught_up(&mut fleet, sleeper);
         let mut found =
             Connection::open(fleet.doors[sleeper]["store"], Duration::from_secs(60)).expect("connected");
         found.request(&["STATUS"]).expect("up");
@@ -317,9 +319,9 @@
         let now = until("a leader", || leader(&mut fleet));
         let before = term(&fleet, now);
         fleet.processes[sleeper].go_on();
-        let said = plain(found.receive().expect("an answer"));
+        let said = reply_text(found.receive().expect("an answer"));
         assert!(said.starts_with("-LEADER"), "{said}");
-        caught_up(&mut fleet, sleeper);
+        wait_until_caught_up(&mut fleet, sleeper);
         assert_eq!(get(&mut fleet, "k"), format!("v{writes}"));
         undisturbed += usize::from(leader(&mut fleet) == Some(now) && term(&fleet, now) == before);
     }
@@ -329,12 +331,12 @@
 
 /// Of many that watch, some read nothing: they are let go, the others have every change in order.
 #[test]
-fn watchers_that_read_nothing_are_let_go_and_others_miss_nothing() {
+fn watchers_that_read_nothing_are_disconnected_and_others_miss_no_change() {
     let mut fleet = start(3, 3);
     let led = until("a leader", || leader(&mut fleet));
     let door = fleet.doors[led]["store"];
     let patience = Duration::from_secs(30);
-    let (reads, hears_nothing) = (number("READING", 8), number("DEAF", 4));
+    let (reads, hears_nothing) = (env_number("READING", 8), env_number("DEAF", 4));
     let mut reading: Vec<Connection> =
         (0..reads).map(|_| Connection::open(door, patience).expect("connected")).collect();
     let mut deaf: Vec<Connection> =
@@ -375,7 +377,7 @@
 
 /// The operators' program finds whoever leads, and says a change again until it knows: it counts once.
 #[test]
-fn operators_calls_reach_whoever_leads() {
+fn client_calls_reach_the_leader() {
     let mut fleet = start(3, 3);
     let members: Vec<SocketAddr> = (0..3).map(|at| fleet.doors[at]["store"]).collect();
     let mut version = 0;
@@ -385,7 +387,7 @@
         if turn % 2 == 1 {
             let led = until("a leader", || leader(&mut fleet));
             let name = format!("c{}", (led + 1) % 3);
-            assert!(ask(members[led], &["MEMBER", "TRANSFER", &name]).is_some());
+            assert!(request(members[led], &["MEMBER", "TRANSFER", &name]).is_some());
         }
         let expected = version.to_string();
         let done = store.call(&["CAS", "counter", &expected, &turn.to_string()]).expect("done");
@@ -405,7 +407,7 @@
 
 /// One that is heard by nobody, and hears, does not lead; when it is heard again it follows.
 #[test]
-fn a_leader_that_nobody_hears_is_followed_by_another() {
+fn a_leader_whose_messages_are_held_up_is_replaced() {
     let mut fleet = start(3, 3);
     for round in 0..3 {
         let led = until("a leader", || leader(&mut fleet));
@@ -415,7 +417,7 @@
         until("another leads", || leader(&mut fleet).filter(|now| *now != led));
         set(&mut fleet, &format!("{round}1"), "k", &format!("v{round}"));
         let door = fleet.doors[led]["store"];
-        assert!(ask(door, &["GET", "k"]).is_some_and(|said| said.starts_with("-LEADER")));
+        assert!(request(door, &["GET", "k"]).is_some_and(|said| said.starts_with("-LEADER")));
         // What it said meanwhile arrives late.
         fleet.mend();
         assert_eq!(get(&mut fleet, "k"), format!("v{round}"));
@@ -424,7 +426,7 @@
 
 /// A disk that is full: the member takes no part any more and says so; the others go on.
 #[test]
-fn a_member_whose_disk_is_full_says_so_and_the_others_go_on() {
+fn a_member_whose_disk_is_full_reports_failure_and_the_others_go_on() {
     let mut fleet = start(3, 3);
     let led = until("a leader", || leader(&mut fleet));
     let full = (led + 1) % 3;
@@ -439,20 +441,20 @@
         set(&mut fleet, &format!("{n}"), &format!("k{}", n % 5), &large);
     }
     assert!(status(&fleet, full).contains("failed=File too large"), "{}", status(&fleet, full));
-    let said = ask(fleet.doors[full]["store"], &["GET", "k1"]).expect("an answer");
+    let said = request(fleet.doors[full]["store"], &["GET", "k1"]).expect("an answer");
     assert!(said.starts_with("-REFUSED") || said.starts_with("-LEADER"), "{said}");
     set(&mut fleet, "1000", "after", "still");
     // With room again it comes back by itself, with what it had told.
     fleet.processes[full].kill();
     fleet.processes[full].first = None;
     fleet.up(full, None);
-    caught_up(&mut fleet, full);
+    wait_until_caught_up(&mut fleet, full);
     assert_eq!(get(&mut fleet, "after"), "still");
 }
 
 /// One that was away for longer than the log goes back gets the machine in pieces, and goes on from there.
 #[test]
-fn a_member_that_was_away_for_long_comes_back_by_a_snapshot() {
+fn a_member_that_was_down_for_long_catches_up_by_a_snapshot() {
     let mut fleet = start(3, 3);
     let led = until("a leader", || leader(&mut fleet));
     let away = (led + 1) % 3;
@@ -464,14 +466,14 @@
     }
     until("a key is gone", || {
         let led = leader(&mut fleet)?;
-        ask(fleet.doors[led]["store"], &["DEL", "old"])?.starts_with("+OK").then_some(())
+        request(fleet.doors[led]["store"], &["DEL", "old"])?.starts_with("+OK").then_some(())
     });
     fleet.up(away, None);
-    caught_up(&mut fleet, away);
+    wait_until_caught_up(&mut fleet, away);
     let name = format!("c{away}");
     until("it leads", || {
         let now = leader(&mut fleet)?;
-        ask(fleet.doors[now]["store"], &["MEMBER", "TRANSFER", &name]);
+        request(fleet.doors[now]["store"], &["MEMBER", "TRANSFER", &name]);
         (now == away).then_some(())
     });
     assert_eq!(get(&mut fleet, "old"), "");
@@ -482,13 +484,13 @@
 /// A leader that is taken out by its own change leads until that counts, and then another does; while a link to the
 /// other side is cut, no change of members counts on the minor side.
 #[test]
-fn members_change_while_links_are_cut_and_a_leader_takes_itself_out() {
+fn members_change_during_a_partition_and_a_leader_removes_itself() {
     let mut fleet = start(5, 5);
     let led = until("a leader", || leader(&mut fleet));
     let (minor, major) = ([led, (led + 1) % 5], [(led + 2) % 5, (led + 3) % 5, (led + 4) % 5]);
     fleet.split(&minor, &major);
     let out = format!("c{}", minor[1]);
-    let said = ask(fleet.doors[led]["store"], &["MEMBER", "REMOVE", &out]).expect("an answer");
+    let said = request(fleet.doors[led]["store"], &["MEMBER", "REMOVE", &out]).expect("an answer");
     assert!(said.starts_with("-UNKNOWN") || said.starts_with("-LEADER"), "{said}");
     // One that took it says that it does not count yet.
     let told = until("it tells", || Some(status(&fleet, led)).filter(|told| !told.is_empty()));
@@ -498,7 +500,7 @@
     });
     let gone = format!("c{}", minor[1]);
     until("the major side takes one out", || {
-        ask(fleet.doors[other]["store"], &["MEMBER", "REMOVE", &gone])?.starts_with("+OK").then_some(())
+        request(fleet.doors[other]["store"], &["MEMBER", "REMOVE", &gone])?.starts_with("+OK").then_some(())
     });
     fleet.mend();
     set(&mut fleet, "1", "k", "v");
@@ -507,7 +509,7 @@
     let own = format!("c{led}");
     until("it takes itself out", || {
         let now = leader(&mut fleet)?;
-        let said = ask(fleet.doors[now]["store"], &["MEMBER", "REMOVE", &own])?;
+        let said = request(fleet.doors[now]["store"], &["MEMBER", "REMOVE", &own])?;
         (said.starts_with("+OK") || said.contains("no member")).then_some(())
     });
     until("another leads", || leader(&mut fleet).filter(|now| *now != led));
@@ -516,7 +518,7 @@
 
 /// Over slow links a change of members takes a while: it is told as done once no split can undo it.
 #[test]
-fn a_member_counts_once_its_change_does() {
+fn a_member_change_is_reported_as_done_only_once_it_is_committed() {
     let mut fleet = start(3, 3);
     for (a, b) in [(0, 1), (0, 2), (1, 2)] {
         fleet.pace(a, b, Pace::Delay(50));
@@ -526,24 +528,24 @@
     let anew = (led + 1) % 3;
     fleet.act(&Step::StartEmpty(anew), |_, _| true);
     let name = format!("c{anew}");
-    bring_in_anew(&mut fleet, &name);
+    replace_member(&mut fleet, &name);
     let led = until("a leader", || leader(&mut fleet));
     let others: Vec<usize> = (0..3).filter(|at| *at != led).collect();
     fleet.split(&[led], &others);
     // No change is under way that could be undone now.
-    let said = ask(fleet.doors[led]["store"], &["MEMBER", "REMOVE", &name]).expect("an answer");
+    let said = request(fleet.doors[led]["store"], &["MEMBER", "REMOVE", &name]).expect("an answer");
     assert!(!said.starts_with("-REFUSED"), "{said}");
 }
 
 /// Figures, not a verdict: `cargo test --release --test agreement writes -- --ignored --nocapture`.
 #[test]
 #[ignore]
-fn writes_a_second_at_three_and_five_members() {
+fn writes_per_second_at_one_three_and_five_members() {
     for members in [1, 3, 5] {
         let mut fleet = start(members, members);
         let led = until("a leader", || leader(&mut fleet));
         for clients in [1, 8] {
-            let (store, seconds) = (fleet.doors[led]["store"], number("SECONDS", 5));
+            let (store, seconds) = (fleet.doors[led]["store"], env_number("SECONDS", 5));
             let write = |client: u64| {
                 let mut door = Connection::open(store, Duration::from_secs(5)).expect("connected");
                 let (mut micros, began) = (Vec::new(), Instant::now());
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -17,12 +17,12 @@
 
 /// Those that watch take settings in service, and each change is one step of the same order at all of them.
 #[test]
-fn settings_take_effect_at_all_that_watch_without_a_restart() {
+fn settings_take_effect_at_all_watchers_without_a_restart() {
     let mut fleet = start(3, 6);
     let settings = |n: usize| {
         daemon::SETTINGS.replace("\"giveUp\":3", &format!("\"giveUp\":{}", 2.0 + n as f64 / 100.0))
     };
-    let count = number("CHANGES", 20) as usize;
+    let count = env_number("CHANGES", 20) as usize;
     let mut longest = Duration::ZERO;
     for n in 1..=count {
         let led = until("a leader", || leader(&mut fleet));
@@ -47,7 +47,7 @@
     // All are at the same version in the end, and each has taken the last settings.
     let versions = |fleet: &Fleet| -> Vec<String> {
         let version = |at: usize| {
-            let stats = console(fleet.doors[at]["console"]);
+            let stats = statistics(fleet.doors[at]["console"]);
             stats.lines().find_map(|l| l.strip_prefix("app.store.version=")).unwrap_or_default().to_string()
         };
         (0..6).map(version).collect()
@@ -57,7 +57,7 @@
         versions.iter().all(|v| *v == versions[0]).then_some(())
     });
     let wrong =
-        ask(fleet.doors[0]["store"], &["SET", "settings", r#"{"classes":"none"}"#]).expect("an answer");
+        request(fleet.doors[0]["store"], &["SET", "settings", r#"{"classes":"none"}"#]).expect("an answer");
     assert!(wrong.starts_with("-ERR settings: "), "{wrong}");
 }
 
@@ -84,7 +84,7 @@
 /// killed and another stopped. The half without a store is played to compare.
 #[test]
 fn queries_go_on_while_settings_change_and_members_fail() {
-    let seconds = number("SECONDS", 4) as f64;
+    let seconds = env_number("SECONDS", 4) as f64;
     let engines = engines(4);
     let known: Vec<(&str, SocketAddr)> = engines.iter().map(|e| (e.id.as_str(), e.address)).collect();
     let doors =
