--- a/crates/ctl/src/connection.rs
+++ b/crates/ctl/src/connection.rs
@@ -15,6 +15,13 @@
 /// The length that marks the null bulk string.
 const NULL_LENGTH: i64 = -1;
 
+/// A line of a reply, without the line end.
+struct Line {
+    /// Which kind of reply this is.
+    type_byte: u8,
+    rest: String,
+}
+
 /// A connection to a member's store port.
 pub struct Connection(BufReader<TcpStream>);
 
@@ -48,7 +55,7 @@
     /// # Errors
     /// Where the connection ends, nothing arrives in time, or what arrives is no reply.
     pub fn receive(&mut self) -> io::Result<Reply> {
-        let (type_byte, rest) = self.receive_line()?;
+        let Line { type_byte, rest } = self.receive_line()?;
         match type_byte {
             b'+' => Ok(Reply::Status(rest)),
             b'-' => {
@@ -70,14 +77,13 @@
         self.receive()
     }
 
-    /// A line: its type byte and the rest, without the line end.
-    fn receive_line(&mut self) -> io::Result<(u8, String)> {
+    fn receive_line(&mut self) -> io::Result<Line> {
         let mut line = Vec::new();
         self.0.by_ref().take(MAX_LINE_BYTES).read_until(b'\n', &mut line)?;
         let text = line.strip_suffix(b"\r\n").ok_or_else(malformed)?;
         let (type_byte, rest) = text.split_first().ok_or_else(malformed)?;
         let rest = String::from_utf8(rest.to_vec()).map_err(|_| malformed())?;
-        Ok((*type_byte, rest))
+        Ok(Line { type_byte: *type_byte, rest })
     }
 
     /// The array behind its count.
@@ -88,8 +94,8 @@
         }
         let mut texts = Vec::new();
         for _ in 0..count {
-            let (b'$', length) = self.receive_line()? else { return Err(malformed()) };
-            texts.push(self.receive_text(&length)?.ok_or_else(malformed)?);
+            let Line { type_byte: b'$', rest } = self.receive_line()? else { return Err(malformed()) };
+            texts.push(self.receive_text(&rest)?.ok_or_else(malformed)?);
         }
         Ok(texts)
     }
--- a/src/store/member/status.rs
+++ b/src/store/member/status.rs
@@ -18,7 +18,7 @@
 fn write_status(text: &mut String, replica: &Replica, now: Time) -> fmt::Result {
     let raft = &replica.raft;
     writeln!(text, "name={} role={} term={}", replica.hello.name, role(replica), raft.term())?;
-    writeln!(text, "leader={}", replica.leader())?;
+    writeln!(text, "leader={}", replica.leader_description())?;
     let (committed, applied) = (raft.commit(), replica.state_machine.applied());
     let (last, snapshot) = (raft.last(), raft.snapshot().index);
     writeln!(text, "committed={committed} applied={applied} last={last} snapshot={snapshot}")?;
--- a/src/store/replica/actions.rs
+++ b/src/store/replica/actions.rs
@@ -87,7 +87,7 @@
     fn reject(&mut self, proposal_id: u64, reason: ProposeError) {
         let Some(call) = self.pending.remove(proposal_id) else { return };
         let error = match reason {
-            ProposeError::NotLeader(_) => CallError::NotLeader(self.leader()),
+            ProposeError::NotLeader(_) => CallError::NotLeader(self.leader_description()),
             ProposeError::Busy => CallError::Busy,
             ProposeError::NotNow(reason) => CallError::NotNow(reason),
             ProposeError::Lost => CallError::Lost,
--- a/src/store/replica/membership.rs
+++ b/src/store/replica/membership.rs
@@ -60,7 +60,7 @@
     /// Transfers leadership to the voter of a name.
     pub fn transfer_leadership(&mut self, now: Time, connection: Token, name: &str) {
         let answer = match self.find_member(|member| member.name == name && member.votes) {
-            _ if !self.raft.leads() => Err(CallError::NotLeader(self.leader())),
+            _ if !self.raft.leads() => Err(CallError::NotLeader(self.leader_description())),
             None => Err(CallError::NoSuchVoter),
             Some(id) => {
                 self.handle(now, Event::TransferLeadership(id));
--- a/src/store/replica/mod.rs
+++ b/src/store/replica/mod.rs
@@ -123,7 +123,7 @@
     }
 
     /// Name and address of the leader, or that none is known.
-    pub fn leader(&self) -> String {
+    pub fn leader_description(&self) -> String {
         let leader = self.raft.leader().and_then(|id| self.raft.members().get(&id));
         match leader {
             Some(member) => format!("{} {}", member.name, member.address),
