--- /dev/null
+++ b/tests/settings_errors.rs
@@ -0,0 +1,274 @@
+//! The text of each error in the configuration and in its settings, and which of several is reported.
+
+use dahliaspoke::settings::{object, settings};
+use serde_json::{json, Value};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+fn settings_error(value: &Value) -> String {
+    let map = object(value, "settings").expect("an object");
+    settings(map).expect_err("it is wrong").to_string()
+}
+
+#[test]
+fn each_kind_of_wrong_setting_has_its_text() {
+    let class = |class: Value| json!({"classes": [class]});
+    let cases = [
+        (json!({"fleetSize": "x"}), "setting fleetSize is not a number"),
+        (json!({"limits": {"cancel": 1}}), "setting cancel is not true or false"),
+        (json!({"locality": 1}), "setting locality is not a text"),
+        (json!({"classes": 4}), "setting classes is not a list"),
+        (json!({"flavors": ["std", 1]}), "setting flavors holds no text"),
+        (json!({"rules": 4}), "setting rules is not an object"),
+        (json!({"classes": [1]}), "a class is not an object"),
+        (json!({"tenants": [1]}), "a tenant is not an object"),
+        (class(json!({})), "a class has no name"),
+        (class(json!({"name": 1})), "a class has no name"),
+        (class(json!({"name": "q", "effect": "odd"})), "setting effect: unknown odd"),
+        (class(json!({"name": "q", "group": "odd"})), "setting group: unknown odd"),
+        (class(json!({"name": "q", "runsOn": [1]})), "setting runsOn holds no text"),
+        (
+            json!({"classes": [{"name": "q"}], "familyInfo": {"classThreads": ["x"]}}),
+            "setting classThreads holds a wrong type",
+        ),
+        (
+            json!({"classes": [{"name": "q"}], "familyInfo": {"loads": [1]}}),
+            "setting loads holds a wrong type",
+        ),
+    ];
+    for (value, text) in cases {
+        assert_eq!(settings_error(&value), text);
+    }
+    assert_eq!(object(&json!(1), "settings").expect_err("a number").to_string(), "settings is not an object");
+}
+
+/// Takes away what stands at a path of keys.
+fn remove(value: &mut Value, path: &str) {
+    let (parent, key) = path.rsplit_once('/').expect("a path");
+    let parent = value.pointer_mut(parent).expect("it is there").as_object_mut().expect("an object");
+    assert!(parent.remove(key).is_some(), "{path}");
+}
+
+#[test]
+fn settings_are_checked_in_this_order() {
+    let mut value =
+        json!({"familyInfo": 1, "limits": 1, "rules": 1, "prices": 1, "classes": 1, "flavors": 1});
+    for key in ["familyInfo", "limits", "rules", "prices"] {
+        assert_eq!(settings_error(&value), format!("setting {key} is not an object"));
+        remove(&mut value, &format!("/{key}"));
+    }
+
+    // Every value is of a type that its setting cannot have; each error in its turn is taken away.
+    let mut value = json!({
+        "classes": [{"effect": 1, "group": 1, "giveUp": "x", "objective": "x", "aimStretch": "x",
+            "importance": "x", "lateValue": "x", "memorySpan": "x", "inTurn": 1, "stream": 1, "zonesAllowed": 1,
+            "runsOn": 1}],
+        "familyInfo": {"classThreads": 1, "loads": 1, "yieldsToLoads": 1, "sizeCores": 1, "sizeMb": 1,
+            "lanesCount": 1, "grantsCount": 1, "bills": 1},
+        "flavors": 1,
+        "tenants": [{"name": 1, "quotaPerS": "x"}],
+        "fleetSize": "x", "me": "x", "locality": 1, "discovery": 1, "granularity": "x",
+        "prices": {"crossZone": "x", "handshake": "x"},
+        "limits": {"cancel": 1, "parallelTries": 1, "retryAfter": 1, "maxRetryAfter": "x", "tryLimit": "x"},
+        "rules": {"coldShare": "x", "cold": "x", "fallMultiple": "x", "overloadFor": "x", "orderSettle": "x",
+            "budgetFree": "x", "resendRatio": "x", "lookBack": "x"},
+    });
+    let name = |value: &mut Value| value["classes"][0]["name"] = "q".into();
+    let kinds = |value: &mut Value| value["flavors"] = json!(["std"]);
+    let retries = |value: &mut Value| value["limits"]["retryAfter"] = true.into();
+    let none = |_: &mut Value| {};
+    let steps: [(&str, &str, &dyn Fn(&mut Value)); 44] = [
+        ("/classes/0/effect", "setting effect is not a text", &none),
+        ("/classes/0/group", "setting group is not a text", &none),
+        ("/classes/0/giveUp", "setting giveUp is not a number", &none),
+        ("", "a class has no name", &name),
+        ("/classes/0/objective", "setting objective is not a number", &none),
+        ("/classes/0/aimStretch", "setting aimStretch is not a number", &none),
+        ("/classes/0/importance", "setting importance is not a number", &none),
+        ("/classes/0/lateValue", "setting lateValue is not a number", &none),
+        ("/classes/0/memorySpan", "setting memorySpan is not a number", &none),
+        ("/classes/0/inTurn", "setting inTurn is not true or false", &none),
+        ("/classes/0/stream", "setting stream is not true or false", &none),
+        ("/classes/0/zonesAllowed", "setting zonesAllowed is not a list", &none),
+        ("/classes/0/runsOn", "setting runsOn is not a list", &none),
+        ("/familyInfo/classThreads", "setting classThreads is not a list", &none),
+        ("/familyInfo/loads", "setting loads is not a list", &none),
+        ("/familyInfo/yieldsToLoads", "setting yieldsToLoads is not a list", &none),
+        ("/flavors", "setting flavors is not a list", &kinds),
+        ("/familyInfo/sizeCores", "setting sizeCores is not a list", &none),
+        ("/familyInfo/sizeMb", "setting sizeMb is not a list", &none),
+        ("/tenants/0/name", "setting name is not a text", &none),
+        ("/tenants/0/quotaPerS", "setting quotaPerS is not a number", &none),
+        ("/fleetSize", "setting fleetSize is not a number", &none),
+        ("/me", "setting me is not a number", &none),
+        ("/locality", "setting locality is not a text", &none),
+        ("/prices/crossZone", "setting crossZone is not a number", &none),
+        ("/prices/handshake", "setting handshake is not a number", &none),
+        ("/discovery", "setting discovery is not a text", &none),
+        ("/limits/cancel", "setting cancel is not true or false", &none),
+        ("/limits/parallelTries", "setting parallelTries is not true or false", &none),
+        ("/limits/retryAfter", "setting retryAfter is not true or false", &retries),
+        ("/limits/maxRetryAfter", "setting maxRetryAfter is not a number", &none),
+        ("/familyInfo/lanesCount", "setting lanesCount is not true or false", &none),
+        ("/familyInfo/grantsCount", "setting grantsCount is not true or false", &none),
+        ("/familyInfo/bills", "setting bills is not true or false", &none),
+        ("/limits/tryLimit", "setting tryLimit is not a number", &none),
+        ("/granularity", "setting granularity is not a number", &none),
+        ("/rules/coldShare", "setting coldShare is not a number", &none),
+        ("/rules/cold", "setting cold is not a number", &none),
+        ("/rules/fallMultiple", "setting fallMultiple is not a number", &none),
+        ("/rules/overloadFor", "setting overloadFor is not a number", &none),
+        ("/rules/orderSettle", "setting orderSettle is not a number", &none),
+        ("/rules/budgetFree", "setting budgetFree is not a number", &none),
+        ("/rules/resendRatio", "setting resendRatio is not a number", &none),
+        ("/rules/lookBack", "setting lookBack is not a number", &none),
+    ];
+    for (path, text, repair) in steps {
+        assert_eq!(settings_error(&value), text);
+        if !path.is_empty() {
+            remove(&mut value, path);
+        }
+        repair(&mut value);
+    }
+    assert!(settings(object(&value, "settings").expect("an object")).is_ok());
+}
+
+/// A folder of its own, with a `deploy` in it; removed at the end.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("dahliaspoke-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(path.join("deploy")).expect("a folder");
+        Self(path)
+    }
+
+    fn write(&self, name: &str, text: &str) -> PathBuf {
+        let path = self.0.join(name);
+        std::fs::write(&path, text).expect("written");
+        path
+    }
+
+    /// What the program reports when it is run here.
+    fn reported(&self, arguments: &[&str], environment: &[(&str, &str)]) -> String {
+        let done = Command::new(env!("CARGO_BIN_EXE_dahliaspoke"))
+            .current_dir(&self.0)
+            .args(arguments)
+            .env_remove("NODE_CONFIG")
+            .env_remove("NODE_CONSOLE")
+            .env_remove("NODE_INHERITED_FD")
+            .envs(environment.iter().copied())
+            .output()
+            .expect("it starts");
+        assert!(!done.status.success());
+        String::from_utf8(done.stderr).expect("text").trim_end().to_string()
+    }
+
+    /// What the program reports about a file.
+    fn checked(&self, path: &Path) -> String {
+        self.reported(&["check", path.to_str().expect("text")], &[])
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn the_configuration_is_checked_in_this_order() {
+    let folder = Folder::new("configuration-order");
+    let mut value = json!({
+        "console": 1, "seed": 1, "name": 1, "listen": "nowhere", "names": "nowhere", "known": 1, "settings": 1,
+        "limits": 1,
+    });
+    let address = "127.0.0.1:0";
+    let steps = [
+        ("console", "setting console is not a text", json!("nowhere")),
+        ("console", "console \"nowhere\": invalid socket address syntax", json!(address)),
+        ("seed", "setting seed is not a text", json!("xyz")),
+        ("name", "setting name is not a text", json!("n1")),
+        ("listen", "listen \"nowhere\": invalid socket address syntax", json!(1)),
+        ("listen", "setting listen is not a text", Value::Null),
+        ("listen", "listen \"\": invalid socket address syntax", json!(address)),
+        ("seed", "seed \"xyz\": invalid digit found in string", json!("a7")),
+        ("names", "names \"nowhere\": invalid socket address syntax", json!(address)),
+        ("known", "setting known is not an object", json!({"events": [1]})),
+        ("known", "an event is not an object", json!({})),
+        ("settings", "setting settings is not an object", json!({"fleetSize": "x"})),
+        ("settings", "setting fleetSize is not a number", json!({"limits": {"connIdle": "x"}})),
+        ("limits", "setting limits is not an object", json!({"sockets": "x"})),
+        ("limits", "setting sockets is not a number", json!({"memory_mb": "x"})),
+        ("limits", "setting memory_mb is not a number", json!({})),
+        ("settings", "setting connIdle is not a number", json!({"limits": {"connectTimeout": "x"}})),
+        ("settings", "setting connectTimeout is not a number", json!({"limits": {"streamsPerConn": "x"}})),
+        ("settings", "setting streamsPerConn is not a number", json!({"rules": {"drainGrace": "x"}})),
+        ("settings", "setting drainGrace is not a number", json!(1)),
+    ];
+    for (key, text, next) in steps {
+        let path = folder.write("config.json", &value.to_string());
+        assert_eq!(folder.checked(&path), format!("dahliaspoke: {}: {text}", path.display()));
+        value[key] = next;
+    }
+    let path = folder.write("config.json", "[]");
+    assert_eq!(
+        folder.checked(&path),
+        format!("dahliaspoke: {}: the configuration is not an object", path.display())
+    );
+}
+
+#[test]
+fn what_the_environment_names_is_reported() {
+    let folder = Folder::new("environment");
+    let empty = folder.write("config.json", "{");
+    let empty = empty.to_str().expect("text");
+    let config =
+        folder.write("good.json", &json!({"listen": "127.0.0.1:0", "names": "127.0.0.1:0"}).to_string());
+    let config = config.to_str().expect("text");
+    let cases: [(&[(&str, &str)], String); 5] = [
+        (&[], "NODE_CONFIG: environment variable not found".into()),
+        (&[("NODE_CONFIG", "none.json")], "none.json: No such file or directory (os error 2)".into()),
+        (
+            &[("NODE_CONFIG", empty)],
+            format!("{empty}: not JSON: EOF while parsing an object at line 1 column 1"),
+        ),
+        (
+            &[("NODE_CONFIG", config), ("NODE_CONSOLE", "nowhere"), ("NODE_INHERITED_FD", "x")],
+            format!("{config}: NODE_CONSOLE \"nowhere\": invalid socket address syntax"),
+        ),
+        (
+            &[("NODE_CONFIG", config), ("NODE_INHERITED_FD", "x")],
+            format!("{config}: NODE_INHERITED_FD \"x\": invalid digit found in string"),
+        ),
+    ];
+    for (environment, text) in cases {
+        assert_eq!(folder.reported(&[], environment), format!("dahliaspoke: {text}"));
+    }
+}
+
+#[test]
+fn what_is_wrong_with_a_file_is_reported_with_line_and_key() {
+    let folder = Folder::new("files");
+    let cases = [
+        (
+            "log.toml",
+            "\nformat = \"xml\"\n",
+            "line 2, \"format\": unknown variant `xml`, expected `text` or `json`",
+        ),
+        ("trace.toml", "colour = true\n", "line 1, \"colour\": unknown field `colour`, expected `requests`"),
+        (
+            "trace.toml",
+            "requests = 1\n",
+            "line 1, \"requests\": invalid type: integer `1`, expected a boolean",
+        ),
+        ("trace.toml", "requests\n", "line 1, \"requests\": key with no value, expected `=`"),
+    ];
+    for (name, text, reported) in cases {
+        let path = folder.write(name, text);
+        assert_eq!(folder.checked(&path), format!("dahliaspoke: {}: {reported}", path.display()));
+    }
+    // One that is there and cannot be read is not taken for one that is absent.
+    std::fs::create_dir(folder.0.join("deploy/log.toml")).expect("a folder");
+    assert_eq!(folder.reported(&[], &[]), "dahliaspoke: deploy/log.toml: Is a directory (os error 21)");
+}
