--- /dev/null
+++ b/src/settings/error.rs
@@ -0,0 +1,67 @@
+//! What can be wrong with a settings object.
+
+use thiserror::Error;
+
+/// Why a settings object was not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum SettingsError {
+    /// A setting that must be a number is not.
+    #[error("setting {key} is not a number")]
+    NotANumber {
+        /// The setting.
+        key: String,
+    },
+    /// A setting that must be a boolean is not.
+    #[error("setting {key} is not true or false")]
+    NotABoolean {
+        /// The setting.
+        key: String,
+    },
+    /// A setting that must be a string is not.
+    #[error("setting {key} is not a text")]
+    NotAText {
+        /// The setting.
+        key: String,
+    },
+    /// A setting that must be an array is not.
+    #[error("setting {key} is not a list")]
+    NotAList {
+        /// The setting.
+        key: String,
+    },
+    /// A setting that must be an object is not.
+    #[error("setting {key} is not an object")]
+    NotAnObject {
+        /// The setting.
+        key: String,
+    },
+    /// An array of strings has an element that is none.
+    #[error("setting {key} holds no text")]
+    ElementNotAText {
+        /// The setting.
+        key: String,
+    },
+    /// An array in the order of classes or kinds has an element of a wrong type.
+    #[error("setting {key} holds a wrong type")]
+    ElementOfWrongType {
+        /// The setting.
+        key: String,
+    },
+    /// A value that is not a setting itself, such as an element of `classes`, is not an object.
+    #[error("{what} is not an object")]
+    ValueNotAnObject {
+        /// What the value stands for, as in `a class`.
+        what: String,
+    },
+    /// A setting with a fixed choice of values has another one.
+    #[error("setting {key}: unknown {value}")]
+    UnknownValue {
+        /// The setting.
+        key: String,
+        /// The value that it has.
+        value: String,
+    },
+    /// A class without a name, or with a name that is not a string.
+    #[error("a class has no name")]
+    MissingClassName,
+}
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -49,6 +49,9 @@
     assert!(parent.remove(key).is_some(), "{path}");
 }
 
+/// What is wrong next: the path of the setting to remove afterwards, the error's text, and what else to repair.
+type Step<'a> = (&'a str, &'a str, &'a dyn Fn(&mut Value));
+
 #[test]
 fn settings_are_checked_in_this_order() {
     let mut value =
@@ -77,7 +80,7 @@
     let kinds = |value: &mut Value| value["flavors"] = json!(["std"]);
     let retries = |value: &mut Value| value["limits"]["retryAfter"] = true.into();
     let none = |_: &mut Value| {};
-    let steps: [(&str, &str, &dyn Fn(&mut Value)); 44] = [
+    let steps: [Step; 44] = [
         ("/classes/0/effect", "setting effect is not a text", &none),
         ("/classes/0/group", "setting group is not a text", &none),
         ("/classes/0/giveUp", "setting giveUp is not a number", &none),
