--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 
 /// How long a client of a class waits in all, where its settings do not say (s).
-const DEFAULT_CLIENT_TIMEOUT: f64 = 30.0;
+pub const DEFAULT_CLIENT_TIMEOUT: f64 = 30.0;
 
 /// All classes, in the order of the settings. `engine_family` has arrays in the same order.
 pub(super) fn classes(
