--- /dev/null
+++ b/src/config/error.rs
@@ -0,0 +1,97 @@
+//! What can be wrong with the configuration.
+
+use dahliaspoke::settings::SettingsError;
+use std::env::VarError;
+use std::net::AddrParseError;
+use std::num::ParseIntError;
+use thiserror::Error;
+
+/// Why the configuration, or a file in `deploy/`, was not accepted.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// An environment variable that must be there is absent or is not Unicode.
+    #[error("{variable}: {source}")]
+    Environment {
+        /// The variable.
+        variable: &'static str,
+        /// The reason.
+        source: VarError,
+    },
+    /// A file could not be read.
+    #[error("{path}: {source}")]
+    Read {
+        /// The file.
+        path: String,
+        /// The reason.
+        source: std::io::Error,
+    },
+    /// A file is not JSON.
+    #[error("{path}: not JSON: {source}")]
+    NotJson {
+        /// The file.
+        path: String,
+        /// The reason, with line and column.
+        source: serde_json::Error,
+    },
+    /// A file in TOML could not be parsed, or has an unknown key or a value of a wrong type.
+    #[error("{path}: line {line}, {key:?}: {message}")]
+    Toml {
+        /// The file.
+        path: String,
+        /// The line, from 1.
+        line: usize,
+        /// What stands before the first `=` in that line.
+        key: String,
+        /// The parser's message in one line.
+        message: String,
+        /// The parser's own report.
+        source: Box<toml::de::Error>,
+    },
+    /// The content of a file is wrong.
+    #[error("{path}: {source}")]
+    InFile {
+        /// The file.
+        path: String,
+        /// What is wrong.
+        source: Box<ConfigError>,
+    },
+    /// An address cannot be parsed.
+    #[error("{name} {text:?}: {source}")]
+    Address {
+        /// The key or the environment variable.
+        name: &'static str,
+        /// Its value.
+        text: String,
+        /// The reason.
+        source: AddrParseError,
+    },
+    /// A whole number cannot be parsed.
+    #[error("{name} {text:?}: {source}")]
+    Number {
+        /// The key or the environment variable.
+        name: &'static str,
+        /// Its value.
+        text: String,
+        /// The reason.
+        source: ParseIntError,
+    },
+    /// A key or a setting has a wrong type or an unknown value.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The endpoints that are known at the start are wrong.
+    #[error("{0}")]
+    Endpoints(String),
+    /// The settings in the replicated store are not JSON.
+    #[error("stored settings: {0}")]
+    StoredSettings(#[source] serde_json::Error),
+    /// The engines in the replicated store are wrong.
+    #[error("stored engines: {0}")]
+    StoredEngines(String),
+}
+
+impl ConfigError {
+    /// The error with the file that it was found in.
+    pub fn in_file(self, path: &str) -> Self {
+        Self::InFile { path: path.into(), source: Box::new(self) }
+    }
+}
--- /dev/null
+++ b/src/config/mod.rs
@@ -0,0 +1,139 @@
+//! The configuration that the platform hands to the daemon at its start: a JSON file that an environment variable names.
+//! Files in `deploy/` switch on further parts; [`read_optional`] reads them.
+
+mod compat; // until the callers are typed
+mod error;
+mod toml_file;
+
+pub use compat::{line_of, optional, optional_with_text, parsed};
+pub use error::ConfigError;
+pub use toml_file::{line_number, parse_toml, read_optional, read_optional_with_text};
+
+use crate::discovery::{endpoint_json, EndpointSet};
+use crate::limits::Limits;
+use dahliaspoke::policy::Settings;
+use dahliaspoke::settings::{object, object_field, parse_settings, text};
+use serde_json::{Map, Value};
+use std::net::SocketAddr;
+use std::os::fd::RawFd;
+
+/// The environment variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "NODE_CONFIG";
+/// The environment variable with the admin interface's address, where the file has none.
+const ADMIN_ADDRESS_VARIABLE: &str = "NODE_CONSOLE";
+/// The environment variable with the descriptor of the listening socket that this process inherits.
+const INHERITED_LISTENER_VARIABLE: &str = "NODE_INHERITED_FD";
+/// The base of the number that `seed` holds.
+const SEED_RADIX: u32 = 16;
+
+/// The configuration, checked.
+pub struct Config {
+    /// The name of this coordinator.
+    pub name: String,
+    /// The address of the HTTP listener.
+    pub listen: SocketAddr,
+    /// The descriptor of the HTTP listener's socket, where this process inherits it.
+    pub inherited: Option<RawFd>,
+    /// The address of the admin interface, where there is one.
+    pub console: Option<SocketAddr>,
+    /// Seeds the decisions' random numbers.
+    pub seed: u64,
+    /// The address of the directory that answers DNS queries.
+    pub names: SocketAddr,
+    /// The endpoints known at the start, and the number of the last event that they include.
+    pub known: (u32, EndpointSet),
+    /// Settings of the decisions.
+    pub settings: Settings,
+    /// Limits that follow from the configuration.
+    pub limits: Limits,
+}
+
+impl Config {
+    /// Reads the file that the environment names.
+    ///
+    /// # Errors
+    /// [`ConfigError::Environment`], or what is wrong with the file, with its path.
+    pub fn load() -> Result<Self, ConfigError> {
+        let path = std::env::var(CONFIG_VARIABLE)
+            .map_err(|source| ConfigError::Environment { variable: CONFIG_VARIABLE, source })?;
+        let bytes =
+            std::fs::read(&path).map_err(|source| ConfigError::Read { path: path.clone(), source })?;
+        let value = serde_json::from_slice(&bytes)
+            .map_err(|source| ConfigError::NotJson { path: path.clone(), source })?;
+        Self::from_json(&value).map_err(|error| error.in_file(&path))
+    }
+
+    /// Reads the configuration and the environment variables that complete it.
+    ///
+    /// # Errors
+    /// The first key that is wrong, in the order in which they are read here.
+    pub fn from_json(value: &Value) -> Result<Self, ConfigError> {
+        let map = object(value, "the configuration")?;
+        let console = admin_address(map)?;
+        let inherited = inherited_listener()?;
+        let seed = text(map, "seed", "0")?;
+        Ok(Self {
+            name: text(map, "name", "node")?.into(),
+            listen: address(map, "listen")?,
+            inherited,
+            console,
+            seed: parse_seed(seed)?,
+            names: address(map, "names")?,
+            known: known_endpoints(map)?,
+            settings: parse_settings(object_field(map, "settings")?)?,
+            limits: Limits::from_config(value, inherited.is_some())?,
+        })
+    }
+
+    /// Applies what the replicated store holds: its settings replace those of the file, and its engines are used if the
+    /// file has none.
+    ///
+    /// # Errors
+    /// What is wrong with the stored value.
+    pub fn take_stored(&mut self, settings: Option<&str>, engines: Option<&str>) -> Result<(), ConfigError> {
+        if let Some(text) = settings {
+            let value: Value = serde_json::from_str(text).map_err(ConfigError::StoredSettings)?;
+            self.settings = parse_settings(object(&value, "stored settings")?)?;
+        }
+        if let (true, Some(text)) = (self.known.1.all().is_empty(), engines) {
+            self.known.1 = endpoint_json::servers(text)
+                .map_err(|error| ConfigError::StoredEngines(error.to_string()))?;
+        }
+        Ok(())
+    }
+}
+
+/// The address of the admin interface: of the file, else of the environment.
+fn admin_address(map: &Map<String, Value>) -> Result<Option<SocketAddr>, ConfigError> {
+    if !text(map, "console", "")?.is_empty() {
+        return address(map, "console").map(Some);
+    }
+    let Ok(text) = std::env::var(ADMIN_ADDRESS_VARIABLE) else { return Ok(None) };
+    parse_address(ADMIN_ADDRESS_VARIABLE, &text).map(Some)
+}
+
+/// The descriptor of the listening socket that this process inherits; `None` if it inherits none.
+fn inherited_listener() -> Result<Option<RawFd>, ConfigError> {
+    let Ok(text) = std::env::var(INHERITED_LISTENER_VARIABLE) else { return Ok(None) };
+    let number = text.parse();
+    number.map(Some).map_err(|source| ConfigError::Number { name: INHERITED_LISTENER_VARIABLE, text, source })
+}
+
+/// The address at `key`; an absent one cannot be parsed.
+fn address(map: &Map<String, Value>, key: &'static str) -> Result<SocketAddr, ConfigError> {
+    parse_address(key, text(map, key, "")?)
+}
+
+fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|source| ConfigError::Address { name, text: text.into(), source })
+}
+
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    let number = u64::from_str_radix(text, SEED_RADIX);
+    number.map_err(|source| ConfigError::Number { name: "seed", text: text.into(), source })
+}
+
+/// The endpoints known at the start, and the number of the last event that they include.
+fn known_endpoints(map: &Map<String, Value>) -> Result<(u32, EndpointSet), ConfigError> {
+    endpoint_json::read(map).map_err(|error| ConfigError::Endpoints(error.to_string()))
+}
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -1,5 +1,10 @@
 //! The text of each error in the configuration and in its settings, and which of several is reported.
 
+#[path = "../src/config/error.rs"]
+#[allow(dead_code)]
+mod config_error;
+
+use config_error::ConfigError;
 use dahliaspoke::settings::{object, settings};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -136,6 +141,19 @@
     assert!(settings(object(&value, "settings").expect("an object")).is_ok());
 }
 
+#[test]
+fn what_is_wrong_in_the_store_is_reported_as_such() {
+    let source = serde_json::from_str::<Value>("{").expect_err("cut off");
+    assert_eq!(
+        ConfigError::StoredSettings(source).to_string(),
+        "stored settings: EOF while parsing an object at line 1 column 1"
+    );
+    assert_eq!(
+        ConfigError::StoredEngines("the servers are not a list".into()).to_string(),
+        "stored engines: the servers are not a list"
+    );
+}
+
 /// A folder of its own, with a `deploy` in it; removed at the end.
 struct Folder(PathBuf);
 
