--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,38 +1,67 @@
-//! Counts of what came in, went out and was answered.
+//! Counts of requests, attempts and answers since the start.
 
+use super::Answer;
 use dahliaspoke::policy::Outcome;
 use std::fmt;
 
 /// Answers to the requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct Answers {
+    /// Served.
     pub served: u64,
+    /// Rejected: nothing ran.
     pub refused: u64,
+    /// Failed: it may have run.
     pub failed: u64,
 }
 
+impl Answers {
+    pub(super) fn count(&mut self, answer: &Answer) {
+        *match answer {
+            Answer::Served(_) => &mut self.served,
+            Answer::Rejected(_) => &mut self.refused,
+            Answer::Failed => &mut self.failed,
+        } += 1;
+    }
+}
+
+/// All counts. They are printed with the names that the operators' tools read.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    pub taken: u64,
-    /// By class, as the settings have them.
+    /// Requests received, and calls rejected before they were requests; printed as `taken`.
+    pub received: u64,
+    /// By class, in the order of the settings.
     pub answers: Vec<Answers>,
+    /// Requests whose client went before it had an answer.
     pub withdrawn: u64,
+    /// Calls that could not be decoded.
     pub bad: u64,
+    /// Attempts that upstreams were asked to start.
     pub sends: u64,
-    pub notes: u64,
+    /// Progress reports of running attempts; printed as `notes`.
+    pub progress_reports: u64,
+    /// Attempts that were served.
     pub ok: u64,
+    /// Attempts that the engine reported as failed.
     pub error: u64,
+    /// Attempts that were rejected before they ran.
     pub full: u64,
+    /// Attempts without a timely answer.
     pub timeout: u64,
+    /// Attempts whose connection was refused.
     pub unreachable: u64,
+    /// Attempts whose connection broke.
     pub reset: u64,
+    /// Attempts that the policy cancelled.
     pub cancelled: u64,
-    pub moot: u64,
+    /// Attempts that were over before they could run; printed as `moot`.
+    pub expired: u64,
+    /// Attempts of which no byte went out in time.
     pub unsent: u64,
 }
 
 impl Counters {
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub(super) fn count_attempt(&mut self, outcome: Outcome) {
         *match outcome {
             Outcome::Ok => &mut self.ok,
             Outcome::Error => &mut self.error,
@@ -41,7 +70,7 @@
             Outcome::Unreachable => &mut self.unreachable,
             Outcome::Reset => &mut self.reset,
             Outcome::Cancelled => &mut self.cancelled,
-            Outcome::Expired => &mut self.moot,
+            Outcome::Expired => &mut self.expired,
             Outcome::Unsent => &mut self.unsent,
         } += 1;
     }
@@ -49,18 +78,18 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let sum = |of: fn(&Answers) -> u64| self.answers.iter().map(of).sum::<u64>();
+        let sum = |count: fn(&Answers) -> u64| self.answers.iter().map(count).sum::<u64>();
         write!(
             f,
             "taken={} served={} refused={} failed={} withdrawn={} bad={} sends={} notes={}",
-            self.taken,
-            sum(|a| a.served),
-            sum(|a| a.refused),
-            sum(|a| a.failed),
+            self.received,
+            sum(|answers| answers.served),
+            sum(|answers| answers.refused),
+            sum(|answers| answers.failed),
             self.withdrawn,
             self.bad,
             self.sends,
-            self.notes
+            self.progress_reports
         )?;
         write!(
             f,
@@ -72,7 +101,7 @@
             self.unreachable,
             self.reset,
             self.cancelled,
-            self.moot,
+            self.expired,
             self.unsent
         )
     }
--- /dev/null
+++ b/src/core/fixed_settings.rs
@@ -0,0 +1,53 @@
+//! What of the settings cannot change in service: open requests name classes and tenants by position.
+
+use dahliaspoke::policy::{ClassSettings, Idempotency, Settings};
+use thiserror::Error;
+
+/// Why settings cannot apply in service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum FixedSettingsError {
+    /// Classes differ in number, order, name or idempotency.
+    #[error("classes: names, order and effect cannot change in service, only at a restart")]
+    Classes,
+    /// Tenants differ in number, order or name.
+    #[error("tenants: names and order cannot change in service, only at a restart")]
+    Tenants,
+}
+
+/// A class as far as it is fixed.
+#[derive(Clone, Debug, PartialEq)]
+struct FixedClass {
+    name: String,
+    idempotency: Idempotency,
+}
+
+/// The fixed part of settings.
+#[derive(Clone, Debug)]
+pub(super) struct FixedSettings {
+    classes: Vec<FixedClass>,
+    tenants: Vec<String>,
+}
+
+impl FixedSettings {
+    /// The fixed part of these settings.
+    pub(super) fn of(settings: &Settings) -> Self {
+        let class =
+            |class: &ClassSettings| FixedClass { name: class.name.clone(), idempotency: class.idempotency };
+        Self {
+            classes: settings.classes.iter().map(class).collect(),
+            tenants: settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+        }
+    }
+
+    /// Checks whether other settings may apply in service.
+    pub(super) fn check(&self, settings: &Settings) -> Result<(), FixedSettingsError> {
+        let other = Self::of(settings);
+        if other.classes != self.classes {
+            return Err(FixedSettingsError::Classes);
+        }
+        if other.tenants != self.tenants {
+            return Err(FixedSettingsError::Tenants);
+        }
+        Ok(())
+    }
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,610 +1,319 @@
-//! Requests, attempts and outcomes. The core carries out what the decision module asks for and sees to it
-//! that every request gets one final answer and every attempt one end. It knows no wire: fronts bring
-//! requests and take answers, links run attempts.
-
+//! Requests, attempts and outcomes.
+//!
+//! The core stands between the listeners, the upstreams and the policy. It hands the policy what happens, carries out the
+//! actions that the policy returns, and sees to it that every request gets one final answer and every attempt one end. It
+//! knows no wire protocol: listeners decode requests and encode answers, upstreams run attempts.
+//!
+//! The daemon calls it from the event loop, each time with the present time and with the [`Route`]s.
+
+mod actions;
+mod attempt;
+mod compat; // until the callers are typed
 mod counters;
+mod derived_classes;
+mod fixed_settings;
+mod request;
+mod request_table;
+mod route;
 mod trace;
 
+pub use attempt::{Attempt, AttemptOutcome, AttemptReport, Upstream, UpstreamEvent};
 pub use counters::{Answers, Counters};
+pub use fixed_settings::FixedSettingsError;
+pub use request::{Answer, Listener, ListenerEvent, ParameterValue, QueryPayload, Request, ResultParts};
+pub use route::Route;
 pub use trace::Trace;
 
 use crate::net::{Time, TimerQueue};
-use dahliaspoke::policy::Policy;
-use dahliaspoke::policy::*;
+use dahliaspoke::policy::{
+    Action, AttemptEnd, EngineEntry, EngineId, Event, ListScope, Outcome, Policy, Progress, Query, RequestId,
+    Settings,
+};
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Body;
-use std::collections::{HashMap, VecDeque};
-use std::sync::Arc;
-
-/// What an engine is to run, as the front took it and the link sends it; opaque here.
-#[derive(Clone, Debug, Default)]
-pub struct QueryPayload {
-    pub class: Arc<str>,
-    pub statement: Arc<[u8]>,
-    /// Arguments of a prepared statement.
-    pub arguments: Option<Arc<[u8]>>,
-    /// What the spool has: the statement, or what follows the arguments above where there are any.
-    pub body: Option<Body>,
-    /// Parameters whose values came ahead of the execution, by position.
-    pub long: Vec<(u16, Value)>,
-    /// The client's idempotency key.
-    pub key: Option<Arc<str>>,
-}
-
-/// A value that came by itself.
-#[derive(Clone, Debug)]
-pub enum Value {
-    Here(Arc<[u8]>),
-    Spool(Body),
-}
-
-impl QueryPayload {
-    /// Whether that body is a part of it.
-    fn has(&self, body: BodyId) -> bool {
-        let long = self.long.iter().any(|(_, value)| matches!(value, Value::Spool(b) if b.id() == body));
-        long || self.body.as_ref().is_some_and(|b| b.id() == body)
-    }
-}
-
-/// A request that a front has taken.
-#[derive(Clone, Debug)]
-pub struct Request {
-    /// Which door it came in by.
-    pub route: usize,
-    pub id: RequestId,
-    /// Position of its class in the settings.
-    pub class: usize,
-    /// Position of its tenant in the settings, where it belongs to one.
-    pub tenant: Option<usize>,
-    /// Requests of a class that keeps order run one at a time where this is the same.
-    pub order: Option<Arc<str>>,
-    /// When the client gives up.
-    pub deadline: Time,
-    /// Estimated work (ms of one thread).
-    pub estimate: Option<f64>,
-    /// Estimated memory (MB).
-    pub memory: Option<f64>,
-    /// Group of tables that it reads or writes.
-    pub tables: i64,
-    /// Its body is passed on as it comes and not kept: it must not run twice, whatever its class.
-    pub uploading: bool,
-    pub work: QueryPayload,
-}
-
-/// A result's parts in order, as the link received them.
-pub type ResultParts = Vec<Vec<u8>>;
+use derived_classes::DerivedClasses;
+use fixed_settings::FixedSettings;
+use request_table::{AttemptId, RequestState, RequestStatus, RequestTable};
+use std::collections::VecDeque;
+use trace::EngineTotals;
 
-/// The one final answer.
-#[derive(Debug)]
-pub enum Answer {
-    Served(ResultParts),
-    /// Not served; trying again is harmless, after so many seconds.
-    Rejected(Option<f64>),
-    /// Not served; it may have run.
-    Failed,
-}
-
-/// An attempt that a link is to run.
-#[derive(Clone, Debug)]
-pub struct Attempt {
-    pub id: RequestId,
-    pub attempt: u32,
-    pub engine: EngineId,
-    /// When the coordinator stops waiting.
-    pub deadline: Time,
-    /// When its first byte must have gone out, or it is not sent at all.
-    pub begins_by: Time,
-    /// Memory granted (MB).
-    pub memory: Option<f64>,
-    /// Priority, 0 to 3.
-    pub rank: u8,
-    pub work: QueryPayload,
-}
-
-/// How a link saw an attempt end.
-#[derive(Debug)]
-pub enum AttemptOutcome {
-    Served(ResultParts),
-    /// The engine said that it failed.
-    Error,
-    /// The engine turned it away unseen, or there was no connection left for it.
-    Full,
-    /// Its machine refused the connection.
-    ConnectionRefused,
-    /// No byte of it went out in time.
-    Unsent,
-    /// The connection broke after a byte of it went out.
-    Reset,
-    /// The engine says that it was over already and never ran.
-    Expired,
-}
-
-/// What fronts tell the core.
-#[derive(Debug)]
-pub enum ListenerEvent {
-    Request(Request),
-    /// The client has gone; no answer is owed.
-    ClientGone(RequestId),
-    /// A request of that class was turned away before it was one, with an answer.
-    Rejected(usize),
-}
-
-/// What an engine told beside an attempt's end.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AttemptReport {
-    /// Work that the query needed (ms of one thread, at least 0).
-    pub work: Option<f64>,
-    /// Memory that it needed (MB, at least 0).
-    pub memory: Option<f64>,
-    pub report: Option<LoadReport>,
-}
-
-/// What links tell the core.
-#[derive(Debug)]
-pub enum UpstreamEvent {
-    AttemptEnd { id: RequestId, attempt: u32, ending: AttemptOutcome, told: AttemptReport },
-    Progress { id: RequestId, attempt: u32, progress: Progress },
-}
-
-impl UpstreamEvent {
-    /// An attempt's end with nothing told beside it.
-    pub fn ended(id: &RequestId, attempt: u32, ending: AttemptOutcome) -> Self {
-        UpstreamEvent::AttemptEnd { id: id.clone(), attempt, ending, told: AttemptReport::default() }
-    }
-}
-
-/// Where requests come from.
-pub trait Listener {
-    /// Gives a request its final answer. One whose client has gone is passed over.
-    fn answer(&mut self, now: Time, id: &RequestId, answer: Answer);
-    /// Whether its client still waits for that answer, by what its connection tells at this moment.
-    fn waits(&mut self, id: &RequestId) -> bool;
-}
-
-/// Where attempts run.
-pub trait Upstream {
-    /// Starts an attempt. Its end comes as news, once, unless it is dropped.
-    fn start(&mut self, now: Time, call: Attempt);
-    /// Gives an attempt up; no more news of it comes. True if no byte of it has gone out.
-    fn drop_call(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool;
-    /// Changes the priority of an attempt that is out.
-    fn rank(&mut self, now: Time, id: &RequestId, attempt: u32, rank: u8);
-    /// Attempts that have gone out whole.
-    fn written(&self) -> u64;
-}
-
-/// A front and the link that runs what comes in there.
-pub struct Route<'a> {
-    pub front: &'a mut dyn Listener,
-    pub link: &'a mut dyn Upstream,
-}
-
-struct AttemptState {
-    out: bool,
-    rank: u8,
-}
-
-struct RequestState {
-    route: usize,
-    class: usize,
-    work: QueryPayload,
-    deadline: Time,
-    memory: Option<f64>,
-    rank: u8,
-    attempts: Vec<AttemptState>,
-    /// The final answer is given, or none is owed any more.
-    over: bool,
-}
+/// How often the sums over all engines are written to the trace (s).
+const TOTALS_INTERVAL: Time = 1.0;
 
+/// A point in time at which the core has something to do.
 enum TimerEvent {
-    Module(u64),
-    AttemptState(RequestId, u32),
-}
-
-/// A class as requests and twins hang on it.
-fn shape(settings: &Settings) -> Vec<(String, Idempotency)> {
-    settings.classes.iter().map(|class| (class.name.clone(), class.idempotency)).collect()
-}
-
-/// The tenants as requests hang on them.
-fn names_of_tenants(settings: &Settings) -> Vec<String> {
-    settings.tenants.iter().map(|tenant| tenant.name.clone()).collect()
-}
-
-/// A keyed request that came without its key must not be repeated: it is of a twin class that says so. So is any that
-/// cannot be sent again. By class, the one for requests without a key, and the one for bodies that are not kept.
-fn with_twins(mut settings: Settings, uploads: bool) -> (Settings, Vec<usize>, Vec<usize>) {
-    let mut keyless: Vec<usize> = (0..settings.classes.len()).collect();
-    let mut once = keyless.clone();
-    for at in 0..keyless.len() {
-        let class = &settings.classes[at];
-        let (keyed, twin) = (class.idempotency == Idempotency::WithKey, settings.classes.len());
-        if keyed || uploads && class.idempotency == Idempotency::Always {
-            let class = ClassSettings { idempotency: Idempotency::Never, ..class.clone() };
-            settings.classes.push(class);
-            once[at] = twin;
-        }
-        if keyed {
-            keyless[at] = twin;
-        }
-    }
-    (settings, keyless, once)
+    /// The policy asked for a timer; the number is its token.
+    Policy(u64),
+    /// An attempt times out.
+    AttemptDeadline(AttemptId),
 }
 
-/// Everything between the fronts, the links and the decision module.
+/// Everything between the listeners, the upstreams and the policy.
 pub struct Core {
-    gateway: Policy,
-    /// What of the classes cannot change in service.
-    classes: Vec<(String, Idempotency)>,
-    /// The same of the tenants.
-    tenants: Vec<String>,
-    uploads: bool,
-    /// By class, the one for its requests without a key.
-    keyless: Vec<usize>,
-    /// By class, the one for its requests whose body is not kept.
-    once: Vec<usize>,
-    requests: HashMap<RequestId, RequestState>,
-    open: usize,
+    policy: Policy,
+    fixed_settings: FixedSettings,
+    /// Whether bodies may be passed on without being kept.
+    may_pass_bodies_on: bool,
+    derived_classes: DerivedClasses,
+    requests: RequestTable,
     timers: TimerQueue<TimerEvent>,
+    /// What the policy has not handled yet.
     events: VecDeque<Event>,
+    /// Empty between two events; kept for its allocation.
     actions: Vec<Action>,
+    /// Counts since the start.
     pub counters: Counters,
     trace: Trace,
-    /// When bounds and work in hand are next written out.
-    pool_at: Time,
+    /// When the sums over all engines are next written to the trace.
+    next_totals: Time,
 }
 
 impl Core {
-    /// `uploads` says that bodies may be passed on without being kept.
-    pub fn new(settings: Settings, seed: u64, uploads: bool, trace: Trace) -> Self {
+    /// A core without engines. `seed` is that of the policy's random numbers; `may_pass_bodies_on` says that there may be
+    /// bodies that are not kept.
+    pub fn new(mut settings: Settings, seed: u64, may_pass_bodies_on: bool, trace: Trace) -> Self {
         let answers = vec![Answers::default(); settings.classes.len()];
-        let (classes, tenants) = (shape(&settings), names_of_tenants(&settings));
-        let (settings, keyless, once) = with_twins(settings, uploads);
+        let fixed_settings = FixedSettings::of(&settings);
+        let derived_classes = DerivedClasses::append_to(&mut settings, may_pass_bodies_on);
         Self {
-            classes,
-            tenants,
-            uploads,
-            keyless,
-            once,
-            gateway: Policy::new(settings, seed),
-            requests: HashMap::new(),
-            open: 0,
+            policy: Policy::new(settings, seed),
+            fixed_settings,
+            may_pass_bodies_on,
+            derived_classes,
+            requests: RequestTable::default(),
             timers: TimerQueue::default(),
             events: VecDeque::new(),
             actions: Vec::new(),
             counters: Counters { answers, ..Counters::default() },
             trace,
-            pool_at: 0.0,
+            next_totals: 0.0,
         }
     }
 
-    /// When the core next has something to do by itself.
+    /// When [`Core::on_timer`] must be called next; `None` if no timer is set.
     pub fn next_deadline(&self) -> Option<Time> {
         self.timers.next_deadline()
     }
 
-    /// Whether the decisions leave an engine out for now.
+    /// Whether the policy has ejected an engine for now.
     pub fn avoids(&self, engine: &EngineId) -> bool {
-        self.gateway.engine(engine).is_some_and(|(_, _, ejected)| ejected)
+        self.policy.engine(engine).is_some_and(|(_, _, ejected)| ejected)
     }
 
-    /// Requests that are owed an answer.
+    /// How many requests are owed an answer.
     pub fn open(&self) -> usize {
-        self.open
+        self.requests.open()
     }
 
-    /// The program ends before its requests do: each is given up, with an answer.
+    /// Gives up all open requests, each with an answer: the program ends before they do.
     pub fn give_up(&mut self, now: Time, routes: &mut [Route]) {
         self.feed(now, Event::Shutdown, routes);
     }
 
-    /// A check whether settings can count in service; it fails with key and reason.
-    pub fn fitting(&self) -> impl Fn(&Settings) -> Result<(), String> + 'static {
-        let (classes, tenants) = (self.classes.clone(), self.tenants.clone());
-        move |settings| {
-            if shape(settings) != classes {
-                return Err(
-                    "classes: names, order and effect cannot change in service, only at a restart".into()
-                );
-            }
-            if names_of_tenants(settings) != tenants {
-                return Err("tenants: names and order cannot change in service, only at a restart".into());
-            }
-            Ok(())
-        }
+    /// A check whether settings can apply in service, which outlives the borrow of the core.
+    pub fn settings_check(&self) -> impl Fn(&Settings) -> Result<(), FixedSettingsError> + 'static {
+        let fixed_settings = self.fixed_settings.clone();
+        move |settings| fixed_settings.check(settings)
     }
 
-    /// These settings count from here on. What was learnt stays, and what is open keeps its deadline.
-    pub fn settings(&mut self, now: Time, settings: Settings, routes: &mut [Route]) -> Result<(), String> {
-        self.fitting()(&settings)?;
-        let (settings, ..) = with_twins(settings, self.uploads);
+    /// Applies settings from here on. What the policy has learnt stays, and open requests keep their deadlines.
+    ///
+    /// # Errors
+    /// Which part of the settings cannot change in service.
+    pub fn apply_settings(
+        &mut self,
+        now: Time,
+        mut settings: Settings,
+        routes: &mut [Route],
+    ) -> Result<(), FixedSettingsError> {
+        self.fixed_settings.check(&settings)?;
+        self.derived_classes = DerivedClasses::append_to(&mut settings, self.may_pass_bodies_on);
         self.feed(now, Event::Settings(Box::new(settings)), routes);
         Ok(())
     }
 
+    /// Hands the policy a list of engines, or changes of it.
     pub fn engines(&mut self, now: Time, scope: ListScope, entries: Vec<EngineEntry>, routes: &mut [Route]) {
         self.feed(now, Event::EngineList(scope, entries), routes);
     }
 
-    /// Takes what a front brings.
+    /// Handles what a listener reports.
     pub fn front_event(&mut self, now: Time, event: ListenerEvent, routes: &mut [Route]) {
         match event {
-            ListenerEvent::Request(ask) => self.ask(now, ask, routes),
+            ListenerEvent::Request(request) => self.receive(now, request, routes),
             ListenerEvent::Rejected(class) => {
-                self.counters.taken += 1;
+                self.counters.received += 1;
                 self.counters.answers[class].refused += 1;
             }
             ListenerEvent::ClientGone(id) => {
                 if self.withdraw(&id) {
                     self.feed(now, Event::ClientGone { id: id.clone() }, routes);
-                    self.forget(&id);
+                    self.requests.remove_finished(&id);
                 }
             }
         }
     }
 
-    /// The client has gone: nothing more is done for its request. False if it was over.
-    fn withdraw(&mut self, id: &RequestId) -> bool {
-        let Some(request) = self.requests.get_mut(id).filter(|r| !r.over) else { return false };
-        request.over = true;
-        self.open -= 1;
-        self.counters.withdrawn += 1;
-        true
-    }
-
-    fn ask(&mut self, now: Time, ask: Request, routes: &mut [Route]) {
-        self.counters.taken += 1;
-        self.trace.taken(now, &ask.id, ask.class, ask.estimate, ask.deadline - now);
-        // The module keeps requests by id, and engines are sent the client's id as it is.
-        if self.requests.contains_key(&ask.id) {
-            self.counters.answers[ask.class].failed += 1;
-            return routes[ask.route].front.answer(now, &ask.id, Answer::Failed);
-        }
-        let class = match ask.work.key {
-            _ if ask.uploading => self.once[ask.class],
-            Some(_) => ask.class,
-            None => self.keyless[ask.class],
-        };
-        let request = RequestState {
-            route: ask.route,
-            class: ask.class,
-            work: ask.work,
-            deadline: ask.deadline,
-            memory: None,
-            rank: 1,
-            attempts: Vec::new(),
-            over: false,
-        };
-        self.requests.insert(ask.id.clone(), request);
-        self.open += 1;
-        let query = Query {
-            id: ask.id,
-            class,
-            tenant: ask.tenant,
-            key: ask.order,
-            time_left: ask.deadline - now,
-            work: ask.estimate,
-            memory: ask.memory,
-            tables: ask.tables,
-            uploading: ask.uploading,
-        };
-        self.feed(now, Event::Query(query), routes);
-    }
-
-    /// Bytes of a body are gone: whatever request has it gets no further attempt.
+    /// Handles the loss of bytes of a body: the request that it belongs to gets no further attempt.
     pub fn spent(&mut self, now: Time, body: BodyId, routes: &mut [Route]) {
-        let id = self.requests.iter().find(|(_, r)| r.work.has(body)).map(|(id, _)| id.clone());
-        if let Some(id) = id {
+        if let Some(id) = self.requests.with_body(body).cloned() {
             self.feed(now, Event::BodyDropped { id }, routes);
         }
     }
 
-    /// Takes what a link tells.
-    pub fn news(&mut self, now: Time, news: UpstreamEvent, routes: &mut [Route]) {
-        match news {
-            UpstreamEvent::AttemptEnd { id, attempt, ending, told } => {
-                let (outcome, parts) = match ending {
-                    AttemptOutcome::Served(parts) => (Outcome::Ok, Some(parts)),
-                    AttemptOutcome::Error => (Outcome::Error, None),
-                    AttemptOutcome::Full => (Outcome::Full, None),
-                    AttemptOutcome::ConnectionRefused => (Outcome::Unreachable, None),
-                    AttemptOutcome::Unsent => (Outcome::Unsent, None),
-                    AttemptOutcome::Reset => (Outcome::Reset, None),
-                    AttemptOutcome::Expired => (Outcome::Expired, None),
-                };
-                if !self.end(&id, attempt) {
-                    return;
-                }
-                if let Some(parts) = parts {
-                    self.answer(now, &id, Answer::Served(parts), routes);
-                }
-                self.ended(now, id, attempt, outcome, told, routes);
+    /// Handles what an upstream reports.
+    pub fn news(&mut self, now: Time, event: UpstreamEvent, routes: &mut [Route]) {
+        match event {
+            UpstreamEvent::AttemptEnd { id, attempt, outcome, report } => {
+                let attempt = AttemptId { request: id, number: attempt };
+                self.on_attempt_end(now, attempt, outcome, report, routes);
             }
             UpstreamEvent::Progress { id, attempt, progress } => {
-                if self.is_out(&id, attempt) {
-                    self.counters.notes += 1;
-                    self.trace.noted(now, &id, attempt, progress);
-                    self.feed(now, Event::Progress { id, attempt, progress }, routes);
-                }
+                let attempt = AttemptId { request: id, number: attempt };
+                self.on_progress(now, attempt, progress, routes);
             }
         }
     }
 
-    /// Whatever has come due.
+    /// Handles the timers that are due.
     pub fn on_timer(&mut self, now: Time, routes: &mut [Route]) {
-        if now >= self.pool_at {
-            self.pool_at = now + 1.0;
-            self.trace.pool(now, self.gateway.engines());
+        if now >= self.next_totals {
+            self.next_totals = now + TOTALS_INTERVAL;
+            self.trace.engine_totals(now, || engine_totals(&self.policy));
         }
-        while let Some(on_timer) = self.timers.due(now) {
-            match on_timer {
-                TimerEvent::Module(token) => self.feed(now, Event::Timer(token), routes),
-                TimerEvent::AttemptState(id, attempt) => {
-                    if self.end(&id, attempt) {
-                        let unsent = routes[self.route(&id)].link.drop_call(now, &id, attempt);
-                        let outcome = if unsent { Outcome::Unsent } else { Outcome::Timeout };
-                        self.ended(now, id, attempt, outcome, AttemptReport::default(), routes);
-                    }
-                }
+        while let Some(event) = self.timers.due(now) {
+            match event {
+                TimerEvent::Policy(token) => self.feed(now, Event::Timer(token), routes),
+                TimerEvent::AttemptDeadline(attempt) => self.on_attempt_deadline(now, attempt, routes),
             }
         }
     }
 
-    fn route(&self, id: &RequestId) -> usize {
-        self.requests.get(id).map_or(0, |r| r.route)
+    fn receive(&mut self, now: Time, request: Request, routes: &mut [Route]) {
+        self.counters.received += 1;
+        self.trace.request_received(now, &request);
+        // The policy keeps requests by id, and engines are sent the client's id as it is.
+        if self.requests.get(&request.id).is_some() {
+            self.counters.answers[request.class].count(&Answer::Failed);
+            routes[request.route].front.answer(now, &request.id, Answer::Failed);
+            return;
+        }
+        let query = self.query(now, &request);
+        self.requests.insert(request.id.clone(), RequestState::new(request));
+        self.feed(now, Event::Query(query), routes);
     }
 
-    fn is_out(&self, id: &RequestId, attempt: u32) -> bool {
-        self.requests.get(id).and_then(|r| r.attempts.get(attempt as usize)).is_some_and(|a| a.out)
+    /// A request as the policy sees it.
+    fn query(&self, now: Time, request: &Request) -> Query {
+        Query {
+            id: request.id.clone(),
+            class: self.derived_classes.class_of(request),
+            tenant: request.tenant,
+            key: request.order_key.clone(),
+            time_left: request.deadline - now,
+            work: request.estimated_work,
+            memory: request.estimated_memory,
+            tables: request.table_group,
+            uploading: request.uploading,
+        }
     }
 
-    /// Marks an attempt as ended. False if it was not out: whatever came second is passed over.
-    fn end(&mut self, id: &RequestId, attempt: u32) -> bool {
-        let request = self.requests.get_mut(id);
-        let attempt = request.and_then(|r| r.attempts.get_mut(attempt as usize));
-        attempt.is_some_and(|a| std::mem::replace(&mut a.out, false))
+    /// Closes a request whose client has gone. Returns false if it was not open.
+    fn withdraw(&mut self, id: &RequestId) -> bool {
+        let was_open = self.requests.close(id, RequestStatus::Withdrawn).is_some();
+        self.counters.withdrawn += u64::from(was_open);
+        was_open
     }
 
-    /// Tells the module of an attempt's one end.
-    fn ended(
+    fn on_attempt_end(
         &mut self,
         now: Time,
-        id: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-        told: AttemptReport,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        report: AttemptReport,
         routes: &mut [Route],
     ) {
-        let event = self.end_event(now, id.clone(), attempt, outcome, told);
-        self.feed(now, event, routes);
-        self.forget(&id);
-    }
-
-    fn end_event(
-        &mut self,
-        now: Time,
-        id: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-        told: AttemptReport,
-    ) -> Event {
-        self.counters.ended(outcome);
-        self.trace.ended(now, &id, attempt, outcome, told);
-        let finished = self.requests.get(&id).is_none_or(|r| r.over);
-        let AttemptReport { work, memory, report } = told;
-        Event::AttemptEnded(AttemptEnd { id, attempt, outcome, finished, work, memory, report })
-    }
-
-    /// Gives the final answer, unless there was one.
-    fn answer(&mut self, now: Time, id: &RequestId, answer: Answer, routes: &mut [Route]) {
-        let Some(request) = self.requests.get_mut(id).filter(|r| !r.over) else { return };
-        request.over = true;
-        self.open -= 1;
-        let answers = &mut self.counters.answers[request.class];
-        let (word, count) = match answer {
-            Answer::Served(_) => ("served", &mut answers.served),
-            Answer::Rejected(_) => ("refused", &mut answers.refused),
-            Answer::Failed => ("failed", &mut answers.failed),
-        };
-        *count += 1;
-        self.trace.answered(now, id, word);
-        routes[request.route].front.answer(now, id, answer);
+        if !self.requests.end_attempt(&attempt) {
+            return;
+        }
+        let policy_outcome = outcome.for_policy();
+        if let AttemptOutcome::Served(parts) = outcome {
+            self.answer(now, &attempt.request, Answer::Served(parts), routes);
+        }
+        self.feed_attempt_end(now, attempt, policy_outcome, report, routes);
     }
 
-    /// Forgets a request that is over once its last attempt has ended.
-    fn forget(&mut self, id: &RequestId) {
-        if self.requests.get(id).is_some_and(|r| r.over && r.attempts.iter().all(|a| !a.out)) {
-            self.requests.remove(id);
+    fn on_progress(&mut self, now: Time, attempt: AttemptId, progress: Progress, routes: &mut [Route]) {
+        if !self.requests.is_running(&attempt) {
+            return;
         }
+        self.counters.progress_reports += 1;
+        self.trace.progress(now, &attempt, progress);
+        let AttemptId { request: id, number: attempt } = attempt;
+        self.feed(now, Event::Progress { id, attempt, progress }, routes);
     }
 
-    /// Hands the module one event and carries out all that it leads to.
-    fn feed(&mut self, now: Time, event: Event, routes: &mut [Route]) {
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
-            let mut actions = std::mem::take(&mut self.actions);
-            self.gateway.handle(now, event, &mut actions);
-            for action in actions.drain(..) {
-                self.act(now, action, routes);
-            }
-            self.actions = actions;
+    fn on_attempt_deadline(&mut self, now: Time, attempt: AttemptId, routes: &mut [Route]) {
+        if !self.requests.end_attempt(&attempt) {
+            return;
         }
+        let unsent = self.abandon(now, &attempt, routes);
+        let outcome = if unsent { Outcome::Unsent } else { Outcome::Timeout };
+        self.feed_attempt_end(now, attempt, outcome, AttemptReport::default(), routes);
     }
 
-    fn act(&mut self, now: Time, action: Action, routes: &mut [Route]) {
-        match action {
-            Action::Send { id, engine, timeout, within } => {
-                self.send(now, (id, engine), timeout, within, routes);
-            }
-            Action::Cancel { id, attempt } => {
-                if self.end(&id, attempt) {
-                    routes[self.route(&id)].link.drop_call(now, &id, attempt);
-                    let event = self.end_event(
-                        now,
-                        id.clone(),
-                        attempt,
-                        Outcome::Cancelled,
-                        AttemptReport::default(),
-                    );
-                    self.events.push_back(event);
-                    self.forget(&id);
-                }
-            }
-            Action::Reject { id, retry_after } => {
-                self.answer(now, &id, Answer::Rejected(retry_after), routes);
-                self.forget(&id);
-            }
-            Action::Fail { id } => {
-                self.answer(now, &id, Answer::Failed, routes);
-                self.forget(&id);
-            }
-            Action::SetTerms { id, memory, rank } => {
-                let Some(request) = self.requests.get_mut(&id) else { return };
-                (request.memory, request.rank) = (memory, rank);
-                let link = &mut routes[request.route].link;
-                let out = request.attempts.iter_mut().enumerate().filter(|(_, a)| a.out && a.rank != rank);
-                for (at, attempt) in out {
-                    attempt.rank = rank;
-                    link.rank(now, &id, at as u32, rank);
-                }
-            }
-            Action::SetTimer { after, token } => self.timers.set(now + after, TimerEvent::Module(token)),
-            Action::Subscribe => {} // the directory is polled anyway
-            Action::Log(line) => tracing::info!(at = now, "{line}"),
-        }
+    /// Has the upstream give an attempt up. Returns whether no byte of it has gone out.
+    fn abandon(&self, now: Time, attempt: &AttemptId, routes: &mut [Route]) -> bool {
+        let route = self.requests.get(&attempt.request).map_or(0, |request| request.route);
+        routes[route].link.abandon(now, &attempt.request, attempt.number)
     }
 
-    fn send(
+    /// Hands the policy an attempt's one end.
+    fn feed_attempt_end(
         &mut self,
         now: Time,
-        (id, engine): (RequestId, EngineId),
-        timeout: Option<f64>,
-        within: Option<f64>,
+        attempt: AttemptId,
+        outcome: Outcome,
+        report: AttemptReport,
         routes: &mut [Route],
     ) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let attempt = request.attempts.len() as u32;
-        let (rank, route) = (request.rank, request.route);
-        // Word that the client has gone may stand unread behind what led here: it is asked for at this moment.
-        if !request.over && !routes[route].front.waits(&id) && self.withdraw(&id) {
-            self.events.push_back(Event::ClientGone { id: id.clone() });
-        }
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.over {
-            request.attempts.push(AttemptState { out: false, rank });
-            let event = self.end_event(now, id.clone(), attempt, Outcome::Expired, AttemptReport::default());
-            self.events.push_back(event);
-            return self.forget(&id);
-        }
-        let deadline = timeout.map_or(request.deadline, |t| request.deadline.min(now + t));
-        let begins_by = within.map_or(deadline, |w| deadline.min(now + w));
-        request.attempts.push(AttemptState { out: true, rank });
-        let (memory, work) = (request.memory, request.work.clone());
-        self.counters.sends += 1;
-        self.trace.sent(now, &id, attempt, &engine);
-        self.timers.set(deadline, TimerEvent::AttemptState(id.clone(), attempt));
-        routes[route]
-            .link
-            .start(now, Attempt { id, attempt, engine, deadline, begins_by, memory, rank, work });
+        let id = attempt.request.clone();
+        let event = self.attempt_end(now, attempt, outcome, report);
+        self.feed(now, event, routes);
+        self.requests.remove_finished(&id);
+    }
+
+    /// Counts an attempt's end and returns it as the policy sees it.
+    fn attempt_end(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        outcome: Outcome,
+        report: AttemptReport,
+    ) -> Event {
+        self.counters.count_attempt(outcome);
+        self.trace.attempt_ended(now, &attempt, outcome, report);
+        let finished = !self.requests.is_open(&attempt.request);
+        let AttemptId { request: id, number: attempt } = attempt;
+        let AttemptReport { work, memory, load } = report;
+        Event::AttemptEnded(AttemptEnd { id, attempt, outcome, finished, work, memory, report: load })
+    }
+
+    /// Gives a request its final answer, unless it is closed.
+    fn answer(&mut self, now: Time, id: &RequestId, answer: Answer, routes: &mut [Route]) {
+        let Some(request) = self.requests.close(id, RequestStatus::Answered) else { return };
+        self.counters.answers[request.class].count(&answer);
+        self.trace.answered(now, id, &answer);
+        routes[request.route].front.answer(now, id, answer);
+    }
+}
+
+/// Sums over the policy's engines.
+fn engine_totals(policy: &Policy) -> EngineTotals {
+    let mut totals = EngineTotals::default();
+    for (bound, backlog, ejected) in policy.engines() {
+        totals.bounds += bound;
+        totals.backlog += backlog;
+        totals.ejected += u32::from(ejected);
     }
+    totals
 }
--- /dev/null
+++ b/src/core/route.rs
@@ -0,0 +1,12 @@
+//! Routes: which upstream runs the requests of which listener.
+
+use super::{Listener, Upstream};
+
+/// A listener and the upstream that runs its requests. Requests name their route by its position in the list that the core
+/// is handed.
+pub struct Route<'a> {
+    /// Where requests of this route come from.
+    pub front: &'a mut dyn Listener,
+    /// Where attempts of this route run.
+    pub link: &'a mut dyn Upstream,
+}
--- a/src/core/trace.rs
+++ b/src/core/trace.rs
@@ -1,18 +1,20 @@
-//! A log line for each step of a request, for whoever counts over many coordinators. Off unless
-//! `deploy/trace.toml` says otherwise: at size it is most of what the program writes.
+//! A log line for each step of a request, for tools that add up the logs of many coordinators; the simulator's `account`
+//! reads them. Off unless `deploy/trace.toml` switches it on: under load it is most of what the program writes.
 
-use super::AttemptReport;
-use crate::config::optional;
+use super::request_table::AttemptId;
+use super::{Answer, AttemptReport, Request};
+use crate::config::{read_optional, ConfigError};
 use crate::net::Time;
 use dahliaspoke::policy::{EngineId, Outcome, Progress, RequestId};
-use dahliaspoke::settings::Res;
 use serde::Deserialize;
 use std::fmt;
 
-/// Where the file is, from the folder that the daemon is started in.
+/// The file's path, relative to the working directory.
 const FILE: &str = "deploy/trace.toml";
+/// Stands for a figure that was not reported.
+const NOT_REPORTED: &str = "-";
 
-/// What is written out.
+/// Which lines are written.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trace {
@@ -21,10 +23,24 @@
     requests: bool,
 }
 
+/// Sums over all engines.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct EngineTotals {
+    /// Bounds of the work in hand (ms of one thread).
+    pub bounds: f64,
+    /// Work in hand (ms of one thread).
+    pub backlog: f64,
+    /// Engines that are ejected.
+    pub ejected: u32,
+}
+
 impl Trace {
-    /// What the file asks for; nothing without one.
-    pub fn from_file() -> Res<Self> {
-        Ok(optional(FILE)?.unwrap_or_default())
+    /// Reads the file; nothing is written without one.
+    ///
+    /// # Errors
+    /// What is wrong with the file.
+    pub fn from_file() -> Result<Self, ConfigError> {
+        Ok(read_optional(FILE)?.unwrap_or_default())
     }
 
     fn line(self, now: Time, line: fmt::Arguments) {
@@ -33,43 +49,70 @@
         }
     }
 
-    /// A request came in: its class, its estimate (ms of one thread), and the time its client waits (s).
-    pub fn taken(self, now: Time, id: &RequestId, class: usize, estimate: Option<f64>, left: f64) {
-        self.line(now, format_args!("taken {id} {class} {:.0} {left:.3}", estimate.unwrap_or(0.0)));
+    /// A request came in: its class, its estimated work (ms of one thread), and how long its client waits (s).
+    pub(super) fn request_received(self, now: Time, request: &Request) {
+        let Request { id, class, .. } = request;
+        let work = request.estimated_work.unwrap_or(0.0);
+        let time_left = request.deadline - now;
+        self.line(now, format_args!("taken {id} {class} {work:.0} {time_left:.3}"));
     }
 
-    pub fn sent(self, now: Time, id: &RequestId, attempt: u32, engine: &EngineId) {
-        self.line(now, format_args!("sent {id} {attempt} {engine}"));
+    /// An upstream was asked to start an attempt.
+    pub(super) fn attempt_sent(self, now: Time, attempt: &AttemptId, engine: &EngineId) {
+        let AttemptId { request, number } = attempt;
+        self.line(now, format_args!("sent {request} {number} {engine}"));
     }
 
-    /// The engine's cores, memory and disks, as parts in use, and the attempt's work (ms) and memory (MB), where told.
-    pub fn ended(self, now: Time, id: &RequestId, attempt: u32, outcome: Outcome, told: AttemptReport) {
-        let report = told.report.unwrap_or_default();
-        let [work, need] = [told.work, told.memory].map(|n| n.map_or("-".into(), |n| format!("{n:.0}")));
-        let [cores, memory, disks] = [report.util, report.memory, report.disk]
-            .map(|part| part.map_or("-".into(), |p| format!("{p:.2}")));
+    /// An attempt ended: the parts of the engine's cores, memory and disks in use, and the work (ms of one thread) and memory
+    /// (MB) that the query needed, as far as they were reported.
+    pub(super) fn attempt_ended(
+        self,
+        now: Time,
+        attempt: &AttemptId,
+        outcome: Outcome,
+        report: AttemptReport,
+    ) {
+        let AttemptId { request, number } = attempt;
+        let load = report.load.unwrap_or_default();
+        let [cores, memory, disks] = [load.util, load.memory, load.disk].map(share);
+        let [work, need] = [report.work, report.memory].map(amount);
         self.line(
             now,
-            format_args!("ended {id} {attempt} {outcome:?} {cores} {memory} {disks} {work} {need}"),
+            format_args!("ended {request} {number} {outcome:?} {cores} {memory} {disks} {work} {need}"),
         );
     }
 
-    pub fn noted(self, now: Time, id: &RequestId, attempt: u32, progress: Progress) {
-        self.line(now, format_args!("noted {id} {attempt} {progress:?}"));
+    /// A running attempt reported of itself.
+    pub(super) fn progress(self, now: Time, attempt: &AttemptId, progress: Progress) {
+        let AttemptId { request, number } = attempt;
+        self.line(now, format_args!("noted {request} {number} {progress:?}"));
     }
 
-    /// Once a second: bounds and work in hand over all engines (ms), and how many are left out as bad.
-    pub fn pool(self, now: Time, engines: impl Iterator<Item = (f64, f64, bool)>) {
+    /// Sums over all engines; they are computed only if the line is written.
+    pub(super) fn engine_totals(self, now: Time, totals: impl FnOnce() -> EngineTotals) {
         if self.requests {
-            let add = |(bounds, held, out): (f64, f64, u32), (bound, backlog, ejected): (f64, f64, bool)| {
-                (bounds + bound, held + backlog, out + u32::from(ejected))
-            };
-            let (bounds, held, out) = engines.fold((0.0, 0.0, 0), add);
-            self.line(now, format_args!("pool {bounds:.0} {held:.0} {out}"));
+            let EngineTotals { bounds, backlog, ejected } = totals();
+            self.line(now, format_args!("pool {bounds:.0} {backlog:.0} {ejected}"));
         }
     }
 
-    pub fn answered(self, now: Time, id: &RequestId, word: &str) {
-        self.line(now, format_args!("answered {id} {word}"));
+    /// A request has its final answer.
+    pub(super) fn answered(self, now: Time, id: &RequestId, answer: &Answer) {
+        let answer = match answer {
+            Answer::Served(_) => "served",
+            Answer::Rejected(_) => "refused",
+            Answer::Failed => "failed",
+        };
+        self.line(now, format_args!("answered {id} {answer}"));
     }
 }
+
+/// A share with two digits.
+fn share(share: Option<f64>) -> String {
+    share.map_or(NOT_REPORTED.into(), |share| format!("{share:.2}"))
+}
+
+/// An amount without a fraction.
+fn amount(amount: Option<f64>) -> String {
+    amount.map_or(NOT_REPORTED.into(), |amount| format!("{amount:.0}"))
+}
--- a/src/listener/http/mod.rs
+++ b/src/listener/http/mod.rs
@@ -77,8 +77,8 @@
 }
 
 impl Listener for HttpListener {
-    fn waits(&mut self, id: &RequestId) -> bool {
-        Server::waits(self, id)
+    fn is_client_waiting(&mut self, id: &RequestId) -> bool {
+        Server::is_client_waiting(self, id)
     }
 
     fn answer(&mut self, now: Time, id: &RequestId, answer: Answer) {
@@ -281,7 +281,7 @@
         let told = told(&call, class, shared)?;
         let statement = std::str::from_utf8(&call.body).map_err(|_| Bad(400))?;
         let mut ask = told.ask(now, sql::tables(statement), shared);
-        ask.work.statement = statement.as_bytes().into();
+        ask.payload.statement = statement.as_bytes().into();
         self.ask(ask, shared);
         Ok(())
     }
@@ -362,15 +362,15 @@
             id: self.id.clone(),
             class: self.class,
             tenant: self.tenant,
-            order: self.order.clone(),
+            order_key: self.order.clone(),
             deadline: now + self.allow,
-            estimate: self.estimate,
-            memory: self.memory,
-            tables: tables.unwrap_or(-1),
+            estimated_work: self.estimate,
+            estimated_memory: self.memory,
+            table_group: tables.unwrap_or(-1),
             uploading: false,
-            work: QueryPayload {
-                class: shared.names.classes[self.class].clone(),
-                key: self.key.clone(),
+            payload: QueryPayload {
+                class_name: shared.names.classes[self.class].clone(),
+                idempotency_key: self.key.clone(),
                 ..QueryPayload::default()
             },
         }
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -172,7 +172,7 @@
         let since = upload.whole.unwrap_or(now);
         let mut ask = upload.told.ask(since, sql::tables(upload.start()), shared);
         ask.uploading = uploading;
-        ask.work.body = Some(upload.body.clone());
+        ask.payload.body = Some(upload.body.clone());
         self.ask(ask, shared);
         Flow::Open
     }
--- a/src/listener/mysql/large.rs
+++ b/src/listener/mysql/large.rs
@@ -3,7 +3,7 @@
 //! spool as they come, and are always kept: a session that waits for its answer cannot be told to send again.
 
 use super::{encode, sql, statement, unknown, Refusal, Session, Shared, Statement};
-use crate::core::{Answer, Request, Value};
+use crate::core::{Answer, ParameterValue, Request};
 use crate::mysql::packet::{self, command, Malformed, Reader, Res, SPLIT};
 use crate::net::{Flow, Time};
 use dahliaspoke_body_store::plan::{BodyId, Refusal as NoPlace};
@@ -216,7 +216,7 @@
                 self.statements.insert(id, bound.clone());
                 let mut ask = self.make(&bound, Some(arguments), None, shared);
                 match self.take_parameters(id) {
-                    Ok(long) => ask.work.long = long,
+                    Ok(long) => ask.payload.long_parameters = long,
                     Err(refusal) => return Ok(Err(refusal)),
                 }
                 Ok(self.request(now, ask, bound.deadline, used, length, Some(values), shared))
@@ -349,21 +349,21 @@
                 return self.end(now, self.answer_from, super::malformed(), shared);
             }
             if !values.key.is_empty() && values.key.len() <= KEY {
-                ask.work.key = Some(super::key_text(&values.key));
+                ask.payload.idempotency_key = Some(super::key_text(&values.key));
             }
         }
-        ask.work.body = Some(body);
+        ask.payload.body = Some(body);
         self.wait_for(now, ask, time, shared)
     }
 
     /// Hands a request on once all that the spool has of it is kept.
     pub fn wait_for(&mut self, now: Time, ask: Box<Request>, time: f64, shared: &mut Shared) -> Flow {
         let mut missing = Vec::new();
-        let long = ask.work.long.iter().filter_map(|(_, value)| match value {
-            Value::Spool(body) => Some(body),
-            Value::Here(_) => None,
+        let long = ask.payload.long_parameters.iter().filter_map(|(_, value)| match value {
+            ParameterValue::Stored(body) => Some(body),
+            ParameterValue::Inline(_) => None,
         });
-        for body in ask.work.body.iter().chain(long) {
+        for body in ask.payload.body.iter().chain(long) {
             let Some(spool) = &shared.spool else { continue };
             spool.borrow_mut().end(now, body.id());
             if !spool.borrow().is_kept(body.id()) {
@@ -450,13 +450,13 @@
     }
 
     /// The parameters that came ahead of an execution of this statement; they count for one only.
-    pub(super) fn take_parameters(&mut self, id: u32) -> Result<Vec<(u16, Value)>, Refusal> {
+    pub(super) fn take_parameters(&mut self, id: u32) -> Result<Vec<(u16, ParameterValue)>, Refusal> {
         let places: Vec<(u32, u16)> = self.parameters.keys().copied().filter(|p| p.0 == id).collect();
         let (mut long, mut lost) = (Vec::new(), false);
         for place in places {
             match self.parameters.remove(&place) {
-                Some(Parameter::Here(bytes)) => long.push((place.1, Value::Here(bytes.into()))),
-                Some(Parameter::Spool(body)) => long.push((place.1, Value::Spool(body))),
+                Some(Parameter::Here(bytes)) => long.push((place.1, ParameterValue::Inline(bytes.into()))),
+                Some(Parameter::Spool(body)) => long.push((place.1, ParameterValue::Stored(body))),
                 Some(Parameter::Lost) | None => lost = true,
             }
         }
--- a/src/listener/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -207,8 +207,8 @@
 }
 
 impl Listener for MysqlListener {
-    fn waits(&mut self, id: &RequestId) -> bool {
-        Server::waits(self, id)
+    fn is_client_waiting(&mut self, id: &RequestId) -> bool {
+        Server::is_client_waiting(self, id)
     }
 
     fn answer(&mut self, now: Time, id: &RequestId, answer: Answer) {
@@ -533,7 +533,7 @@
         if long.is_empty() {
             self.hand_on(now, ask, statement.deadline, shared);
         } else {
-            ask.work.long = long;
+            ask.payload.long_parameters = long;
             self.wait_for(now, Box::new(ask), statement.deadline, shared);
         }
         Ok(None)
@@ -557,17 +557,17 @@
             id: format!("mysql-{:x}", shared.requests).into(),
             class: statement.class,
             tenant: None,
-            order: None,
+            order_key: None,
             deadline: Time::INFINITY,
-            estimate: statement.estimate,
-            memory: statement.memory,
-            tables: statement.tables,
+            estimated_work: statement.estimate,
+            estimated_memory: statement.memory,
+            table_group: statement.tables,
             uploading: false,
-            work: QueryPayload {
-                class: shared.classes[statement.class].0.clone(),
+            payload: QueryPayload {
+                class_name: shared.classes[statement.class].0.clone(),
                 statement: statement.text.clone(),
                 arguments: arguments.map(Arc::from),
-                key,
+                idempotency_key: key,
                 ..QueryPayload::default()
             },
         }
--- a/src/listener/server.rs
+++ b/src/listener/server.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether the client of an open request still waits.
-    pub fn waits(&mut self, id: &RequestId) -> bool {
+    pub fn is_client_waiting(&mut self, id: &RequestId) -> bool {
         let token = G::state(&mut self.shared).open.get(id).copied();
         let client = token.and_then(|token| self.table.get(token));
         client.is_some_and(|client| !client.channel().has_ended())
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -186,7 +186,7 @@
             let Some(line) = table.get(*token).filter(|line| matches!(line.stage, Stage::Idle)) else {
                 continue;
             };
-            if line.statement(&call.work.statement).is_some() {
+            if line.statement(&call.payload.statement).is_some() {
                 return Some(*token);
             }
             best = best.or(Some(*token));
@@ -200,7 +200,7 @@
             return None;
         }
         let channel = BufferedStream::connect(engine.address).ok()?;
-        let until = (now + limits.engines.connection_wait).min(call.begins_by);
+        let until = (now + limits.engines.connection_wait).min(call.send_deadline);
         let line = |token| Line {
             channel,
             token,
@@ -239,7 +239,7 @@
 impl Upstream for MysqlUpstream {
     fn start(&mut self, now: Time, call: Attempt) {
         let closes = self.engines.get(&call.engine).and_then(|e| e.closes).unwrap_or(Time::INFINITY);
-        let by = call.begins_by.min(closes).min(self.valid_until);
+        let by = call.send_deadline.min(closes).min(self.valid_until);
         if by <= now {
             return self.shared.news.push_back(UpstreamEvent::ended(
                 &call.id,
@@ -258,7 +258,7 @@
         };
         let token = line.token;
         let (id, attempt, tag) = (call.id.clone(), call.attempt, None);
-        line.running = Some(Running { id, attempt, by, work: call.work, tag });
+        line.running = Some(Running { id, attempt, by, work: call.payload, tag });
         let mut flow = Flow::Open;
         if matches!(line.stage, Stage::Idle) {
             line.begin(&self.shared.limits);
@@ -269,7 +269,7 @@
     }
 
     /// `MySQL` has no way to call a statement off on its own connection: the connection ends with it.
-    fn drop_call(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
+    fn abandon(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
         let Some(token) = self.calls.remove(&(id.clone(), attempt)) else { return false };
         let Some(line) = self.table.get(token) else { return false };
         if line.running.as_ref().is_none_or(|run| run.id != *id || run.attempt != attempt) {
@@ -282,7 +282,7 @@
     }
 
     /// The protocol has no priorities.
-    fn rank(&mut self, _: Time, _: &RequestId, _: u32, _: u8) {}
+    fn set_priority(&mut self, _: Time, _: &RequestId, _: u32, _: u8) {}
 
     fn written(&self) -> u64 {
         self.shared.written + self.table.all().map(|line| line.channel.whole).sum::<u64>()
--- a/src/upstream/mysql/sending.rs
+++ b/src/upstream/mysql/sending.rs
@@ -2,7 +2,7 @@
 //! command of its own, then the command itself with what the spool holds of it, cut into packets.
 
 use crate::body_store;
-use crate::core::{QueryPayload, Value};
+use crate::core::{ParameterValue, QueryPayload};
 use crate::mysql::packet::{self, command};
 use crate::mysql::payload::Payload;
 use crate::net::{BufferedStream, Time};
@@ -12,7 +12,7 @@
 /// What still goes out, in order.
 enum Piece {
     /// Chunks of a parameter, each in a command.
-    Long { parameter: u16, value: Value, begun: bool },
+    Long { parameter: u16, value: ParameterValue, begun: bool },
     /// The command that runs it.
     Command { head: Vec<u8>, rest: Option<Body> },
 }
@@ -42,10 +42,10 @@
 impl Sending {
     /// What a statement with that number on its engine, or a text, needs; `None` where it goes out at once.
     pub fn of(work: &QueryPayload, statement: u32) -> Option<Self> {
-        if work.body.is_none() && work.long.is_empty() {
+        if work.body.is_none() && work.long_parameters.is_empty() {
             return None;
         }
-        let long = work.long.iter().cloned();
+        let long = work.long_parameters.iter().cloned();
         let mut pieces: VecDeque<Piece> =
             long.map(|(parameter, value)| Piece::Long { parameter, value, begun: false }).collect();
         let head = match &work.arguments {
@@ -72,12 +72,12 @@
         while channel.queued() < most {
             let Some(piece) = self.pieces.front_mut() else { return Sent::All };
             let body = match piece {
-                Piece::Long { parameter, value: Value::Here(bytes), .. } => {
+                Piece::Long { parameter, value: ParameterValue::Inline(bytes), .. } => {
                     channel.push(long(self.statement, *parameter, bytes));
                     self.pieces.pop_front();
                     continue;
                 }
-                Piece::Long { value: Value::Spool(body), .. } => body.clone(),
+                Piece::Long { value: ParameterValue::Stored(body), .. } => body.clone(),
                 Piece::Command { head, rest } => {
                     if self.payload.is_none() {
                         let rest = rest.as_ref().map_or(0, |body| length(spool, body));
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -307,7 +307,7 @@
         let engine = engine.ok_or(AttemptOutcome::Unsent)?;
         let (table, address) = (&mut self.table, engine.address);
         engine.lines.retain(|token| table.get(*token).is_some());
-        let alone = call.work.body.is_some();
+        let alone = call.payload.body.is_some();
         let fits = |line: &mut Line| {
             line.echoes.retain(|echo| echo.0 > now);
             let room = line.running.len() < limits.engines.max_streams
@@ -342,7 +342,7 @@
     /// Sends a call, or has it wait for its connection until `by` at the latest.
     fn begin(&mut self, now: Time, call: Attempt, by: Time, moves: usize) {
         let mut reader = None;
-        if let (Some(body), Some(spool)) = (&call.work.body, &self.shared.spool) {
+        if let (Some(body), Some(spool)) = (&call.payload.body, &self.shared.spool) {
             reader = spool.borrow_mut().reader(now, body);
             if reader.is_none() {
                 // Its body is gone: it is not sent, and cannot be.
@@ -429,7 +429,7 @@
         for token in &engine.lines {
             let Some(line) = self.table.get(*token).filter(|line| line.channel.connecting) else { continue };
             for (id, run) in &line.running {
-                if longest.as_ref().is_none_or(|(by, ..)| run.by < *by) && run.call.work.body.is_none() {
+                if longest.as_ref().is_none_or(|(by, ..)| run.by < *by) && run.call.payload.body.is_none() {
                     longest = Some((run.by, *token, id.clone()));
                 }
             }
@@ -478,19 +478,19 @@
 impl Upstream for RespUpstream {
     fn start(&mut self, now: Time, call: Attempt) {
         let closes = self.engines.get(&call.engine).and_then(|e| e.closes).unwrap_or(Time::INFINITY);
-        let by = call.begins_by.min(now + self.shared.limits.engines.connection_wait).min(closes);
+        let by = call.send_deadline.min(now + self.shared.limits.engines.connection_wait).min(closes);
         self.begin(now, call, by, 0);
         self.send_waiting(now);
     }
 
-    fn drop_call(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
+    fn abandon(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
         let unsent = self.take_off(now, id, attempt);
         // Its connection may have ended with it: what waited there is on another before anything else is asked of it.
         self.send_waiting(now);
         unsent
     }
 
-    fn rank(&mut self, now: Time, id: &RequestId, attempt: u32, rank: u8) {
+    fn set_priority(&mut self, now: Time, id: &RequestId, attempt: u32, rank: u8) {
         let Some(token) = self.calls.get(&(id.clone(), attempt)).copied() else { return };
         // In the middle of a body no other word can go out.
         let free = |line: &&mut Line| line.running.contains_key(id) && line.sending.is_none();
@@ -542,17 +542,17 @@
 /// The command that starts an attempt.
 fn request(now: Time, call: &Attempt) -> Vec<u8> {
     let patience = ((call.deadline - now) * 1000.0).ceil().max(1.0);
-    let mut fields = format!("sort={},patience={patience}", call.work.class);
-    if let Some(key) = &call.work.key {
+    let mut fields = format!("sort={},patience={patience}", call.payload.class_name);
+    if let Some(key) = &call.payload.idempotency_key {
         fields += &format!(",op={key}");
     }
     if let Some(memory) = call.memory {
         fields += &format!(",pool={}", memory.ceil());
     }
-    fields += &format!(",band={}", call.rank);
+    fields += &format!(",band={}", call.priority);
     let words: [&[u8]; 3] = [b"GET", call.id.as_bytes(), fields.as_bytes()];
-    match &call.work.body {
-        None => array(&[words[0], words[1], words[2], &call.work.statement]),
+    match &call.payload.body {
+        None => array(&[words[0], words[1], words[2], &call.payload.statement]),
         Some(body) => head(&words, body.length()),
     }
 }
@@ -778,7 +778,7 @@
             self.echoes.push((now + shared.limits.engines.late_answer_window, id.clone()));
         }
         let (id, attempt) = (id.clone(), run.call.attempt);
-        shared.news.push_back(UpstreamEvent::AttemptEnd { id, attempt, ending, told });
+        shared.news.push_back(UpstreamEvent::AttemptEnd { id, attempt, outcome: ending, report: told });
         if self.running.is_empty() {
             self.until = now + shared.limits.engines.idle_timeout;
             shared.free.push(self.token);
--- a/src/upstream/resp/reply.rs
+++ b/src/upstream/resp/reply.rs
@@ -102,7 +102,7 @@
     fn told(&self) -> Result<AttemptReport, Malformed> {
         // The result counts, whatever is said of its cost: a figure that cannot be one is as good as none.
         let cost = |name| self.get(name).and_then(|v| number(v).ok()).filter(|cost| *cost >= 0.0);
-        Ok(AttemptReport { work: cost("elapsed"), memory: cost("rss"), report: self.report()? })
+        Ok(AttemptReport { work: cost("elapsed"), memory: cost("rss"), load: self.report()? })
     }
 
     fn report(&self) -> Result<Option<LoadReport>, Malformed> {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -9,7 +9,6 @@
 /// Files that are longer still, with the lines that they may hold. Entries go, none comes.
 const LONGER: &[(&str, usize)] = &[
     ("src/daemon.rs", 775),
-    ("src/core/mod.rs", 610),
     ("src/endpoints/tracker.rs", 422),
     ("src/listener/http/mod.rs", 421),
     ("src/listener/mysql/large.rs", 545),
