--- /dev/null
+++ b/crates/raft/src/disk/folder.rs
@@ -0,0 +1,98 @@
+//! What the log asks of a file system, and a folder of the operating system that does it.
+
+use std::fs::{File, OpenOptions};
+use std::io::{self, ErrorKind, Read, Write};
+use std::path::{Path, PathBuf};
+
+/// A folder of files. Names are plain, without separators; errors of the system are returned as they are.
+pub trait Disk: Send {
+    /// The names of the files.
+    fn list(&mut self) -> io::Result<Vec<String>>;
+    /// The content of a file.
+    fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
+    /// Appends bytes to a file; creates it where there is none.
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+    /// Once this returns, what was appended to the file is on the disk itself.
+    fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Shortens a file to `length` bytes.
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
+    /// Gives a file another name, in place of the file that has it.
+    fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
+    fn remove(&mut self, name: &str) -> io::Result<()>;
+    /// Once this returns, the names of the files are on the disk itself.
+    fn sync_names(&mut self) -> io::Result<()>;
+}
+
+/// A folder of the operating system.
+pub struct Folder {
+    path: PathBuf,
+    /// The file that was appended to last.
+    open: Option<OpenFile>,
+}
+
+struct OpenFile {
+    name: String,
+    file: File,
+}
+
+impl Folder {
+    /// Opens a folder; creates it where there is none.
+    ///
+    /// # Errors
+    /// Where it cannot be created.
+    pub fn open(path: &Path) -> io::Result<Self> {
+        std::fs::create_dir_all(path)?;
+        Ok(Self { path: path.to_path_buf(), open: None })
+    }
+
+    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+        if self.open.as_ref().is_none_or(|open| open.name != name) {
+            let file = OpenOptions::new().create(true).append(true).open(self.path.join(name))?;
+            self.open = Some(OpenFile { name: name.into(), file });
+        }
+        match &mut self.open {
+            Some(open) => Ok(&mut open.file),
+            None => Err(ErrorKind::NotFound.into()),
+        }
+    }
+}
+
+impl Disk for Folder {
+    fn list(&mut self) -> io::Result<Vec<String>> {
+        let entries = std::fs::read_dir(&self.path)?;
+        entries.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
+    }
+
+    fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
+        let mut bytes = Vec::new();
+        File::open(self.path.join(name))?.read_to_end(&mut bytes)?;
+        Ok(bytes)
+    }
+
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.file(name)?.write_all(bytes)
+    }
+
+    fn sync(&mut self, name: &str) -> io::Result<()> {
+        self.file(name)?.sync_data()
+    }
+
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
+        self.file(name)?.set_len(length)
+    }
+
+    fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
+        self.open = None;
+        std::fs::rename(self.path.join(from), self.path.join(to))
+    }
+
+    fn remove(&mut self, name: &str) -> io::Result<()> {
+        self.open = None;
+        std::fs::remove_file(self.path.join(name))
+    }
+
+    fn sync_names(&mut self) -> io::Result<()> {
+        File::open(&self.path)?.sync_all()
+    }
+}
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,13 +1,15 @@
-//! The coordinators' replicated log: what a majority of three to seven members has on disk counts, and nothing else.
+//! The coordinators' replicated log: an entry is committed once a quorum of three to seven members has it on disk.
 //!
-//! - [`raft`]: consensus, pure: events in, orders out; no I/O, no clock, no threads;
-//! - [`message`]: what members say to each other, typed, versioned, with a sum;
+//! - [`raft`]: consensus as a pure state machine: events in, actions out; no I/O, no clock, no threads;
+//! - [`entry`]: entries, members, snapshots; [`message`]: what members send to each other; [`codec`]: both as bytes;
 //! - [`disk`]: the log and the snapshots in files; [`writer`]: the same on a thread of its own;
 //! - [`state_machine`]: the configuration that the log's entries make: keys with versions, compare-and-set, history.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod codec;
 pub mod disk;
+pub mod entry;
 pub mod message;
 pub mod raft;
 pub mod state_machine;
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,100 +1,108 @@
-//! The entries that are held in memory: those after a base that a snapshot covers.
+//! The entries in memory: those after a base that a snapshot covers.
 
-use crate::message::Entry;
+use crate::entry::{Entry, LogPosition};
 use crate::{Index, Term};
 use std::collections::VecDeque;
 
+/// A part of the log without gaps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Log {
-    base: Index,
-    base_term: Term,
+    /// The entry before the first in memory.
+    base: LogPosition,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    pub fn new(base: Index, base_term: Term) -> Self {
-        Self { base, base_term, entries: VecDeque::new() }
+    /// A log without entries after `base`.
+    pub fn new(base: LogPosition) -> Self {
+        Self { base, entries: VecDeque::new() }
     }
 
+    /// The index of the entry before the first in memory.
     pub fn base(&self) -> Index {
-        self.base
+        self.base.index
     }
 
+    /// The index of the last entry, or of the base where there is none.
     pub fn last(&self) -> Index {
-        self.base + self.entries.len() as Index
+        self.base.index + self.entries.len() as Index
     }
 
-    pub fn last_term(&self) -> Term {
-        self.entries.back().map_or(self.base_term, |entry| entry.term)
+    /// Index and term of the last entry, or the base where there is none.
+    pub fn last_position(&self) -> LogPosition {
+        self.entries.back().map_or(self.base, Entry::position)
     }
 
-    /// The term of an entry that is held, or of the base.
+    /// The term of an entry in memory, or of the base.
     pub fn term(&self, index: Index) -> Option<Term> {
-        if index == self.base {
-            return Some(self.base_term);
+        if index == self.base.index {
+            return Some(self.base.term);
         }
         self.get(index).map(|entry| entry.term)
     }
 
+    /// An entry in memory.
     pub fn get(&self, index: Index) -> Option<&Entry> {
-        self.entries.get(index.checked_sub(self.base + 1)? as usize)
+        self.entries.get(index.checked_sub(self.base.index + 1)? as usize)
     }
 
-    /// Entries from there on, up to so many bytes but one at least.
-    pub fn from(&self, first: Index, bytes: usize) -> Vec<Entry> {
+    /// Entries from `first` on, up to `max_bytes` but at least one.
+    pub fn entries_from(&self, first: Index, max_bytes: usize) -> Vec<Entry> {
         let mut size = 0;
-        let skip = first.saturating_sub(self.base + 1) as usize;
+        let skipped = first.saturating_sub(self.base.index + 1) as usize;
         let fits = |entry: &&Entry| {
             let before = size;
             size += entry.size();
-            before == 0 || size <= bytes
+            before == 0 || size <= max_bytes
         };
-        self.entries.iter().skip(skip).take_while(fits).cloned().collect()
+        self.entries.iter().skip(skipped).take_while(fits).cloned().collect()
     }
 
-    pub fn push(&mut self, entry: Entry) {
+    /// Appends an entry, whose index follows the last one.
+    pub fn append(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last() + 1);
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from there on.
+    /// Removes the entries from `from` on.
     pub fn truncate(&mut self, from: Index) {
-        self.entries.truncate(from.saturating_sub(self.base + 1) as usize);
+        self.entries.truncate(from.saturating_sub(self.base.index + 1) as usize);
     }
 
-    /// Drops the entries up to there.
+    /// Removes the entries up to `to`, which becomes the base.
     pub fn compact(&mut self, to: Index) {
         let Some(term) = self.term(to) else { return };
-        self.entries.drain(..(to - self.base) as usize);
-        (self.base, self.base_term) = (to, term);
+        self.entries.drain(..(to - self.base.index) as usize);
+        self.base = LogPosition { index: to, term };
     }
 
-    /// The first entry of the term that this one has, of those that are held.
+    /// The first entry in memory that has the same term as the one at `index` and no other term between them.
     pub fn first_of_term(&self, index: Index) -> Index {
         let term = self.term(index);
         let mut first = index;
-        while first > self.base + 1 && self.term(first - 1) == term {
+        while first > self.base.index + 1 && self.term(first - 1) == term {
             first -= 1;
         }
         first
     }
 
-    /// Bytes of the entries after that one.
+    /// Bytes of the entries after `index`.
     pub fn bytes_after(&self, index: Index) -> usize {
-        let skip = index.saturating_sub(self.base) as usize;
-        self.entries.iter().skip(skip).map(Entry::size).sum()
+        let skipped = index.saturating_sub(self.base.index) as usize;
+        self.entries.iter().skip(skipped).map(Entry::size).sum()
     }
 
-    /// The entry after which those up to `last` take so many bytes at the most.
-    pub fn first_within(&self, last: Index, bytes: usize) -> Index {
-        let (mut size, mut at) = (0, last);
-        while let Some(entry) = self.get(at) {
+    /// The earliest index after which the entries up to `last` take at most `max_bytes`.
+    pub fn start_of_tail(&self, last: Index, max_bytes: usize) -> Index {
+        let mut size = 0;
+        let mut start = last;
+        while let Some(entry) = self.get(start) {
             size += entry.size();
-            if size > bytes {
+            if size > max_bytes {
                 break;
             }
-            at -= 1;
+            start -= 1;
         }
-        at
+        start
     }
 }
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,258 +1,136 @@
-//! What members say to each other. A message is decoded once into these types; the form has a version, a length and a
-//! sum, so that processes of two versions may meet and a spoilt one is refused whole.
+//! The messages between members. [`codec`](crate::codec) encodes them with a version and a checksum.
+//!
+//! The order and kind of fields and variants is the format that members of two versions share.
 
+use crate::entry::{Entry, LogPosition};
 use crate::{Id, Index, Term};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::fmt;
-use std::sync::Arc;
 
-/// The version that this program writes. It reads this one alone; the first byte of a message says which it is.
-pub const VERSION: u8 = 1;
-
-/// Bytes that are shared, written in one go and not one by one.
-mod shared {
-    use serde::{Deserializer, Serializer};
-    use std::sync::Arc;
-
-    pub fn serialize<S: Serializer>(bytes: &Arc<Vec<u8>>, out: S) -> Result<S::Ok, S::Error> {
-        out.serialize_bytes(bytes)
-    }
-
-    pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Arc<Vec<u8>>, D::Error> {
-        serde_bytes::deserialize(from).map(Arc::new)
-    }
-}
-
-/// A member as the log knows it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Member {
-    /// Its name, as operators call it.
-    pub name: String,
-    /// Where it listens.
-    pub address: String,
-    /// It counts in majorities. One that does not is a learner.
-    pub votes: bool,
-}
-
-/// Who the members are.
-pub type Members = BTreeMap<Id, Member>;
-
-/// What an entry says.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum EntryKind {
-    /// Nothing: a leader's first.
-    Empty,
-    /// A command of the machine's.
-    Data(#[serde(with = "shared")] Arc<Vec<u8>>),
-    /// From here on these are the members.
-    Members(Members),
-}
-
-/// An entry of the log.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
-    /// Its position.
-    pub index: Index,
-    /// The term in which a leader took it.
-    pub term: Term,
-    /// What it says.
-    pub kind: EntryKind,
-}
-
-impl Entry {
-    /// Bytes that it holds, about.
-    #[must_use]
-    pub fn size(&self) -> usize {
-        32 + match &self.kind {
-            EntryKind::Empty => 0,
-            EntryKind::Data(data) => data.len(),
-            EntryKind::Members(members) => {
-                members.values().map(|m| 32 + m.name.len() + m.address.len()).sum()
-            }
-        }
-    }
-}
-
-/// What a member must not forget, beside the log.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HardState {
-    /// Its own number.
-    pub id: Id,
-    /// Which log this is, drawn when it was founded; 0 before.
+/// A message with its addresses.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Message {
+    /// Which log it is about.
     pub cluster: u64,
-    /// The latest term that it has heard of.
-    pub term: Term,
-    /// Whom it has its vote given in that term.
-    pub vote: Option<Id>,
-}
-
-/// The machine as it was at an entry, in place of the entries up to there.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Snapshot {
-    /// The last entry in it.
-    pub index: Index,
-    /// That entry's term.
+    /// The sender.
+    pub from: Id,
+    /// The receiver.
+    pub to: Id,
+    /// The sender's term; of a pre-vote the term that it would be a candidate in.
     pub term: Term,
-    /// The members at that entry.
-    pub members: Members,
-    /// The machine's own form.
-    #[serde(with = "shared")]
-    pub data: Arc<Vec<u8>>,
+    /// The content.
+    pub body: MessageBody,
 }
 
-/// What is said.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Would you vote for me in this term? Nothing is promised.
+    /// Would the receiver vote for the sender? Nothing is promised (Ongaro's thesis, 9.6).
     PreVote {
-        /// The asker's last entry.
-        last: Index,
-        /// Its term.
-        last_term: Term,
-    },
-    /// The answer; granted ones carry the term that was asked for.
-    PreVoteReply(bool),
-    /// Vote for me in this term.
-    Vote {
-        /// The asker's last entry.
-        last: Index,
-        /// Its term.
-        last_term: Term,
-        /// The leader itself hands over: a leader that is well is no reason to refuse.
-        handed: bool,
+        /// The end of the sender's log.
+        last: LogPosition,
     },
-    /// The answer.
-    VoteReply(bool),
-    /// The leader's entries after `prev`; none is a heartbeat.
-    Append {
-        /// The entry before the first.
-        prev: Index,
-        /// Its term.
-        prev_term: Term,
-        /// Entries up to here count.
-        commit: Index,
-        /// Which round of the leader's this is.
-        round: u64,
-        /// The entries, in order, without gaps.
-        entries: Vec<WireEntry>,
+    /// Answers a pre-vote. A granted one carries the term that was asked for.
+    PreVoteReply {
+        /// The receiver of the pre-vote would vote for its sender.
+        granted: bool,
     },
-    /// They are on disk, or do not fit.
-    AppendReply {
-        /// They fit.
-        fits: bool,
-        /// The last entry that is the same as the leader's; where they do not fit, the `prev` that was said.
-        index: Index,
-        /// Where they do not fit: the last entry that may.
-        hint: Index,
-        /// The round that this answers.
-        round: u64,
-    },
-    /// A piece of a snapshot.
-    Piece {
-        /// The last entry in it.
-        index: Index,
-        /// Its term.
-        term: Term,
-        /// Bytes of the whole snapshot, encoded.
-        whole: u64,
-        /// Where this piece begins.
-        at: u64,
-        /// The piece.
-        #[serde(with = "serde_bytes")]
-        bytes: Vec<u8>,
-        /// Which round of the leader's this is.
-        round: u64,
+    /// Requests a vote in the sender's term (Ongaro's thesis, 3.4).
+    Vote {
+        /// The end of the sender's log.
+        last: LogPosition,
+        /// The leader itself transfers its leadership: a live leader is no reason to reject.
+        leadership_transfer: bool,
     },
-    /// Pieces up to `have` are here; all of it, once that is the whole, is on disk.
-    PieceReply {
-        /// Of which snapshot.
-        index: Index,
-        /// Bytes that are here.
-        have: u64,
-        /// The round that this answers.
-        round: u64,
+    /// Answers a request for a vote.
+    VoteReply {
+        /// The vote is given, and stored.
+        granted: bool,
     },
-    /// Stand for election now: the leader hands over.
+    /// Entries of the leader; without any it is a heartbeat.
+    Append(AppendEntries),
+    /// Answers an [`Append`](Self::Append).
+    AppendReply(AppendReply),
+    /// A part of the leader's snapshot.
+    SnapshotChunk(SnapshotChunk),
+    /// Answers a [`SnapshotChunk`](Self::SnapshotChunk).
+    SnapshotChunkReply(SnapshotChunkReply),
+    /// Start an election now: the leader transfers its leadership (Ongaro's thesis, 3.10).
     TimeoutNow,
 }
 
-/// An entry in a message.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct WireEntry(pub Entry);
-
-impl PartialOrd for WireEntry {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
+impl MessageBody {
+    /// Whether only the leader of the message's term sends this.
+    #[must_use]
+    pub fn is_from_leader(&self) -> bool {
+        matches!(self, MessageBody::Append(_) | MessageBody::SnapshotChunk(_))
     }
 }
 
-impl Ord for WireEntry {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.0.index, self.0.term).cmp(&(other.0.index, other.0.term))
-    }
+/// Replicates entries (Ongaro's thesis, 3.5).
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct AppendEntries {
+    /// The entry before the first of `entries`.
+    pub previous: LogPosition,
+    /// Entries up to this index are committed.
+    pub commit: Index,
+    /// The leader's read round that an answer confirms.
+    pub round: u64,
+    /// The entries, in order and without gaps.
+    pub entries: Vec<WireEntry>,
 }
 
-/// A message with its addresses.
+/// Whether the entries are on the sender's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Message {
-    /// Which log it is about.
-    pub cluster: u64,
-    /// Who says it.
-    pub from: Id,
-    /// To whom.
-    pub to: Id,
-    /// The sender's term; of a pre-vote the one that it would stand in.
-    pub term: Term,
-    /// What it says.
-    pub body: MessageBody,
+pub struct AppendReply {
+    /// The entries matched the log and are on disk.
+    pub accepted: bool,
+    /// Accepted: the last entry that is known to match the leader's. Rejected: the index of `previous` in the request.
+    pub index: Index,
+    /// Rejected: the last entry that may match. Otherwise 0.
+    pub hint: Index,
+    /// The read round that this answers.
+    pub round: u64,
 }
 
-/// Why bytes are no message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DecodeError {
-    /// Of a version that this program does not speak.
-    Version(u8),
-    /// The sum is another.
-    Corrupt,
-    /// The sum is right, and it is no message.
-    Malformed,
+/// A part of an encoded snapshot.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct SnapshotChunk {
+    /// The last entry that the snapshot covers.
+    pub position: LogPosition,
+    /// The encoded snapshot's size (bytes).
+    pub total_bytes: u64,
+    /// Where this part begins (bytes).
+    pub offset: u64,
+    /// The part.
+    #[serde(with = "serde_bytes")]
+    pub data: Vec<u8>,
+    /// The leader's read round that an answer confirms.
+    pub round: u64,
 }
 
-impl fmt::Display for DecodeError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            DecodeError::Version(version) => {
-                write!(f, "a message of version {version}; this program speaks {VERSION}")
-            }
-            DecodeError::Corrupt => write!(f, "a message whose sum is wrong"),
-            DecodeError::Malformed => write!(f, "no message"),
-        }
-    }
+/// How much of a snapshot has arrived. A complete one is on the sender's disk.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct SnapshotChunkReply {
+    /// The last entry that the snapshot covers.
+    pub index: Index,
+    /// Bytes that have arrived, from the beginning and without gaps.
+    pub received_bytes: u64,
+    /// The read round that this answers.
+    pub round: u64,
 }
 
-/// A value with version and sum in front.
-pub fn seal<T: Serialize>(value: &T) -> Vec<u8> {
-    // These types have no form that cannot be written.
-    let body = postcard::to_stdvec(value).unwrap_or_default();
-    let mut out = Vec::with_capacity(body.len() + 5);
-    out.push(VERSION);
-    out.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
-    out.extend_from_slice(&body);
-    out
-}
+/// An entry in a message, ordered by index and term.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct WireEntry(pub Entry);
 
-/// The value in these bytes.
-///
-/// # Errors
-/// Where they are of another version, spoilt, or no such value.
-pub fn open<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, DecodeError> {
-    let (head, body) = bytes.split_at_checked(5).ok_or(DecodeError::Malformed)?;
-    if head[0] != VERSION {
-        return Err(DecodeError::Version(head[0]));
+impl PartialOrd for WireEntry {
+    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
     }
-    if head[1..] != crc32fast::hash(body).to_le_bytes() {
-        return Err(DecodeError::Corrupt);
+}
+
+impl Ord for WireEntry {
+    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+        self.0.position().cmp(&other.0.position())
     }
-    postcard::from_bytes(body).map_err(|_| DecodeError::Malformed)
 }
--- /dev/null
+++ b/crates/raft/src/raft/commit.rs
@@ -0,0 +1,64 @@
+//! Which entries are committed (Ongaro's thesis, 3.6.2), and their application in order.
+
+use super::role::Role;
+use super::{is_planted, Action, Proposal, ProposeError, Raft};
+use crate::entry::{Entry, EntryKind};
+use crate::Index;
+
+impl Raft {
+    /// As a leader, commits what a quorum has on disk and confirms the reads that a quorum has answered.
+    pub(super) fn advance_commit(&mut self) {
+        let Some(index) = self.quorum_index() else { return };
+        let of_own_term =
+            self.log.term(index) == Some(self.hard_state.term) || is_planted!(self, CommitOlderTerm);
+        if index > self.commit && of_own_term {
+            self.commit = index;
+            // The others learn of it at once: what they serve is not older than need be.
+            self.broadcast_heartbeat();
+        }
+        self.confirm_reads();
+    }
+
+    /// The last entry that a quorum has on disk; only a leader knows.
+    fn quorum_index(&self) -> Option<Index> {
+        let Role::Leader(leader) = &self.role else { return None };
+        let own = self.hard_state.id;
+        let durable = if is_planted!(self, AckNotStored) { self.log.last() } else { self.durable };
+        let matched = |id| match leader.peers.get(&id) {
+            _ if id == own => durable,
+            Some(progress) => progress.matched,
+            None => 0,
+        };
+        Some(self.quorum_value(matched))
+    }
+
+    /// Applies what is committed, then answers the reads that are confirmed.
+    pub(super) fn apply_committed(&mut self, actions: &mut Vec<Action>) {
+        let mut removed = false;
+        while self.applied < self.commit {
+            self.applied += 1;
+            let Some(entry) = self.log.get(self.applied).cloned() else { continue };
+            if let EntryKind::Members(members) = &entry.kind {
+                removed |= !members.contains_key(&self.hard_state.id);
+            }
+            self.apply_entry(entry, actions);
+        }
+        self.answer_confirmed_reads(actions);
+        // A leader that is removed by an entry leads until that is committed (4.2.2).
+        if removed && self.leads() && !self.members().contains_key(&self.hard_state.id) {
+            self.become_follower(self.hard_state.term, None, actions);
+        }
+    }
+
+    fn apply_entry(&mut self, entry: Entry, actions: &mut Vec<Action>) {
+        let mut own = None;
+        if let Some(Proposal { term, proposal_id }) = self.proposals.remove(&entry.index) {
+            if term == entry.term {
+                own = Some(proposal_id);
+            } else {
+                actions.push(Action::Rejected { proposal_id, why: ProposeError::Lost });
+            }
+        }
+        actions.push(Action::Apply { entry, proposal_id: own });
+    }
+}
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -1,5 +1,5 @@
-//! The log's thread: a disk may hold a call up for seconds, and the loop must not wait for it. What has gathered while
-//! one write was under way goes out with the next, under one sync.
+//! The log's thread: a disk may hold a call up for seconds, and the event loop must not wait for it. What has gathered
+//! while one write was under way goes out with the next, under one sync.
 
 use crate::disk::DiskLog;
 use crate::raft::WriteBatch;
@@ -9,68 +9,92 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-/// What the thread tells.
+/// The point before a write at which a test may end the program.
+const POINT_BEFORE_WRITE: &str = "store.write";
+/// The point after the sync at which a test may end the program.
+const POINT_AFTER_SYNC: &str = "store.synced";
+
+/// What the thread reports.
 pub enum WriteResult {
-    /// All up to that number is on disk.
-    Up(u64),
+    /// All batches up to that number are on disk.
+    Persisted(u64),
     /// The disk has failed: nothing more will be on it.
     Failed(io::Error),
 }
 
-/// A handle on the thread; it ends once this is dropped.
+/// A handle on the thread, which ends once this is dropped.
 pub struct LogWriter {
-    tasks: Sender<WriteBatch>,
-    done: Receiver<WriteResult>,
-    bell: Arc<OwnedFd>,
+    batches: Sender<WriteBatch>,
+    results: Receiver<WriteResult>,
+    waker: Arc<OwnedFd>,
 }
 
 impl LogWriter {
     /// Starts the thread. `point` is called with a name at each point at which a test may end the program.
     ///
     /// # Errors
-    /// Where the system has no descriptor for the bell.
-    pub fn start(mut log: DiskLog, point: fn(&str)) -> io::Result<Self> {
-        let bell = Arc::new(eventfd(0, EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC)?);
-        let ((tasks, asked), (tell, done)) = (channel::<WriteBatch>(), channel());
-        let rings = bell.clone();
-        std::thread::spawn(move || {
-            while let Ok(first) = asked.recv() {
-                let stores: Vec<WriteBatch> = std::iter::once(first).chain(asked.try_iter()).collect();
-                let last = stores.last().map_or(0, |store| store.number);
-                point("store.write");
-                let wrote = match log.write(&stores) {
-                    Ok(()) => WriteResult::Up(last),
-                    Err(e) => WriteResult::Failed(e),
-                };
-                point("store.synced");
-                if tell.send(wrote).is_err() {
-                    return;
-                }
-                let _ = rustix::io::write(&*rings, &1u64.to_ne_bytes()); // full means that it rings already
-            }
-        });
-        Ok(Self { tasks, done, bell })
+    /// Where the system has no descriptor for the waker.
+    pub fn start(log: DiskLog, point: fn(&str)) -> io::Result<Self> {
+        let waker = Arc::new(eventfd(0, EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC)?);
+        let (batches, queue) = channel();
+        let (report, results) = channel();
+        let worker = Worker { log, point, queue, report, waker: waker.clone() };
+        std::thread::spawn(move || worker.run());
+        Ok(Self { batches, results, waker })
     }
 
-    /// Has this written, after all that was given before.
-    pub fn write(&self, store: WriteBatch) {
-        let _ = self.tasks.send(store); // a thread that has ended has told why
+    /// Queues a batch to be written after all that were given before.
+    pub fn write(&self, batch: WriteBatch) {
+        let _ = self.batches.send(batch); // a thread that has ended has reported why
     }
 
-    /// What has been done since.
+    /// The next result, if there is one.
     #[must_use]
-    pub fn take(&self) -> Option<WriteResult> {
-        self.done.try_recv().ok()
+    pub fn next_result(&self) -> Option<WriteResult> {
+        self.results.try_recv().ok()
     }
 
-    /// Rings when there is something to take.
+    /// Readable when there may be a result.
     #[must_use]
-    pub fn bell(&self) -> BorrowedFd<'_> {
-        self.bell.as_fd()
+    pub fn waker(&self) -> BorrowedFd<'_> {
+        self.waker.as_fd()
+    }
+
+    /// Makes the waker wait for the next result.
+    pub fn reset_waker(&self) {
+        let _ = rustix::io::read(&*self.waker, &mut [0; 8]); // its count says nothing
+    }
+}
+
+/// What the thread has.
+struct Worker {
+    log: DiskLog,
+    point: fn(&str),
+    queue: Receiver<WriteBatch>,
+    report: Sender<WriteResult>,
+    waker: Arc<OwnedFd>,
+}
+
+impl Worker {
+    fn run(mut self) {
+        while let Ok(first) = self.queue.recv() {
+            let batches: Vec<WriteBatch> = std::iter::once(first).chain(self.queue.try_iter()).collect();
+            let result = self.write(&batches);
+            if self.report.send(result).is_err() {
+                return;
+            }
+            let _ = rustix::io::write(&*self.waker, &1u64.to_ne_bytes()); // full: it is readable already
+        }
     }
 
-    /// The bell was heard.
-    pub fn heard(&self) {
-        let _ = rustix::io::read(&*self.bell, &mut [0; 8]); // it only rings
+    fn write(&mut self, batches: &[WriteBatch]) -> WriteResult {
+        let last = batches.last().map_or(0, |batch| batch.number);
+        (self.point)(POINT_BEFORE_WRITE);
+        let result = match self.log.write(batches) {
+            Ok(()) => WriteResult::Persisted(last),
+            Err(error) => WriteResult::Failed(error),
+        };
+        (self.point)(POINT_AFTER_SYNC);
+        result
     }
 }
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The log on disk: cut at each byte, spoilt at each byte, syncs that fail or lie, a full disk, the form before.
 
-use dahliaspoke_raft::disk::{Disk, DiskLog, Folder, SEGMENT};
-use dahliaspoke_raft::message::{Entry, EntryKind, HardState, Snapshot};
+use dahliaspoke_raft::disk::{Disk, DiskLog, Folder, MAX_SEGMENT_BYTES};
+use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, Snapshot};
 use dahliaspoke_raft::raft::{PersistentState, WriteBatch};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
 }
 
 impl Disk for Memory {
-    fn names(&mut self) -> io::Result<Vec<String>> {
+    fn list(&mut self) -> io::Result<Vec<String>> {
         Ok(self.inner(|inner| inner.names.keys().cloned().collect()))
     }
 
@@ -111,7 +111,7 @@
         })
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.call(|inner| {
             let at = inner.at(name)?;
             inner.contents[at].bytes.truncate(length as usize);
@@ -171,11 +171,11 @@
     let hard = |term, vote| Some(HardState { id: 5, cluster: 9, term, vote });
     let anew = Snapshot { index: 40, term: 3, data: Arc::new(vec![8; 200]), ..Snapshot::default() };
     vec![
-        WriteBatch { number: 1, hard: hard(2, Some(5)), ..appends(1, 1, 6) },
+        WriteBatch { number: 1, hard_state: hard(2, Some(5)), ..appends(1, 1, 6) },
         WriteBatch { number: 2, truncate: Some(5), entries: vec![entry(5, 3, 10)], ..WriteBatch::default() },
         appends(3, 6, 3),
         with_snapshot(4, 6),
-        WriteBatch { number: 5, hard: hard(4, None), ..WriteBatch::default() },
+        WriteBatch { number: 5, hard_state: hard(4, None), ..WriteBatch::default() },
         WriteBatch { number: 6, snapshot: Some(Arc::new(anew)), reset: true, ..WriteBatch::default() },
         WriteBatch { number: 7, entries: vec![entry(41, 4, 20)], ..WriteBatch::default() },
     ]
@@ -183,14 +183,16 @@
 
 /// What is on disk after so many of them.
 fn after(count: usize) -> PersistentState {
-    let mut saved =
-        PersistentState { hard: HardState { id: 5, ..HardState::default() }, ..PersistentState::default() };
-    stores()[..count].iter().for_each(|store| saved.take(store));
+    let mut saved = PersistentState {
+        hard_state: HardState { id: 5, ..HardState::default() },
+        ..PersistentState::default()
+    };
+    stores()[..count].iter().for_each(|store| saved.apply(store));
     saved
 }
 
 fn open(disk: &Memory) -> Result<DiskLog, String> {
-    DiskLog::open(Box::new(disk.clone()), || 5)
+    DiskLog::open(Box::new(disk.clone()), || 5).map_err(|error| error.to_string())
 }
 
 /// Writes them one by one until one fails; how many were told to be on disk.
@@ -214,7 +216,7 @@
             let log = open(&disk.after_crash(unsynced)).expect("it starts");
             let next = after((told + 1).min(stores().len()));
             assert!(
-                *log.saved() == after(told) || *log.saved() == next,
+                *log.state() == after(told) || *log.state() == next,
                 "call {call}, {unsynced} bytes more"
             );
         }
@@ -243,11 +245,11 @@
         cut.inner(|inner| inner.contents[at].bytes.truncate(length));
         let log = open(&cut).expect("it starts");
         let whole = lengths.iter().filter(|end| **end <= length).count() as u64;
-        assert_eq!(log.saved().entries.len() as u64, whole * 3, "cut at {length}");
+        assert_eq!(log.state().entries.len() as u64, whole * 3, "cut at {length}");
         // What is written next is found again.
         let mut log = log;
         log.write(&[appends(1, 1 + whole * 3, 2)]).expect("written");
-        assert_eq!(open(&cut).expect("it starts").saved().entries.len() as u64, whole * 3 + 2);
+        assert_eq!(open(&cut).expect("it starts").state().entries.len() as u64, whole * 3 + 2);
     }
 }
 
@@ -280,7 +282,7 @@
         disk.inner(|inner| (inner.fails_from, inner.lies) = (Some(call), lies));
         let told = write(&disk);
         let Ok(log) = open(&disk.after_crash(0)) else { return false };
-        *log.saved() == after(told) || *log.saved() == after((told + 1).min(stores().len()))
+        *log.state() == after(told) || *log.state() == after((told + 1).min(stores().len()))
     })
 }
 
@@ -299,7 +301,7 @@
     let told = write(&disk);
     assert!((1..stores().len()).contains(&told));
     disk.inner(|inner| inner.room = None);
-    assert_eq!(*open(&disk.after_crash(0)).expect("it starts").saved(), after(told));
+    assert_eq!(*open(&disk.after_crash(0)).expect("it starts").state(), after(told));
 }
 
 #[test]
@@ -308,8 +310,8 @@
     let start = || DiskLog::open(Box::new(Folder::open(folder.path()).expect("a folder")), || 5);
     let mut log = start().expect("new");
     let size = 1 << 20;
-    let mut expected = log.saved().clone();
-    for index in 1..=3 * SEGMENT / size {
+    let mut expected = log.state().clone();
+    for index in 1..=3 * MAX_SEGMENT_BYTES / size {
         let mut store = WriteBatch {
             number: index,
             entries: vec![entry(index, 2, size as usize)],
@@ -319,11 +321,11 @@
             store.snapshot = with_snapshot(0, index).snapshot;
             store.compact = Some(index - 2);
         }
-        expected.take(&store);
+        expected.apply(&store);
         log.write(&[store]).expect("written");
     }
     drop(log);
-    assert_eq!(*start().expect("it starts").saved(), expected);
+    assert_eq!(*start().expect("it starts").state(), expected);
     let names: Vec<String> = std::fs::read_dir(folder.path())
         .expect("readable")
         .map(|entry| entry.expect("readable").file_name().to_string_lossy().into_owned())
@@ -343,9 +345,9 @@
     let mut disk = Memory::default();
     disk.append("log-0000000000000007", &bytes).expect("written");
     let log = open(&disk).expect("it is read");
-    assert_eq!(log.saved().hard.id, 5);
+    assert_eq!(log.state().hard_state.id, 5);
     let data = EntryKind::Data(Arc::new(vec![1, 2, 3]));
-    assert_eq!(log.saved().entries, [Entry { index: 1, term: 2, kind: data }]);
+    assert_eq!(log.state().entries, [Entry { index: 1, term: 2, kind: data }]);
     assert_eq!(disk.file("log-").0, "log-0000000000000008");
     let mut newer = Memory::default();
     newer.append("log-0000000000000001", b"DSPQ\x03\0\0\0").expect("written");
@@ -362,7 +364,7 @@
         }
         disk.append("log-0000000000000001", &bytes).expect("written");
         if let Ok(log) = open(&disk) {
-            prop_assert!(log.saved().entries.is_empty());
+            prop_assert!(log.state().entries.is_empty());
         }
     }
 }
--- a/crates/raft/tests/large.rs
+++ b/crates/raft/tests/large.rs
@@ -1,6 +1,6 @@
 //! A large snapshot goes over in pieces.
 
-use dahliaspoke_raft::message::{Entry, EntryKind, HardState, Member, Members, Snapshot};
+use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, LogPosition, Member, Members, Snapshot};
 use dahliaspoke_raft::raft::{Action, Event, Options, PersistentState, Raft};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
     let data = Arc::new((0..5_000_000u32).map(|n| (n % 251) as u8).collect::<Vec<_>>());
     let snapshot = Arc::new(Snapshot { index: 60, term: 1, members: members.clone(), data });
     let first = Entry { index: 1, term: 1, kind: EntryKind::Members(members) };
-    let late = PersistentState { hard: hard(3), entries: vec![first], ..PersistentState::default() };
+    let late = PersistentState { hard_state: hard(3), entries: vec![first], ..PersistentState::default() };
     let full = |id| PersistentState {
-        hard: hard(id),
+        hard_state: hard(id),
         snapshot: snapshot.clone(),
-        base: (60, 1),
+        base: LogPosition { index: 60, term: 1 },
         entries: Vec::new(),
     };
     let mut rafts: Vec<Raft> =
--- a/crates/raft/tests/machine.rs
+++ b/crates/raft/tests/machine.rs
@@ -1,7 +1,7 @@
 //! The configuration's machine beside a plain map.
 
 use dahliaspoke_raft::state_machine::{
-    Command, Op, Outcome, StateMachine, HISTORY, MAX_KEY_BYTES, MAX_SESSIONS, MAX_TOTAL_BYTES,
+    Command, Op, Outcome, StateMachine, MAX_HISTORY_CHANGES, MAX_KEY_BYTES, MAX_SESSIONS, MAX_TOTAL_BYTES,
     MAX_VALUE_BYTES,
 };
 use proptest::prelude::*;
@@ -50,16 +50,16 @@
             let twice = ops.len() == 2 && ops[0].key == ops[1].key;
             let other = ops.iter().find_map(|op| {
                 let version = map.get(&op.key).map_or(0, |held| held.0);
-                op.expect.filter(|e| *e != version).map(|_| Outcome::Other(op.key.clone(), version))
+                op.expect.filter(|e| *e != version).map(|_| Outcome::VersionMismatch { key: op.key.clone(), version })
             });
             let known = last.get(&session).filter(|_| session > 0);
             match known {
                 Some((held, outcome)) if *held == serial => prop_assert_eq!(&told, outcome),
-                Some((held, _)) if *held > serial => prop_assert!(matches!(told, Outcome::Refused(_))),
-                None if session > 0 && serial > 1 => prop_assert!(matches!(told, Outcome::Refused(_))),
+                Some((held, _)) if *held > serial => prop_assert!(matches!(told, Outcome::Rejected(_))),
+                None if session > 0 && serial > 1 => prop_assert!(matches!(told, Outcome::Rejected(_))),
                 _ => {
                     match (twice, other) {
-                        (true, _) => prop_assert!(matches!(told, Outcome::Refused(_))),
+                        (true, _) => prop_assert!(matches!(told, Outcome::Rejected(_))),
                         (false, Some(other)) => prop_assert_eq!(&told, &other),
                         (false, None) => {
                             prop_assert_eq!(&told, &Outcome::Done(index));
@@ -92,7 +92,7 @@
     #[test]
     fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut state_machine = StateMachine::default();
-        prop_assert!(matches!(state_machine.apply(1, &bytes), Outcome::Refused(_)));
+        prop_assert!(matches!(state_machine.apply(1, &bytes), Outcome::Rejected(_)));
         prop_assert_eq!(state_machine.all("").count(), 0);
         prop_assert!(StateMachine::restore(&bytes).is_err() || bytes.is_empty());
     }
@@ -100,7 +100,7 @@
 
 #[test]
 fn what_is_too_large_is_refused_with_key_and_reason() {
-    let refused = |ops: Vec<Op>| StateMachine::check(&command(0, 0, ops)).expect_err("refused");
+    let refused = |ops: Vec<Op>| command(0, 0, ops).validate().expect_err("refused").to_string();
     let large = refused(vec![set("settings", &"x".repeat(5 << 20), None)]);
     assert!(large.starts_with("settings: ") && large.contains(&MAX_VALUE_BYTES.to_string()), "{large}");
     assert!(refused(vec![set(&"k".repeat(MAX_KEY_BYTES + 1), "", None)]).contains("a key has"));
@@ -119,7 +119,7 @@
         apply(state_machine, index, &command(0, 0, vec![op]))
     };
     let full = (0..20)
-        .find(|n| matches!(put(&mut state_machine, &format!("k{n}"), Some(&value)), Outcome::Refused(_)));
+        .find(|n| matches!(put(&mut state_machine, &format!("k{n}"), Some(&value)), Outcome::Rejected(_)));
     assert_eq!(full, Some(MAX_TOTAL_BYTES / MAX_VALUE_BYTES - 1));
     assert!(matches!(put(&mut state_machine, "k0", None), Outcome::Done(_)));
     assert!(matches!(put(&mut state_machine, "other", Some(&value)), Outcome::Done(_)));
@@ -128,12 +128,12 @@
 #[test]
 fn a_watcher_whose_changes_are_forgotten_starts_anew() {
     let mut state_machine = StateMachine::default();
-    let most = HISTORY.0 as u64;
+    let most = MAX_HISTORY_CHANGES as u64;
     for index in 1..=most + 10 {
         apply(&mut state_machine, index, &command(0, 0, vec![set("k", &index.to_string(), None)]));
     }
     assert!(state_machine.since(9).is_none());
-    assert_eq!(state_machine.since(10).map(Iterator::count), Some(HISTORY.0));
+    assert_eq!(state_machine.since(10).map(Iterator::count), Some(MAX_HISTORY_CHANGES));
     assert_eq!(state_machine.since(most + 10).map(Iterator::count), Some(0));
 }
 
@@ -148,6 +148,6 @@
     };
     assert_eq!(again(&mut state_machine, 2, 1), Outcome::Done(2));
     assert!(
-        matches!(again(&mut state_machine, 1, 2), Outcome::Refused(why) if why.contains("may have been done"))
+        matches!(again(&mut state_machine, 1, 2), Outcome::Rejected(why) if why.contains("may have been done"))
     );
 }
--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -1,7 +1,8 @@
 //! The pure core under a model checker: every order of deliveries, losses, syncs, crashes and elections within bounds.
 //! `STATES=20000000 cargo test --release -p dahliaspoke-raft --test model -- --nocapture` for the long campaign.
 
-use dahliaspoke_raft::message::{Entry, EntryKind, HardState, Member, Members, Message, Snapshot};
+use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, LogPosition, Member, Members, Snapshot};
+use dahliaspoke_raft::message::Message;
 use dahliaspoke_raft::raft::{Action, Event, Options, PersistentState, PlantedFault, Raft, WriteBatch};
 use dahliaspoke_raft::{Id, Index, Term};
 use stateright::{Checker, Model, Property};
@@ -47,7 +48,7 @@
 impl Bounds {
     fn options(&self) -> Options {
         // One entry a message: the most orders in which they may come.
-        Options { planted_fault: self.planted_fault, batch: 1, ..Options::new(1) }
+        Options { planted_fault: self.planted_fault, max_append_bytes: 1, ..Options::new(1) }
     }
 
     fn carry_out(&self, world: &mut World, at: usize, orders: Vec<Action>) {
@@ -102,9 +103,9 @@
         let members: Members = (1..=self.members as Id).map(member).collect();
         let first = Entry { index: 1, term: 1, kind: EntryKind::Members(members) };
         let saved = |n| PersistentState {
-            hard: HardState { id: n, cluster: 9, term: 1, vote: None },
+            hard_state: HardState { id: n, cluster: 9, term: 1, vote: None },
             snapshot: Arc::new(Snapshot::default()),
-            base: (0, 0),
+            base: LogPosition::default(),
             entries: vec![first.clone()],
         };
         let all: Vec<PersistentState> = (1..=self.members as Id).map(saved).collect();
@@ -168,7 +169,7 @@
             Act::Sync(at) => {
                 let (saved, writes) = &mut world.disks[at];
                 let store = writes.pop_front()?;
-                saved.take(&store);
+                saved.apply(&store);
                 world.rafts[at].handle(0, Event::Persisted(store.number), &mut orders);
                 at
             }
--- a/crates/raft/tests/sim/mod.rs
+++ b/crates/raft/tests/sim/mod.rs
@@ -2,9 +2,10 @@
 //! was not synced, members that stop, crash, jump in time, join and leave; clients with a history. All of it from a seed.
 #![allow(dead_code)]
 
-use dahliaspoke_raft::message::{Entry, EntryKind, Members, Message};
+use dahliaspoke_raft::entry::{Entry, EntryKind, Members};
+use dahliaspoke_raft::message::Message;
 use dahliaspoke_raft::raft::{
-    Action, Change, Event, Options, PersistentState, PlantedFault, ProposeError, Raft, WriteBatch,
+    Action, Event, MembershipChange, Options, PersistentState, PlantedFault, ProposeError, Raft, WriteBatch,
 };
 use dahliaspoke_raft::state_machine::{Command, Op, Outcome, StateMachine};
 use dahliaspoke_raft::{Id, Index, Micros, Term};
@@ -144,7 +145,7 @@
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let nodes = (0..plan.members).map(|at| {
             let mut saved = PersistentState::default();
-            saved.hard.id = id(at);
+            saved.hard_state.id = id(at);
             let state_machine = StateMachine::default();
             let writes = VecDeque::new();
             Node { raft: None, saved, writes, state_machine, sleeps: 0, ahead: 0, starts: 0, disk_ms: 3 }
@@ -172,7 +173,7 @@
         for at in 0..plan.members {
             sim.start(at);
         }
-        let found = Event::Found { cluster: 99, name: "m0".into(), address: String::new() };
+        let found = Event::Bootstrap { cluster: 99, name: "m0".into(), address: String::new() };
         sim.tell(0, found);
         for n in 0..4 {
             sim.at(100 * MS, Doing::Client(n));
@@ -217,7 +218,7 @@
                 }
                 Doing::Disk(at) => self.disk(at),
                 Doing::Wake(at) => {
-                    let due = self.nodes[at].raft.as_ref().map(Raft::next);
+                    let due = self.nodes[at].raft.as_ref().map(Raft::next_deadline);
                     if due.is_some_and(|due| due <= self.clock(at)) && self.nodes[at].sleeps <= self.now {
                         self.tell(at, Event::Tick);
                     }
@@ -244,7 +245,12 @@
             return;
         }
         let mut options = Options::new(self.plan.seed);
-        (options.tail, options.piece, options.window, options.batch) = (4, 100, 8, 300);
+        (
+            options.retained_entries,
+            options.snapshot_chunk_bytes,
+            options.max_inflight_entries,
+            options.max_append_bytes,
+        ) = (4, 100, 8, 300);
         options.planted_fault = self.plan.planted_fault;
         let clock = self.clock(at);
         let node = &mut self.nodes[at];
@@ -263,7 +269,7 @@
         let survive = self.below(3).min(self.nodes[at].writes.len() as u64);
         let node = &mut self.nodes[at];
         for (_, store) in node.writes.drain(..).take(survive as usize).collect::<Vec<_>>() {
-            node.saved.take(&store);
+            node.saved.apply(&store);
         }
         node.sleeps = 0;
         self.report.crashes += 1;
@@ -278,7 +284,7 @@
             return;
         }
         if let Some((_, store)) = self.nodes[at].writes.pop_front() {
-            self.nodes[at].saved.take(&store);
+            self.nodes[at].saved.apply(&store);
             self.tell(at, Event::Persisted(store.number));
         }
     }
@@ -352,7 +358,7 @@
         if let Some(n) = proposal_id.and_then(|proposal_id| self.proposal_ids.remove(&proposal_id)) {
             let answer = match outcome {
                 Some(Outcome::Done(version)) => Some(Answer::Done(version)),
-                Some(Outcome::Other(..)) => Some(Answer::Other),
+                Some(Outcome::VersionMismatch { .. }) => Some(Answer::Other),
                 _ => None,
             };
             self.answer(n, proposal_id.unwrap_or_default(), answer);
@@ -385,8 +391,8 @@
             let wait = (200 + self.below(1500)) + self.below(link.delay_ms + 1) * MS;
             let wait = wait.max(link.held.saturating_sub(self.now));
             // It goes as it would on a wire: written and read.
-            let bytes = dahliaspoke_raft::message::seal(&message);
-            let read = dahliaspoke_raft::message::open(&bytes).expect("it was written here");
+            let bytes = dahliaspoke_raft::codec::encode(&message);
+            let read = dahliaspoke_raft::codec::decode(&bytes).expect("it was written here");
             self.at(wait, Doing::Deliver(read));
         }
     }
@@ -539,20 +545,26 @@
         let mut change = None;
         for at in 0..self.plan.members {
             match members.get(&id(at)) {
-                None => change = change.or(Some(Change::Add(id(at), format!("m{at}"), String::new()))),
-                Some(member) if !member.votes => change = change.or(Some(Change::Promote(id(at)))),
+                None => {
+                    change = change.or(Some(MembershipChange::AddLearner {
+                        id: id(at),
+                        name: format!("m{at}"),
+                        address: String::new(),
+                    }));
+                }
+                Some(member) if !member.votes => change = change.or(Some(MembershipChange::Promote(id(at)))),
                 Some(_) => {}
             }
         }
         if change.is_none() && self.plan.churn && self.chance(0.1) {
             let at = self.below(self.plan.members as u64) as usize;
-            change = Some(Change::Remove(id(at)));
+            change = Some(MembershipChange::Remove(id(at)));
         }
         if let Some(change) = change {
             self.report.changes += 1;
             self.proposal_id += 1;
             let proposal_id = self.proposal_id;
-            self.tell(leader, Event::Change { proposal_id, change });
+            self.tell(leader, Event::ChangeMembership { proposal_id, change });
         }
     }
 }
--- a/crates/raft/tests/stored_formats.rs
+++ b/crates/raft/tests/stored_formats.rs
@@ -1,9 +1,11 @@
 //! What a released version has written or sent is read to the same values, and the same values are written to the same
 //! bytes. `data/stored` is a member's folder as that version left it. The lines of hexadecimal digits were printed by it.
 
+use dahliaspoke_raft::codec::{decode, encode};
 use dahliaspoke_raft::disk::{Disk, DiskLog, Folder};
+use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, LogPosition, Member, Members, Snapshot};
 use dahliaspoke_raft::message::{
-    open, seal, Entry, EntryKind, HardState, Member, Members, Message, MessageBody, Snapshot, WireEntry,
+    AppendEntries, AppendReply, Message, MessageBody, SnapshotChunk, SnapshotChunkReply, WireEntry,
 };
 use dahliaspoke_raft::raft::{PersistentState, WriteBatch};
 use dahliaspoke_raft::state_machine::{Command, KeyChange, Op, Outcome, StateMachine, Value};
@@ -114,11 +116,14 @@
     let folder = stored_folder();
     let before = std::fs::read(folder.path().join(SEGMENT_NAME)).expect("readable");
     let log = open_log(folder.path());
-    let saved = log.saved();
-    assert_eq!(saved.hard, HardState { id: MEMBER_ID, cluster: CLUSTER, term: 2, vote: Some(MEMBER_ID) });
+    let saved = log.state();
+    assert_eq!(
+        saved.hard_state,
+        HardState { id: MEMBER_ID, cluster: CLUSTER, term: 2, vote: Some(MEMBER_ID) }
+    );
     assert_eq!((saved.snapshot.index, saved.snapshot.term), (9, 2));
     assert_eq!(saved.snapshot.members, stored_members());
-    assert_eq!(saved.base, (0, 0));
+    assert_eq!(saved.base, LogPosition { index: 0, term: 0 });
     assert_eq!(saved.entries, stored_entries());
     // Nothing was cut off and no other segment was begun.
     assert_eq!(std::fs::read(folder.path().join(SEGMENT_NAME)).expect("readable"), before);
@@ -129,7 +134,7 @@
 fn the_state_machine_goes_on_from_a_snapshot_of_the_released_version() {
     let folder = stored_folder();
     let log = open_log(folder.path());
-    let saved: &PersistentState = log.saved();
+    let saved: &PersistentState = log.state();
     let mut machine = StateMachine::restore(&saved.snapshot.data).expect("it is read");
     assert_eq!(machine.applied(), 9);
     assert_values(&machine, &VALUES_AT_SNAPSHOT);
@@ -145,7 +150,7 @@
         outcomes.push(machine.apply(entry.index, data));
     }
     let mut expected: Vec<Outcome> = (10..14).map(Outcome::Done).collect();
-    expected.push(Outcome::Other("key0".into(), 3));
+    expected.push(Outcome::VersionMismatch { key: "key0".into(), version: 3 });
     assert_eq!(outcomes, expected);
     assert_values(&machine, &VALUES_AT_END);
     assert_eq!(machine.applied(), 14);
@@ -160,8 +165,8 @@
     let folder = stored_folder();
     let log = open_log(folder.path());
     let file = std::fs::read(folder.path().join(SNAPSHOT_NAME)).expect("readable");
-    assert_eq!(seal(&*log.saved().snapshot), file);
-    assert_eq!(open::<Snapshot>(&file).as_ref(), Ok(&*log.saved().snapshot));
+    assert_eq!(encode(&*log.state().snapshot), file);
+    assert_eq!(decode::<Snapshot>(&file).as_ref(), Ok(&*log.state().snapshot));
 }
 
 /// What the released version stored one batch at a time is stored to the same bytes again.
@@ -169,14 +174,14 @@
 fn the_same_batches_are_written_to_the_same_bytes() {
     let stored = stored_folder();
     let expected = std::fs::read(stored.path().join(SEGMENT_NAME)).expect("readable");
-    let saved = open_log(stored.path()).saved().clone();
+    let saved = open_log(stored.path()).state().clone();
     let folder = tempfile::tempdir().expect("a folder");
     let disk = Folder::open(folder.path()).expect("a folder");
     let mut log = DiskLog::open(Box::new(disk), || MEMBER_ID).expect("new");
     let hard = |vote, term| Some(HardState { id: MEMBER_ID, cluster: CLUSTER, term, vote });
     let entry = |index: usize| vec![saved.entries[index - 1].clone()];
     let mut batches =
-        vec![WriteBatch { hard: hard(Some(MEMBER_ID), 2), entries: entry(1), ..WriteBatch::default() }];
+        vec![WriteBatch { hard_state: hard(Some(MEMBER_ID), 2), entries: entry(1), ..WriteBatch::default() }];
     batches.extend((2..=9).map(|index| WriteBatch { entries: entry(index), ..WriteBatch::default() }));
     batches.push(WriteBatch { snapshot: Some(saved.snapshot.clone()), ..WriteBatch::default() });
     batches.extend((10..=14).map(|index| WriteBatch { entries: entry(index), ..WriteBatch::default() }));
@@ -201,11 +206,11 @@
     let log = open_log(folder.path());
     let data = EntryKind::Data(Arc::new(vec![1, 2, 3]));
     let expected = PersistentState {
-        hard: HardState { id: 5, ..HardState::default() },
+        hard_state: HardState { id: 5, ..HardState::default() },
         entries: vec![Entry { index: 1, term: 2, kind: data }],
         ..PersistentState::default()
     };
-    assert_eq!(*log.saved(), expected);
+    assert_eq!(*log.state(), expected);
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -233,40 +238,40 @@
 
 fn assert_message(body: MessageBody, encoded: &str) {
     let message = Message { cluster: 99, from: 1, to: 300, term: 5, body };
-    assert_eq!(hex(&seal(&message)), encoded, "{message:?}");
-    assert_eq!(open::<Message>(&bytes_of(encoded)), Ok(message));
+    assert_eq!(hex(&encode(&message)), encoded, "{message:?}");
+    assert_eq!(decode::<Message>(&bytes_of(encoded)), Ok(message));
 }
 
 #[test]
 fn messages_of_elections_are_as_released() {
-    assert_message(MessageBody::PreVote { last: 300, last_term: 4 }, "01af3c57af6301ac020500ac0204");
-    assert_message(MessageBody::PreVoteReply(true), "018323679b6301ac02050101");
-    assert_message(
-        MessageBody::Vote { last: 300, last_term: 4, handed: true },
-        "013e6503996301ac020502ac020401",
-    );
-    assert_message(MessageBody::VoteReply(false), "01977156de6301ac02050300");
+    let last = LogPosition { index: 300, term: 4 };
+    assert_message(MessageBody::PreVote { last }, "01af3c57af6301ac020500ac0204");
+    assert_message(MessageBody::PreVoteReply { granted: true }, "018323679b6301ac02050101");
+    assert_message(MessageBody::Vote { last, leadership_transfer: true }, "013e6503996301ac020502ac020401");
+    assert_message(MessageBody::VoteReply { granted: false }, "01977156de6301ac02050300");
     assert_message(MessageBody::TimeoutNow, "0143fb57756301ac020508");
 }
 
 #[test]
 fn messages_of_replication_are_as_released() {
     let entries = entries_of_each_kind();
-    let append = MessageBody::Append { prev: 6, prev_term: 2, commit: 5, round: 1000, entries };
+    let previous = LogPosition { index: 6, term: 2 };
+    let append = MessageBody::Append(AppendEntries { previous, commit: 5, round: 1000, entries });
     assert_message(append, "01812724cb6301ac020504060205e807030703000803010301020309040202010263300f3132372e302e302e313a313734303001ac020263310000");
-    let reply = MessageBody::AppendReply { fits: true, index: 9, hint: 6, round: 1000 };
-    assert_message(reply, "01b51415436301ac020505010906e807");
+    let reply = AppendReply { accepted: true, index: 9, hint: 6, round: 1000 };
+    assert_message(MessageBody::AppendReply(reply), "01b51415436301ac020505010906e807");
 }
 
 #[test]
 fn messages_of_snapshots_are_as_released() {
-    let bytes = vec![9, 8, 7];
-    let piece = MessageBody::Piece { index: 9, term: 4, whole: 70_000, at: 65_536, bytes, round: 1001 };
-    assert_message(piece, "019e92cf2a6301ac0205060904f0a20480800403090807e907");
-    let reply = MessageBody::PieceReply { index: 9, have: 65_539, round: 1001 };
-    assert_message(reply, "010f0d83df6301ac02050709838004e907");
+    let position = LogPosition { index: 9, term: 4 };
+    let data = vec![9, 8, 7];
+    let chunk = SnapshotChunk { position, total_bytes: 70_000, offset: 65_536, data, round: 1001 };
+    assert_message(MessageBody::SnapshotChunk(chunk), "019e92cf2a6301ac0205060904f0a20480800403090807e907");
+    let reply = SnapshotChunkReply { index: 9, received_bytes: 65_539, round: 1001 };
+    assert_message(MessageBody::SnapshotChunkReply(reply), "010f0d83df6301ac02050709838004e907");
     let snapshot = Snapshot { index: 9, term: 4, members: two_members(), data: Arc::new(vec![5, 6]) };
     let encoded = "015acb493d090402010263300f3132372e302e302e313a313734303001ac020263310000020506";
-    assert_eq!(hex(&seal(&snapshot)), encoded);
-    assert_eq!(open::<Snapshot>(&bytes_of(encoded)), Ok(snapshot));
+    assert_eq!(hex(&encode(&snapshot)), encoded);
+    assert_eq!(decode::<Snapshot>(&bytes_of(encoded)), Ok(snapshot));
 }
