--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -4,8 +4,9 @@
 use crate::failpoints;
 use crate::net::{Time, Token};
 use dahliaspoke_raft::disk::{DiskLog, Folder};
-use dahliaspoke_raft::message::{EntryKind, Message};
-use dahliaspoke_raft::raft::{Action, Change, Event, Options, ProposeError, Raft};
+use dahliaspoke_raft::entry::EntryKind;
+use dahliaspoke_raft::message::Message;
+use dahliaspoke_raft::raft::{Action, Event, MembershipChange, Options, ProposeError, Raft};
 use dahliaspoke_raft::state_machine::{Command, KeyChange, StateMachine};
 use dahliaspoke_raft::writer::{LogWriter, WriteResult};
 use dahliaspoke_raft::{Id, Index, Micros};
@@ -72,9 +73,9 @@
         let disk = Folder::open(folder).map_err(|e| wrong(&e))?;
         let id = draw()?;
         let log = DiskLog::open(Box::new(disk), || id).map_err(|e| wrong(&e))?;
-        let saved = log.saved().clone();
+        let saved = log.state().clone();
         let state_machine = StateMachine::restore(&saved.snapshot.data).map_err(|e| wrong(&e))?;
-        let hello = Hello { id: saved.hard.id, name: name.into(), address };
+        let hello = Hello { id: saved.hard_state.id, name: name.into(), address };
         let writer = LogWriter::start(log, failpoints::reach).map_err(|e| wrong(&e))?;
         Ok(Self {
             raft: Raft::new(Options::new(draw()?), saved, micros(now)),
@@ -95,17 +96,17 @@
     }
 
     pub fn bell(&self) -> std::os::fd::BorrowedFd<'_> {
-        self.writer.bell()
+        self.writer.waker()
     }
 
     pub fn next_deadline(&self) -> Option<Time> {
-        let next = self.raft.next();
+        let next = self.raft.next_deadline();
         (next < Micros::MAX && self.failed.is_none()).then_some(next as f64 / 1e6)
     }
 
     /// How long ago a majority, or the leader, was heard of (ms).
     pub fn age_ms(&self, now: Time) -> u64 {
-        self.raft.silence(micros(now)) / 1000
+        self.raft.time_since_contact(micros(now)) / 1000
     }
 
     fn proposal_id(&mut self, token: Token, waits: Waits) -> u64 {
@@ -115,13 +116,17 @@
     }
 
     pub fn tick(&mut self, now: Time, out: &mut Vec<Told>) {
-        if self.raft.next() <= micros(now) {
+        if self.raft.next_deadline() <= micros(now) {
             self.handle(now, Event::Tick, out);
         }
         let Some(id) = self.promote.filter(|_| self.raft.leads()) else { return };
         match self.raft.members().get(&id) {
             Some(member) if !member.votes => {
-                self.handle(now, Event::Change { proposal_id: 0, change: Change::Promote(id) }, out);
+                self.handle(
+                    now,
+                    Event::ChangeMembership { proposal_id: 0, change: MembershipChange::Promote(id) },
+                    out,
+                );
             }
             _ => self.promote = None,
         }
@@ -134,10 +139,10 @@
 
     /// What the disk has done.
     pub fn wrote(&mut self, now: Time, out: &mut Vec<Told>) {
-        self.writer.heard();
-        while let Some(wrote) = self.writer.take() {
+        self.writer.reset_waker();
+        while let Some(wrote) = self.writer.next_result() {
             match wrote {
-                WriteResult::Up(number) => self.handle(now, Event::Persisted(number), out),
+                WriteResult::Persisted(number) => self.handle(now, Event::Persisted(number), out),
                 WriteResult::Failed(why) => {
                     tracing::error!(
                         at = now,
@@ -171,7 +176,7 @@
         let answer = match draw() {
             Ok(cluster) => {
                 let Hello { name, address, .. } = self.hello.clone();
-                self.handle(now, Event::Found { cluster, name, address }, out);
+                self.handle(now, Event::Bootstrap { cluster, name, address }, out);
                 b"+OK\r\n".to_vec()
             }
             Err(why) => wire::error("REFUSED", &why),
@@ -192,15 +197,15 @@
                 self.promote = Some(id);
                 return out.push(Told::Answer(token, b"+OK\r\n".to_vec()));
             }
-            Some(id) if id != hello.id => Change::Remove(id),
-            _ => Change::Add(hello.id, hello.name, hello.address),
+            Some(id) if id != hello.id => MembershipChange::Remove(id),
+            _ => MembershipChange::AddLearner { id: hello.id, name: hello.name, address: hello.address },
         };
-        let replaces = matches!(change, Change::Remove(_));
+        let replaces = matches!(change, MembershipChange::Remove(_));
         if !replaces {
             self.promote = Some(hello.id);
         }
         let proposal_id = self.proposal_id(token, Waits::Members);
-        self.handle(now, Event::Change { proposal_id, change }, out);
+        self.handle(now, Event::ChangeMembership { proposal_id, change }, out);
     }
 
     pub fn remove(&mut self, now: Time, token: Token, name: &str, out: &mut Vec<Told>) {
@@ -209,7 +214,7 @@
             return out.push(Told::Answer(token, wire::error("REFUSED", "no member has that name")));
         };
         let proposal_id = self.proposal_id(token, Waits::Members);
-        self.handle(now, Event::Change { proposal_id, change: Change::Remove(id) }, out);
+        self.handle(now, Event::ChangeMembership { proposal_id, change: MembershipChange::Remove(id) }, out);
     }
 
     pub fn hand_over(&mut self, now: Time, token: Token, name: &str, out: &mut Vec<Told>) {
@@ -285,7 +290,7 @@
                         let changes = self.state_machine.since(before.max(entry.index - 1));
                         out.extend(changes.into_iter().flatten().cloned().map(Told::KeyChange));
                     }
-                    EntryKind::Empty | EntryKind::Members(_) => self.state_machine.pass(entry.index),
+                    EntryKind::Empty | EntryKind::Members(_) => self.state_machine.skip(entry.index),
                 }
                 if let Some((token, _)) = waits {
                     failpoints::reach("store.answer");
@@ -324,7 +329,7 @@
                 let answer = match why {
                     ProposeError::NotLeader(_) => wire::error("LEADER", &self.leader()),
                     ProposeError::Busy => wire::error("BUSY", "too much is under way; nothing was done"),
-                    ProposeError::NotNow(why) => wire::error("REFUSED", why),
+                    ProposeError::Membership(why) => wire::error("REFUSED", &why.to_string()),
                     ProposeError::Lost => wire::error("LOST", "it was not done and will not be"),
                     ProposeError::Unknown => {
                         wire::error("UNKNOWN", "this member leads no longer: it may count")
