--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -1,7 +1,8 @@
 //! The store's wire: RESP arrays. What operators and watchers ask, and what members say to each other.
 
 use crate::net::resp::{array, bulk};
-use dahliaspoke_raft::message::{open, Message, VERSION};
+use dahliaspoke_raft::codec::{self, VERSION};
+use dahliaspoke_raft::message::Message;
 use dahliaspoke_raft::state_machine::{Command, KeyChange, Op, Outcome};
 use dahliaspoke_raft::{Id, Index};
 
@@ -47,7 +48,7 @@
 /// In words for the one who called.
 pub fn decode(values: &[&[u8]]) -> Result<Call, String> {
     if let [b"RAFT", bytes] = values {
-        return open(bytes).map(|message| Call::Raft(Box::new(message))).map_err(|e| e.to_string());
+        return codec::decode(bytes).map(|message| Call::Raft(Box::new(message))).map_err(|e| e.to_string());
     }
     let texts = values.iter().map(|value| std::str::from_utf8(value)).collect::<Result<Vec<_>, _>>();
     let texts = texts.map_err(|_| "a command is text")?;
@@ -90,7 +91,7 @@
 }
 
 pub fn raft(message: &Message) -> Vec<u8> {
-    array(&[b"RAFT", &dahliaspoke_raft::message::seal(message)])
+    array(&[b"RAFT", &codec::encode(message)])
 }
 
 /// An error in one line; the first word says which.
@@ -112,8 +113,8 @@
 pub fn outcome(outcome: &Outcome) -> Vec<u8> {
     match outcome {
         Outcome::Done(version) => format!("+OK {version}\r\n").into_bytes(),
-        Outcome::Other(_, version) => error("OTHER", &format!("{version} {outcome}")),
-        Outcome::Refused(why) => error("REFUSED", why),
+        Outcome::VersionMismatch { version, .. } => error("OTHER", &format!("{version} {outcome}")),
+        Outcome::Rejected(why) => error("REFUSED", why),
     }
 }
 
