--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -11,7 +11,7 @@
 use crate::net::{
     Acceptor, BufferedStream, Connection, ConnectionSlab, EventHandler, Flow, Poller, Ready, Time, Token,
 };
-use dahliaspoke_raft::state_machine::{Command, KeyChange, Op, StateMachine, MAX_VALUE_BYTES};
+use dahliaspoke_raft::state_machine::{Command, KeyChange, Op, MAX_VALUE_BYTES};
 use dahliaspoke_raft::{Id, Index};
 use replica::{Replica, Told};
 use serde::Deserialize;
@@ -266,7 +266,7 @@
     /// What is wrong with a change is said before it is proposed.
     fn checked(&self, call: Call) -> Result<Call, String> {
         if let Call::Change(command) = &call {
-            StateMachine::check(command)?;
+            command.validate().map_err(|error| error.to_string())?;
             for op in &command.ops {
                 if let Some(text) = &op.value {
                     (self.check)(&op.key, text).map_err(|why| format!("{}: {why}", op.key))?;
