--- a/tests/size.rs
+++ b/tests/size.rs
@@ -21,7 +21,6 @@
     ("src/upstream/resp/mod.rs", 787),
     ("crates/body-store/src/plan.rs", 472),
     ("crates/body-store/src/spool.rs", 886),
-    ("crates/raft/src/raft.rs", 1281),
     ("crates/simulator/src/engine.rs", 430),
     ("crates/simulator/src/world.rs", 896),
 ];
