--- a/crates/raft/tests/schedules.rs
+++ b/crates/raft/tests/schedules.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Seeds that failed once.
-const ONCE: [u64; 0] = [];
+const FAILED_ONCE: [u64; 0] = [];
 
-/// Plays these seeds on all cores.
-fn play(seeds: Vec<u64>) -> Vec<(u64, Report)> {
+/// Runs the plans of these seeds on all cores.
+fn run_all(seeds: Vec<u64>) -> Vec<(u64, Report)> {
     let next = AtomicUsize::new(0);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
@@ -27,9 +27,9 @@
 #[test]
 fn schedules_with_faults_keep_every_promise() {
     let count = std::env::var("SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(300);
-    let reports = play(ONCE.into_iter().chain(1..=count).collect());
-    let wrong: Vec<_> = reports.iter().filter(|(_, report)| report.wrong.is_some()).collect();
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let reports = run_all(FAILED_ONCE.into_iter().chain(1..=count).collect());
+    let broken: Vec<_> = reports.iter().filter(|(_, report)| report.violation.is_some()).collect();
+    assert!(broken.is_empty(), "{broken:#?}");
     let sum = |of: fn(&Report) -> usize| reports.iter().map(|(_, report)| of(report)).sum::<usize>();
     let (answered, unanswered) = (sum(|r| r.answered), sum(|r| r.unanswered));
     let (crashes, snapshots, changes) = (sum(|r| r.crashes), sum(|r| r.snapshots), sum(|r| r.changes));
@@ -41,25 +41,28 @@
     assert!(answered > 10 * unanswered && crashes > 0 && snapshots > 0 && changes > 0);
 }
 
-/// The first seed on which the fault shows.
-fn shows(planted_fault: PlantedFault, seeds: u64) -> Option<(u64, String)> {
+/// The first seed whose run catches the fault.
+fn first_violation(planted_fault: PlantedFault, seeds: u64) -> Option<(u64, String)> {
     (1..=seeds).find_map(|seed| {
         let plan = Plan { planted_fault: Some(planted_fault), crashes: 2.5, ..Plan::new(seed) };
-        run(plan).wrong.map(|wrong| (seed, wrong))
+        run(plan).violation.map(|violation| (seed, violation))
     })
 }
 
 #[test]
 fn a_read_without_a_majority_is_caught() {
-    println!("{:?}", shows(PlantedFault::ReadAlone, 300).expect("an old read"));
+    println!("{:?}", first_violation(PlantedFault::ReadAlone, 300).expect("an old read"));
 }
 
 #[test]
 fn an_acknowledgement_before_the_disk_is_caught() {
-    println!("{:?}", shows(PlantedFault::AckNotStored, 300).expect("a lost write"));
+    println!("{:?}", first_violation(PlantedFault::AckNotStored, 300).expect("a lost write"));
 }
 
 #[test]
 fn a_snapshot_that_forgets_the_members_is_caught() {
-    println!("{:?}", shows(PlantedFault::SnapshotForgets, 10).expect("other members than the log says"));
+    println!(
+        "{:?}",
+        first_violation(PlantedFault::SnapshotForgets, 10).expect("other members than the log says")
+    );
 }
