--- /dev/null
+++ b/crates/raft/tests/error_texts.rs
@@ -0,0 +1,108 @@
+//! The texts that operators see, as the released version has them.
+
+use dahliaspoke_raft::codec::DecodeError;
+use dahliaspoke_raft::disk::{DiskLog, Folder, OpenError, OpenErrorKind};
+use dahliaspoke_raft::raft::{MembershipError, ProposeError};
+use dahliaspoke_raft::state_machine::{Command, Op, Outcome, StateMachine};
+use std::io;
+
+fn op(key: &str, bytes: usize) -> Op {
+    Op { key: key.into(), value: Some("x".repeat(bytes).into()), expect: None }
+}
+
+fn command(session: u64, serial: u64, ops: Vec<Op>) -> Command {
+    Command { session, serial, ops }
+}
+
+fn invalid(ops: Vec<Op>) -> String {
+    command(0, 0, ops).validate().expect_err("not valid").to_string()
+}
+
+#[test]
+fn commands_that_are_not_valid() {
+    assert_eq!(invalid(vec![]), "a command has 1 to 64 parts, not 0");
+    assert_eq!(
+        invalid((0..65).map(|n| op(&n.to_string(), 1)).collect()),
+        "a command has 1 to 64 parts, not 65"
+    );
+    assert_eq!(invalid(vec![op("k", 1), op("k", 1)]), "a command names each key once");
+    assert_eq!(invalid(vec![op("a\nb", 1)]), "ab: a key has 1 to 256 bytes and no control characters");
+    assert_eq!(
+        invalid(vec![op(&"k".repeat(257), 1)]),
+        format!("{}: a key has 1 to 256 bytes and no control characters", "k".repeat(40))
+    );
+    assert_eq!(
+        invalid(vec![op("settings", 1_048_577)]),
+        "settings: a value has 1048576 bytes at the most, not 1048577"
+    );
+}
+
+#[test]
+fn commands_that_are_rejected() {
+    let mut machine = StateMachine::default();
+    let mut apply = |index, command: &Command| machine.apply(index, &command.to_bytes()).to_string();
+    assert_eq!(apply(1, &command(1, 1, vec![op("k", 1)])), "done at 1");
+    assert_eq!(apply(2, &command(1, 2, vec![op("k", 1)])), "done at 2");
+    assert_eq!(apply(3, &command(1, 1, vec![op("k", 1)])), "a later call of this session was answered");
+    assert_eq!(
+        apply(4, &command(2, 2, vec![op("k", 1)])),
+        "this session is not known any more: it may have been done"
+    );
+    let expecting = Op { expect: Some(7), ..op("k", 1) };
+    assert_eq!(apply(5, &command(0, 0, vec![expecting])), "k has version 2");
+    let full = (0..9).map(|n| op(&format!("large{n}"), 1_000_000)).collect();
+    assert_eq!(apply(6, &command(0, 0, full)), "the store is full: 4096 keys and 8388608 bytes at the most");
+    assert_eq!(machine.apply(7, b""), Outcome::Rejected("no message".into()));
+}
+
+#[test]
+fn bytes_that_cannot_be_decoded() {
+    assert_eq!(DecodeError::Version(9).to_string(), "a message of version 9; this program speaks 1");
+    assert_eq!(DecodeError::Corrupt.to_string(), "a message whose sum is wrong");
+    assert_eq!(DecodeError::Malformed.to_string(), "no message");
+}
+
+#[test]
+fn proposals_and_changes_of_the_membership_that_are_rejected() {
+    let membership = |error: MembershipError| ProposeError::from(error).to_string();
+    assert_eq!(ProposeError::Busy.to_string(), "too much is under way; nothing was done");
+    assert_eq!(ProposeError::Lost.to_string(), "it was not done and will not be");
+    assert_eq!(ProposeError::Unknown.to_string(), "this member leads no longer: it may count");
+    assert_eq!(membership(MembershipError::ChangeUnderWay), "another change of members is under way");
+    assert_eq!(membership(MembershipError::LeaderIsNew), "the leader is new: nothing of its term counts yet");
+    assert_eq!(membership(MembershipError::TooManyVoters), "there are as many voters as there may be");
+    assert_eq!(membership(MembershipError::TooManyMembers), "there are as many members as there may be");
+    assert_eq!(membership(MembershipError::AlreadyMember), "it is a member");
+    assert_eq!(membership(MembershipError::LearnerBehind), "it has too few entries yet");
+    assert_eq!(membership(MembershipError::NotLearner), "it is no learner");
+    assert_eq!(membership(MembershipError::NotRemovable), "it is no member, or the last");
+}
+
+#[test]
+fn logs_that_cannot_be_opened() {
+    let text = |kind: OpenErrorKind| OpenError { file: "log-1".into(), kind }.to_string();
+    assert_eq!(text(OpenErrorKind::Io(io::Error::other("the disk is gone"))), "log-1: the disk is gone");
+    assert_eq!(text(OpenErrorKind::Snapshot(DecodeError::Malformed)), "log-1: no message");
+    assert_eq!(text(OpenErrorKind::UnknownFormat(3)), "log-1: form 3; this program knows 1 to 2");
+    assert_eq!(text(OpenErrorKind::NoCheckpoint), "log-1: damaged: it does not begin with a checkpoint");
+    assert_eq!(
+        text(OpenErrorKind::MisplacedCheckpoint(40)),
+        "log-1: a checkpoint in the middle, before byte 40"
+    );
+    assert_eq!(
+        text(OpenErrorKind::CorruptRecord(40)),
+        "log-1: damaged at byte 40, before what was synced later"
+    );
+    assert_eq!(text(OpenErrorKind::WrongSnapshot), "log-1: it holds another snapshot than its name says");
+    assert_eq!(text(OpenErrorKind::MissingEntries), "log-1: damaged: entries are missing");
+}
+
+/// Files that the log finds, and not only the texts.
+#[test]
+fn a_folder_whose_segments_do_not_begin_whole_is_named() {
+    let folder = tempfile::tempdir().expect("a folder");
+    std::fs::write(folder.path().join("log-0000000000000002"), b"no segment").expect("written");
+    let disk = Folder::open(folder.path()).expect("a folder");
+    let error = DiskLog::open(Box::new(disk), || 5).err().expect("it is damaged");
+    assert_eq!(error.to_string(), "log-0000000000000002: damaged: it does not begin with a checkpoint");
+}
