--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The log on disk: cut at each byte, spoilt at each byte, syncs that fail or lie, a full disk, the form before.
+//! The log on disk: cut at each byte, corrupt at each byte, syncs that fail or do nothing, a full disk, format 1.
 
 use dahliaspoke_raft::disk::{Disk, DiskLog, Folder, MAX_SEGMENT_BYTES};
 use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, Snapshot};
@@ -14,6 +14,13 @@
     synced: usize,
 }
 
+/// Which syncs do nothing.
+#[derive(Clone, Copy, Debug, Default)]
+struct MissingSyncs {
+    files: bool,
+    names: bool,
+}
+
 #[derive(Default, Debug, Clone)]
 struct Inner {
     contents: Vec<Content>,
@@ -23,8 +30,8 @@
     calls: u64,
     /// Calls from that one on fail.
     fails_from: Option<u64>,
-    /// Syncs that say yes and do nothing: of files, of names.
-    lies: (bool, bool),
+    /// Syncs that report success and do nothing.
+    missing_syncs: MissingSyncs,
     room: Option<usize>,
 }
 
@@ -104,7 +111,7 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.call(|inner| {
             let at = inner.at(name)?;
-            if !inner.lies.0 {
+            if !inner.missing_syncs.files {
                 inner.contents[at].synced = inner.contents[at].bytes.len();
             }
             Ok(())
@@ -139,7 +146,7 @@
 
     fn sync_names(&mut self) -> io::Result<()> {
         self.call(|inner| {
-            if !inner.lies.1 {
+            if !inner.missing_syncs.names {
                 inner.durable = inner.names.clone();
             }
             Ok(())
@@ -167,7 +174,7 @@
 }
 
 /// Votes, entries, an overwritten end, a snapshot, a snapshot that begins anew.
-fn stores() -> Vec<WriteBatch> {
+fn batches() -> Vec<WriteBatch> {
     let hard = |term, vote| Some(HardState { id: 5, cluster: 9, term, vote });
     let anew = Snapshot { index: 40, term: 3, data: Arc::new(vec![8; 200]), ..Snapshot::default() };
     vec![
@@ -187,7 +194,7 @@
         hard_state: HardState { id: 5, ..HardState::default() },
         ..PersistentState::default()
     };
-    stores()[..count].iter().for_each(|store| saved.apply(store));
+    batches()[..count].iter().for_each(|batch| saved.apply(batch));
     saved
 }
 
@@ -198,25 +205,25 @@
 /// Writes them one by one until one fails; how many were told to be on disk.
 fn write(disk: &Memory) -> usize {
     let Ok(mut log) = open(disk) else { return 0 };
-    let done = stores().iter().take_while(|store| log.write(std::slice::from_ref(store)).is_ok()).count();
-    assert!(done == stores().len() || log.write(&[appends(9, 1, 1)]).is_err(), "none after one that failed");
+    let done = batches().iter().take_while(|batch| log.write(std::slice::from_ref(batch)).is_ok()).count();
+    assert!(done == batches().len() || log.write(&[appends(9, 1, 1)]).is_err(), "none after one that failed");
     done
 }
 
 #[test]
-fn a_disk_that_ends_at_any_call_keeps_what_was_told_and_may_have_one_more() {
+fn a_disk_that_fails_at_any_call_keeps_acknowledged_batches_and_at_most_one_more() {
     let whole = Memory::default();
-    assert_eq!(write(&whole), stores().len());
+    assert_eq!(write(&whole), batches().len());
     let calls = whole.inner(|inner| inner.calls);
     for call in 1..=calls {
         for unsynced in [0, 1, 17, 10_000] {
             let disk = Memory::default();
             disk.inner(|inner| inner.fails_from = Some(call));
-            let told = write(&disk);
+            let acknowledged = write(&disk);
             let log = open(&disk.after_crash(unsynced)).expect("it starts");
-            let next = after((told + 1).min(stores().len()));
+            let next = after((acknowledged + 1).min(batches().len()));
             assert!(
-                *log.state() == after(told) || *log.state() == next,
+                *log.state() == after(acknowledged) || *log.state() == next,
                 "call {call}, {unsynced} bytes more"
             );
         }
@@ -224,7 +231,7 @@
 }
 
 #[test]
-fn a_log_cut_at_any_byte_has_all_before_that() {
+fn a_log_cut_at_any_byte_has_all_whole_batches_before() {
     let disk = Memory::default();
     let mut log = open(&disk).expect("new");
     let mut lengths = Vec::new();
@@ -254,7 +261,7 @@
 }
 
 #[test]
-fn damage_before_what_was_synced_later_stops_the_start_and_names_file_and_byte() {
+fn corruption_before_a_synced_record_prevents_the_start_and_is_located() {
     let disk = Memory::default();
     let mut log = open(&disk).expect("new");
     let (name, at) = disk.file("log-");
@@ -265,64 +272,64 @@
     let last = disk.inner(|inner| inner.contents[at].bytes.len());
     let third = (last - first) / 3;
     for byte in first..first + 2 * third {
-        let spoilt = disk.after_crash(0);
-        spoilt.inner(|inner| inner.contents[at].bytes[byte] ^= 0x40);
-        let why = open(&spoilt).err().unwrap_or_else(|| panic!("byte {byte} went unseen"));
+        let corrupt = disk.after_crash(0);
+        corrupt.inner(|inner| inner.contents[at].bytes[byte] ^= 0x40);
+        let why = open(&corrupt).err().unwrap_or_else(|| panic!("byte {byte} went unseen"));
         assert!(why.contains(&name) && why.contains("damaged at byte"), "{why}");
     }
 }
 
-/// Whether all that was told is there after the system has ended, for every call at which it may end.
-fn keeps_what_it_told(lies: (bool, bool)) -> bool {
+/// Whether all that was acknowledged is there after the system has ended, for every call at which it may end.
+fn keeps_acknowledged(missing_syncs: MissingSyncs) -> bool {
     let whole = Memory::default();
     write(&whole);
     let calls = whole.inner(|inner| inner.calls);
     (1..=calls + 1).all(|call| {
         let disk = Memory::default();
-        disk.inner(|inner| (inner.fails_from, inner.lies) = (Some(call), lies));
-        let told = write(&disk);
+        disk.inner(|inner| (inner.fails_from, inner.missing_syncs) = (Some(call), missing_syncs));
+        let acknowledged = write(&disk);
         let Ok(log) = open(&disk.after_crash(0)) else { return false };
-        *log.state() == after(told) || *log.state() == after((told + 1).min(stores().len()))
+        *log.state() == after(acknowledged) || *log.state() == after((acknowledged + 1).min(batches().len()))
     })
 }
 
-/// With the syncs of files, or of names, taken out, what was told is lost: each of them is needed.
+/// With the syncs of files, or of names, taken out, what was acknowledged is lost: each of them is needed.
 #[test]
-fn a_sync_that_is_taken_out_is_caught() {
-    assert!(keeps_what_it_told((false, false)));
-    assert!(!keeps_what_it_told((true, false)));
-    assert!(!keeps_what_it_told((false, true)));
+fn a_missing_sync_is_caught() {
+    assert!(keeps_acknowledged(MissingSyncs { files: false, names: false }));
+    assert!(!keeps_acknowledged(MissingSyncs { files: true, names: false }));
+    assert!(!keeps_acknowledged(MissingSyncs { files: false, names: true }));
 }
 
 #[test]
-fn a_full_disk_stops_the_log_and_what_was_told_stays() {
+fn a_full_disk_stops_the_log_and_keeps_acknowledged_batches() {
     let disk = Memory::default();
     disk.inner(|inner| inner.room = Some(900));
-    let told = write(&disk);
-    assert!((1..stores().len()).contains(&told));
+    let acknowledged = write(&disk);
+    assert!((1..batches().len()).contains(&acknowledged));
     disk.inner(|inner| inner.room = None);
-    assert_eq!(*open(&disk.after_crash(0)).expect("it starts").state(), after(told));
+    assert_eq!(*open(&disk.after_crash(0)).expect("it starts").state(), after(acknowledged));
 }
 
 #[test]
-fn long_logs_go_on_in_the_next_segment_and_old_files_go() {
+fn long_logs_continue_in_the_next_segment_and_old_files_are_removed() {
     let folder = tempfile::tempdir().expect("a folder");
     let start = || DiskLog::open(Box::new(Folder::open(folder.path()).expect("a folder")), || 5);
     let mut log = start().expect("new");
     let size = 1 << 20;
     let mut expected = log.state().clone();
     for index in 1..=3 * MAX_SEGMENT_BYTES / size {
-        let mut store = WriteBatch {
+        let mut batch = WriteBatch {
             number: index,
             entries: vec![entry(index, 2, size as usize)],
             ..WriteBatch::default()
         };
         if index % 5 == 0 {
-            store.snapshot = with_snapshot(0, index).snapshot;
-            store.compact = Some(index - 2);
+            batch.snapshot = with_snapshot(0, index).snapshot;
+            batch.compact = Some(index - 2);
         }
-        expected.apply(&store);
-        log.write(&[store]).expect("written");
+        expected.apply(&batch);
+        log.write(&[batch]).expect("written");
     }
     drop(log);
     assert_eq!(*start().expect("it starts").state(), expected);
@@ -335,7 +342,7 @@
 
 /// The form before had no marks and said nothing of syncs: a log of that form is read and goes on in the present one.
 #[test]
-fn the_form_before_is_read() {
+fn format_1_is_read_and_continued_in_the_present_format() {
     // Written by the first form: a checkpoint of member 5, then one entry of term 2 with the bytes 1, 2, 3.
     let hex = "4453505101000000\
                0a000000392d1da900050000000000000000\
@@ -357,7 +364,7 @@
 proptest! {
     /// No bytes in its files make it panic or take what is none.
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), headed in any::<bool>()) {
+    fn arbitrary_bytes_neither_panic_nor_yield_entries(bytes in prop::collection::vec(any::<u8>(), 0..300), headed in any::<bool>()) {
         let mut disk = Memory::default();
         if headed {
             disk.append("log-0000000000000001", b"DSPQ\x02\0\0\0").expect("written");
--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
     members: usize,
-    /// The last term in which anyone stands.
+    /// The last term in which anyone is a candidate.
     term: Term,
     proposals: usize,
     crashes: usize,
@@ -21,23 +21,31 @@
     planted_fault: Option<PlantedFault>,
 }
 
+/// A member's disk.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Disk {
+    durable: PersistentState,
+    /// Written and not synced, in order.
+    pending: VecDeque<WriteBatch>,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     rafts: Vec<Raft>,
-    disks: Vec<(PersistentState, VecDeque<WriteBatch>)>,
+    disks: Vec<Disk>,
     net: BTreeSet<Message>,
-    /// Entries that some member was told count.
-    counted: BTreeMap<Index, Entry>,
+    /// Entries that some member has applied.
+    committed: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, Id>,
     proposed: usize,
     crashed: usize,
     doubled: usize,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Act {
-    Stand(usize),
+enum Step {
+    StartElection(usize),
     Deliver(Message),
     Double(Message),
     Sync(usize),
@@ -51,17 +59,17 @@
         Options { planted_fault: self.planted_fault, max_append_bytes: 1, ..Options::new(1) }
     }
 
-    fn carry_out(&self, world: &mut World, at: usize, orders: Vec<Action>) {
-        for order in orders {
-            match order {
-                Action::Persist(store) => world.disks[at].1.push_back(store),
+    fn execute(&self, world: &mut World, at: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Persist(batch) => world.disks[at].pending.push_back(batch),
                 Action::Send(message) => {
                     world.net.insert(message);
                 }
                 Action::Apply { entry, .. } => {
-                    let held = world.counted.entry(entry.index).or_insert_with(|| entry.clone());
+                    let held = world.committed.entry(entry.index).or_insert_with(|| entry.clone());
                     if *held != entry {
-                        world.wrong = Some("two entries count at one place");
+                        world.violation = Some("two entries count at one place");
                     }
                 }
                 Action::Restore(_) | Action::Read { .. } | Action::Rejected { .. } => {}
@@ -71,11 +79,11 @@
         if raft.leads() {
             let leader = *world.leaders.entry(raft.term()).or_insert(raft.id());
             if leader != raft.id() {
-                world.wrong = Some("two leaders in a term");
+                world.violation = Some("two leaders in a term");
             }
             let holds = |(index, entry): (&Index, &Entry)| raft.entry(*index) == Some(entry);
-            if !world.counted.iter().all(holds) {
-                world.wrong = Some("a leader lacks an entry that counts");
+            if !world.committed.iter().all(holds) {
+                world.violation = Some("a leader lacks an entry that counts");
             }
         }
         let same = |one: &Raft, other: &Raft| {
@@ -89,14 +97,14 @@
         };
         let pairs = world.rafts.iter().flat_map(|one| world.rafts.iter().map(move |other| (one, other)));
         if !pairs.into_iter().all(|(one, other)| same(one, other)) {
-            world.wrong = Some("logs that agree at a place differ before it");
+            world.violation = Some("logs that agree at a place differ before it");
         }
     }
 }
 
 impl Model for Bounds {
     type State = World;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         let member = |n| (n, Member { name: format!("m{n}"), address: String::new(), votes: true });
@@ -111,89 +119,89 @@
         let all: Vec<PersistentState> = (1..=self.members as Id).map(saved).collect();
         vec![World {
             rafts: all.iter().map(|saved| Raft::new(self.options(), saved.clone(), 0)).collect(),
-            disks: all.into_iter().map(|saved| (saved, VecDeque::new())).collect(),
+            disks: all.into_iter().map(|durable| Disk { durable, pending: VecDeque::new() }).collect(),
             net: BTreeSet::new(),
-            counted: BTreeMap::new(),
+            committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
             proposed: 0,
             crashed: 0,
             doubled: 0,
-            wrong: None,
+            violation: None,
         }]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
+    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         for (at, raft) in world.rafts.iter().enumerate() {
             if !raft.leads() && raft.term() < self.term {
-                acts.push(Act::Stand(at));
+                steps.push(Step::StartElection(at));
             }
             if raft.leads() && world.proposed < self.proposals {
-                acts.push(Act::Propose(at));
+                steps.push(Step::Propose(at));
             }
-            if !world.disks[at].1.is_empty() {
-                acts.push(Act::Sync(at));
+            if !world.disks[at].pending.is_empty() {
+                steps.push(Step::Sync(at));
             }
             if world.crashed < self.crashes {
-                acts.push(Act::Crash(at));
+                steps.push(Step::Crash(at));
             }
         }
         for message in &world.net {
-            acts.push(Act::Deliver(message.clone()));
+            steps.push(Step::Deliver(message.clone()));
             if world.doubled < self.doubled {
-                acts.push(Act::Double(message.clone()));
+                steps.push(Step::Double(message.clone()));
             }
         }
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
+    fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut world = world.clone();
-        let mut orders = Vec::new();
-        let at = match act {
-            Act::Stand(at) => {
-                world.rafts[at].campaign(&mut orders);
+        let mut actions = Vec::new();
+        let at = match step {
+            Step::StartElection(at) => {
+                world.rafts[at].campaign(&mut actions);
                 at
             }
-            Act::Deliver(message) | Act::Double(message) if message.to == 0 => return None,
-            Act::Deliver(message) => {
+            Step::Deliver(message) | Step::Double(message) if message.to == 0 => return None,
+            Step::Deliver(message) => {
                 world.net.remove(&message);
                 let at = message.to as usize - 1;
-                world.rafts[at].handle(0, Event::Message(message), &mut orders);
+                world.rafts[at].handle(0, Event::Message(message), &mut actions);
                 at
             }
-            Act::Double(message) => {
+            Step::Double(message) => {
                 world.doubled += 1;
                 let at = message.to as usize - 1;
-                world.rafts[at].handle(0, Event::Message(message), &mut orders);
+                world.rafts[at].handle(0, Event::Message(message), &mut actions);
                 at
             }
-            Act::Sync(at) => {
-                let (saved, writes) = &mut world.disks[at];
-                let store = writes.pop_front()?;
-                saved.apply(&store);
-                world.rafts[at].handle(0, Event::Persisted(store.number), &mut orders);
+            Step::Sync(at) => {
+                let disk = &mut world.disks[at];
+                let batch = disk.pending.pop_front()?;
+                disk.durable.apply(&batch);
+                world.rafts[at].handle(0, Event::Persisted(batch.number), &mut actions);
                 at
             }
-            Act::Crash(at) => {
+            Step::Crash(at) => {
                 world.crashed += 1;
-                let (saved, writes) = &mut world.disks[at];
-                writes.clear();
-                world.rafts[at] = Raft::new(self.options(), saved.clone(), 0);
+                let disk = &mut world.disks[at];
+                disk.pending.clear();
+                world.rafts[at] = Raft::new(self.options(), disk.durable.clone(), 0);
                 at
             }
-            Act::Propose(at) => {
+            Step::Propose(at) => {
                 world.proposed += 1;
                 let data = Arc::new(vec![world.proposed as u8]);
-                world.rafts[at].handle(0, Event::Propose { proposal_id: 0, data }, &mut orders);
+                world.rafts[at].handle(0, Event::Propose { proposal_id: 0, data }, &mut actions);
                 at
             }
         };
-        self.carry_out(&mut world, at, orders);
+        self.execute(&mut world, at, actions);
         Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always("election safety, log matching, leader completeness", |_, world: &World| {
-            world.wrong.is_none()
+            world.violation.is_none()
         })]
     }
 }
@@ -202,7 +210,7 @@
     std::env::var("STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
 }
 
-/// Looks at so many states, breadth first; what was found to be wrong.
+/// Explores so many states, breadth first; the first rule that is broken.
 fn check(bounds: Bounds, most: usize) -> Option<&'static str> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = bounds.checker().threads(cores).target_state_count(most).spawn_bfs().join();
@@ -214,7 +222,7 @@
     let paths = checker.discoveries();
     let path = paths.values().next()?;
     println!("{} steps: {:?}", path.clone().into_actions().len(), path.clone().into_actions());
-    path.last_state().wrong
+    path.last_state().violation
 }
 
 const BOUNDS: Bounds =
@@ -228,72 +236,76 @@
 #[test]
 fn a_vote_that_is_not_stored_is_caught() {
     let bounds = Bounds { term: 2, proposals: 0, crashes: 1, doubled: 0, ..BOUNDS };
-    let wrong = check(Bounds { planted_fault: Some(PlantedFault::VoteNotStored), ..bounds }, 5_000_000);
-    assert_eq!(wrong, Some("two leaders in a term"));
+    let violation = check(Bounds { planted_fault: Some(PlantedFault::VoteNotStored), ..bounds }, 5_000_000);
+    assert_eq!(violation, Some("two leaders in a term"));
 }
 
 #[test]
 fn an_acknowledgement_before_the_disk_is_caught() {
     let bounds = Bounds { term: 3, proposals: 0, crashes: 1, doubled: 0, ..BOUNDS };
-    let wrong = check(Bounds { planted_fault: Some(PlantedFault::AckNotStored), ..bounds }, 5_000_000);
-    assert!(wrong.is_some());
+    let violation = check(Bounds { planted_fault: Some(PlantedFault::AckNotStored), ..bounds }, 5_000_000);
+    assert!(violation.is_some());
 }
 
-/// A play of chosen steps.
-struct Play(Bounds, World);
+/// Steps that are chosen one by one.
+struct Scenario {
+    bounds: Bounds,
+    world: World,
+}
 
-impl Play {
-    fn act(&mut self, act: Act) {
-        self.1 = self.0.next_state(&self.1, act).expect("it can be done");
+impl Scenario {
+    fn apply(&mut self, step: Step) {
+        self.world = self.bounds.next_state(&self.world, step).expect("it can be done");
     }
 
-    /// All that one has to say to another now, and all that comes on its disk.
-    fn hears(&mut self, from: usize, to: usize) {
-        let said: Vec<Message> = self.1.net.iter().cloned().collect();
-        for message in said.into_iter().filter(|m| (m.from, m.to) == (from as Id + 1, to as Id + 1)) {
-            self.act(Act::Deliver(message));
+    /// Delivers all that one has sent to another, and syncs what that writes.
+    fn deliver(&mut self, from: usize, to: usize) {
+        let sent: Vec<Message> = self.world.net.iter().cloned().collect();
+        for message in sent.into_iter().filter(|m| (m.from, m.to) == (from as Id + 1, to as Id + 1)) {
+            self.apply(Step::Deliver(message));
         }
-        self.syncs(to);
+        self.sync(to);
     }
 
-    fn syncs(&mut self, at: usize) {
-        while !self.1.disks[at].1.is_empty() {
-            self.act(Act::Sync(at));
+    fn sync(&mut self, at: usize) {
+        while !self.world.disks[at].pending.is_empty() {
+            self.apply(Step::Sync(at));
         }
     }
 
-    /// One stands until that term, and those vote for it.
-    fn leads(&mut self, at: usize, term: Term, voters: &[usize]) {
-        self.1.net.clear();
-        self.act(Act::Crash(at)); // it may lead in an older term
-        while self.1.rafts[at].term() < term {
-            self.act(Act::Stand(at));
-            self.syncs(at);
+    /// Has one elected in that term by the votes of those.
+    fn elect(&mut self, at: usize, term: Term, voters: &[usize]) {
+        self.world.net.clear();
+        self.apply(Step::Crash(at)); // it may lead in an older term
+        while self.world.rafts[at].term() < term {
+            self.apply(Step::StartElection(at));
+            self.sync(at);
         }
         for voter in voters {
-            self.hears(at, *voter);
-            self.hears(*voter, at);
+            self.deliver(at, *voter);
+            self.deliver(*voter, at);
         }
-        assert!(self.1.rafts[at].leads());
+        assert!(self.world.rafts[at].leads());
     }
 }
 
 /// Figure 8 of the paper: an entry of an older term is on a majority and is overwritten all the same.
 fn figure_8(planted_fault: Option<PlantedFault>) -> Option<&'static str> {
     let bounds = Bounds { members: 5, term: 9, planted_fault, ..BOUNDS };
-    let mut play = Play(bounds, bounds.init_states().remove(0));
-    play.leads(0, 2, &[1, 2]);
-    play.hears(0, 1);
-    play.leads(4, 3, &[2, 3]);
-    play.leads(0, 4, &[1, 2]);
-    play.hears(0, 1);
-    play.hears(1, 0);
-    play.hears(0, 2); // it does not fit there
-    play.hears(2, 0);
-    play.hears(0, 2); // the entry of the older term
-    play.hears(2, 0);
-    play.leads(4, 5, &[2, 3]);
-    play.1.wrong
+    let world = bounds.init_states().remove(0);
+    let mut scenario = Scenario { bounds, world };
+    scenario.elect(0, 2, &[1, 2]);
+    scenario.deliver(0, 1);
+    scenario.elect(4, 3, &[2, 3]);
+    scenario.elect(0, 4, &[1, 2]);
+    scenario.deliver(0, 1);
+    scenario.deliver(1, 0);
+    scenario.deliver(0, 2); // it does not fit there
+    scenario.deliver(2, 0);
+    scenario.deliver(0, 2); // the entry of the older term
+    scenario.deliver(2, 0);
+    scenario.elect(4, 5, &[2, 3]);
+    scenario.world.violation
 }
 
 #[test]
--- a/crates/raft/tests/schedules.rs
+++ b/crates/raft/tests/schedules.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_read_without_a_majority_is_caught() {
+fn a_read_without_a_quorum_is_caught() {
     println!("{:?}", first_violation(PlantedFault::ReadAlone, 300).expect("an old read"));
 }
 
--- a/crates/raft/tests/large.rs
+++ b/crates/raft/tests/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! A large snapshot goes over in pieces.
+//! A large snapshot is transferred in chunks.
 
 use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, LogPosition, Member, Members, Snapshot};
 use dahliaspoke_raft::raft::{Action, Event, Options, PersistentState, Raft};
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 #[test]
-fn a_snapshot_of_megabytes_comes_over_with_each_piece_sent_about_once() {
+fn a_large_snapshot_is_transferred_with_each_chunk_sent_about_once() {
     let member = |n: u64| (n, Member { name: format!("m{n}"), address: String::new(), votes: true });
     let members: Members = (1..=3).map(member).collect();
     let hard = |id| HardState { id, cluster: 9, term: 1, vote: None };
@@ -22,23 +22,23 @@
     };
     let mut rafts: Vec<Raft> =
         [full(1), full(2), late].into_iter().map(|saved| Raft::new(Options::new(1), saved, 0)).collect();
-    let mut orders = Vec::new();
-    rafts[0].campaign(&mut orders);
-    let mut queue: VecDeque<(usize, Action)> = orders.drain(..).map(|order| (0, order)).collect();
+    let mut actions = Vec::new();
+    rafts[0].campaign(&mut actions);
+    let mut queue: VecDeque<(usize, Action)> = actions.drain(..).map(|action| (0, action)).collect();
     let (mut now, mut sent, mut restored) = (0, 0, false);
     for _ in 0..20_000 {
-        let Some((at, order)) = queue.pop_front() else {
+        let Some((at, action)) = queue.pop_front() else {
             now += 10_000;
-            rafts[0].handle(now, Event::Tick, &mut orders);
-            queue.extend(orders.drain(..).map(|order| (0, order)));
+            rafts[0].handle(now, Event::Tick, &mut actions);
+            queue.extend(actions.drain(..).map(|action| (0, action)));
             continue;
         };
-        let (to, event) = match order {
+        let (to, event) = match action {
             Action::Send(message) => {
                 sent += usize::from(message.to == 3);
                 (message.to as usize - 1, Event::Message(message))
             }
-            Action::Persist(store) => (at, Event::Persisted(store.number)),
+            Action::Persist(batch) => (at, Event::Persisted(batch.number)),
             Action::Restore(held) => {
                 restored |= at == 2 && *held == *snapshot;
                 continue;
@@ -46,12 +46,12 @@
             _ => continue,
         };
         now += 20;
-        rafts[to].handle(now, event, &mut orders);
-        queue.extend(orders.drain(..).map(|order| (to, order)));
+        rafts[to].handle(now, event, &mut actions);
+        queue.extend(actions.drain(..).map(|action| (to, action)));
         if restored && rafts[2].commit() == rafts[0].commit() {
             break;
         }
     }
     assert!(restored, "{sent} messages");
-    assert!(sent < 120, "{sent} messages for some 80 pieces");
+    assert!(sent < 120, "{sent} messages for some 80 chunks");
 }
--- a/crates/raft/tests/machine.rs
+++ b/crates/raft/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! The configuration's machine beside a plain map.
+//! The state machine compared with a plain map.
 
 use dahliaspoke_raft::state_machine::{
     Command, Op, Outcome, StateMachine, MAX_HISTORY_CHANGES, MAX_KEY_BYTES, MAX_SESSIONS, MAX_TOTAL_BYTES,
@@ -43,7 +43,7 @@
                 key: format!("k{key}"), value: value.map(|v| v.to_string().into()), expect,
             }).collect();
             let command = command(session, serial, ops.clone());
-            let told = apply(&mut state_machine, index, &command);
+            let outcome = apply(&mut state_machine, index, &command);
             if at == cut {
                 state_machine = StateMachine::restore(&state_machine.save()).expect("it was written here");
             }
@@ -54,15 +54,15 @@
             });
             let known = last.get(&session).filter(|_| session > 0);
             match known {
-                Some((held, outcome)) if *held == serial => prop_assert_eq!(&told, outcome),
-                Some((held, _)) if *held > serial => prop_assert!(matches!(told, Outcome::Rejected(_))),
-                None if session > 0 && serial > 1 => prop_assert!(matches!(told, Outcome::Rejected(_))),
+                Some((held, remembered)) if *held == serial => prop_assert_eq!(&outcome, remembered),
+                Some((held, _)) if *held > serial => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
+                None if session > 0 && serial > 1 => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
                 _ => {
                     match (twice, other) {
-                        (true, _) => prop_assert!(matches!(told, Outcome::Rejected(_))),
-                        (false, Some(other)) => prop_assert_eq!(&told, &other),
+                        (true, _) => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
+                        (false, Some(other)) => prop_assert_eq!(&outcome, &other),
                         (false, None) => {
-                            prop_assert_eq!(&told, &Outcome::Done(index));
+                            prop_assert_eq!(&outcome, &Outcome::Done(index));
                             for op in ops {
                                 match op.value {
                                     Some(value) => { map.insert(op.key, (index, value.to_string())); }
@@ -71,7 +71,7 @@
                             }
                         }
                     }
-                    last.insert(session, (serial, told));
+                    last.insert(session, (serial, outcome));
                 }
             }
             for changed in state_machine.since(seen).expect("nothing is forgotten yet") {
@@ -88,9 +88,9 @@
         prop_assert_eq!(watcher, plain);
     }
 
-    /// Bytes that are no command change nothing and are refused, by every member alike.
+    /// Bytes that are no command change nothing and are rejected, by every member alike.
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_neither_panic_nor_change_anything(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut state_machine = StateMachine::default();
         prop_assert!(matches!(state_machine.apply(1, &bytes), Outcome::Rejected(_)));
         prop_assert_eq!(state_machine.all("").count(), 0);
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn what_is_too_large_is_refused_with_key_and_reason() {
-    let refused = |ops: Vec<Op>| command(0, 0, ops).validate().expect_err("refused").to_string();
-    let large = refused(vec![set("settings", &"x".repeat(5 << 20), None)]);
+fn invalid_commands_are_rejected_with_key_and_reason() {
+    let rejected = |ops: Vec<Op>| command(0, 0, ops).validate().expect_err("rejected").to_string();
+    let large = rejected(vec![set("settings", &"x".repeat(5 << 20), None)]);
     assert!(large.starts_with("settings: ") && large.contains(&MAX_VALUE_BYTES.to_string()), "{large}");
-    assert!(refused(vec![set(&"k".repeat(MAX_KEY_BYTES + 1), "", None)]).contains("a key has"));
-    assert!(refused(vec![set("a\nb", "", None)]).contains("control"));
-    assert!(refused(vec![]).contains("parts"));
+    assert!(rejected(vec![set(&"k".repeat(MAX_KEY_BYTES + 1), "", None)]).contains("a key has"));
+    assert!(rejected(vec![set("a\nb", "", None)]).contains("control"));
+    assert!(rejected(vec![]).contains("parts"));
 }
 
 #[test]
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn sessions_are_bounded_and_an_unknown_one_is_not_guessed_at() {
+fn sessions_are_bounded_and_an_unknown_one_is_rejected() {
     let mut state_machine = StateMachine::default();
     for n in 1..=MAX_SESSIONS as u64 + 1 {
         apply(&mut state_machine, n, &command(n, 1, vec![set("k", "v", None)]));
