--- a/src/store/member/peers.rs
+++ b/src/store/member/peers.rs
@@ -4,7 +4,7 @@
 use crate::net::Token;
 use crate::store::wire::{encode_hello, Hello};
 use crate::store::Config;
-use dahliaspoke_raft::message::Members;
+use dahliaspoke_raft::entry::Members;
 use dahliaspoke_raft::Id;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/store/member/requests.rs
+++ b/src/store/member/requests.rs
@@ -4,7 +4,7 @@
 use super::Member;
 use crate::net::{Time, Token};
 use crate::store::wire::{encode_answer, encode_hello, Answer, CallError, Hello, Reply, Request};
-use dahliaspoke_raft::state_machine::{Command, StateMachine};
+use dahliaspoke_raft::state_machine::Command;
 
 impl Member {
     /// Handles all requests that were received, in order.
@@ -56,7 +56,7 @@
     }
 
     fn check_command(&self, command: &Command) -> Result<(), CallError> {
-        StateMachine::check(command).map_err(|reason| CallError::InvalidCommand(reason.to_string()))?;
+        command.validate()?;
         for op in &command.ops {
             let Some(text) = &op.value else { continue };
             (self.value_check)(&op.key, text)
--- a/src/store/replica/actions.rs
+++ b/src/store/replica/actions.rs
@@ -4,7 +4,7 @@
 use super::{Replica, ReplicaEvent, ReplicaFailure};
 use crate::failpoints;
 use crate::store::wire::{Answer, CallError, Reply};
-use dahliaspoke_raft::message::{Entry, EntryKind, Snapshot};
+use dahliaspoke_raft::entry::{Entry, EntryKind, Snapshot};
 use dahliaspoke_raft::raft::{Action, ProposeError};
 use dahliaspoke_raft::state_machine::{Outcome, StateMachine};
 
@@ -31,7 +31,7 @@
         let answer = match &entry.kind {
             EntryKind::Data(data) => self.apply_command(entry, data),
             EntryKind::Empty | EntryKind::Members(_) => {
-                self.state_machine.pass(entry.index);
+                self.state_machine.skip(entry.index);
                 Ok(Reply::Done)
             }
         };
@@ -48,8 +48,8 @@
         self.events.extend(changes.into_iter().flatten().cloned().map(ReplicaEvent::KeyChanged));
         match outcome {
             Outcome::Done(version) => Ok(Reply::Changed(version)),
-            Outcome::Other(key, version) => Err(CallError::VersionMismatch { key, version }),
-            Outcome::Refused(reason) => Err(CallError::Rejected(reason)),
+            Outcome::VersionMismatch { key, version } => Err(CallError::VersionMismatch { key, version }),
+            Outcome::Rejected(reason) => Err(CallError::Rejected(reason)),
         }
     }
 
@@ -89,7 +89,7 @@
         let error = match reason {
             ProposeError::NotLeader(_) => CallError::NotLeader(self.leader_description()),
             ProposeError::Busy => CallError::Busy,
-            ProposeError::NotNow(reason) => CallError::NotNow(reason),
+            ProposeError::Membership(reason) => CallError::Membership(reason),
             ProposeError::Lost => CallError::Lost,
             ProposeError::Unknown => CallError::LeadershipLost,
         };
--- a/src/store/replica/error.rs
+++ b/src/store/replica/error.rs
@@ -1,6 +1,7 @@
 //! Why a member cannot start, and why it takes no part any more.
 
-use dahliaspoke_raft::message::DecodeError;
+use dahliaspoke_raft::codec::DecodeError;
+use dahliaspoke_raft::disk;
 use std::io;
 use std::path::PathBuf;
 
@@ -24,12 +25,13 @@
         error: io::Error,
     },
     /// The log is damaged.
-    #[error("{}: {reason}", folder.display())]
+    #[error("{}: {error}", folder.display())]
     Log {
         /// The folder.
         folder: PathBuf,
         /// File and byte, and what is wrong there.
-        reason: String,
+        #[source]
+        error: disk::OpenError,
     },
     /// The snapshot cannot be read.
     #[error("{}: {error}", folder.display())]
--- a/src/store/replica/membership.rs
+++ b/src/store/replica/membership.rs
@@ -4,8 +4,8 @@
 use super::{random_id, Replica};
 use crate::net::{Time, Token};
 use crate::store::wire::{Answer, CallError, Hello, Reply};
-use dahliaspoke_raft::message::Member;
-use dahliaspoke_raft::raft::{Change, Event};
+use dahliaspoke_raft::entry::Member;
+use dahliaspoke_raft::raft::{Event, MembershipChange};
 use dahliaspoke_raft::Id;
 
 /// The proposal id of changes that no request waits for.
@@ -24,7 +24,7 @@
         }
         let cluster = random_id().map_err(CallError::NoRandomNumbers)?;
         let Hello { name, address, .. } = self.hello.clone();
-        self.handle(now, Event::Found { cluster, name, address });
+        self.handle(now, Event::Bootstrap { cluster, name, address });
         Ok(Reply::Done)
     }
 
@@ -40,10 +40,10 @@
                 self.learner_to_promote = Some(id);
                 return self.answer(connection, Ok(Reply::Done));
             }
-            Some(id) if id != hello.id => Change::Remove(id),
+            Some(id) if id != hello.id => MembershipChange::Remove(id),
             _ => {
                 self.learner_to_promote = Some(hello.id);
-                Change::Add(hello.id, hello.name, hello.address)
+                MembershipChange::AddLearner { id: hello.id, name: hello.name, address: hello.address }
             }
         };
         self.change_members(now, connection, change);
@@ -52,7 +52,7 @@
     /// Removes the member of a name.
     pub fn remove_member(&mut self, now: Time, connection: Token, name: &str) {
         match self.find_member(|member| member.name == name) {
-            Some(id) => self.change_members(now, connection, Change::Remove(id)),
+            Some(id) => self.change_members(now, connection, MembershipChange::Remove(id)),
             None => self.answer(connection, Err(CallError::NoSuchMember)),
         }
     }
@@ -75,16 +75,16 @@
         let Some(id) = self.learner_to_promote.filter(|_| self.raft.leads()) else { return };
         match self.raft.members().get(&id) {
             Some(member) if !member.votes => {
-                let change = Change::Promote(id);
-                self.handle(now, Event::Change { proposal_id: NO_REQUEST, change });
+                let change = MembershipChange::Promote(id);
+                self.handle(now, Event::ChangeMembership { proposal_id: NO_REQUEST, change });
             }
             _ => self.learner_to_promote = None,
         }
     }
 
-    fn change_members(&mut self, now: Time, connection: Token, change: Change) {
+    fn change_members(&mut self, now: Time, connection: Token, change: MembershipChange) {
         let proposal_id = self.pending.add(connection, PendingKind::Membership);
-        self.handle(now, Event::Change { proposal_id, change });
+        self.handle(now, Event::ChangeMembership { proposal_id, change });
     }
 
     fn find_member(&self, matches: impl Fn(&Member) -> bool) -> Option<Id> {
--- a/src/store/replica/mod.rs
+++ b/src/store/replica/mod.rs
@@ -81,11 +81,11 @@
         let disk = Folder::open(folder).map_err(unusable)?;
         let id = random_id()?;
         let log = DiskLog::open(Box::new(disk), || id)
-            .map_err(|e| OpenError::Log { folder: folder.into(), reason: e.to_string() })?;
-        let saved = log.saved().clone();
+            .map_err(|e| OpenError::Log { folder: folder.into(), error: e })?;
+        let saved = log.state().clone();
         let state_machine = StateMachine::restore(&saved.snapshot.data)
             .map_err(|error| OpenError::Snapshot { folder: folder.into(), error })?;
-        let hello = Hello { id: saved.hard.id, name: name.into(), address };
+        let hello = Hello { id: saved.hard_state.id, name: name.into(), address };
         let writer = LogWriter::start(log, failpoints::reach).map_err(unusable)?;
         Ok(Self {
             raft: Raft::new(Options::new(random_id()?), saved, micros(now)),
@@ -108,18 +108,18 @@
 
     /// The descriptor that is readable once the log's writer has results; see [`Self::on_written`].
     pub fn writer_waker(&self) -> BorrowedFd<'_> {
-        self.writer.bell()
+        self.writer.waker()
     }
 
     /// When [`Self::on_timer`] is due.
     pub fn next_deadline(&self) -> Option<Time> {
-        let next = self.raft.next();
+        let next = self.raft.next_deadline();
         (next < Micros::MAX && self.failure.is_none()).then_some(next as f64 / 1e6)
     }
 
     /// How long ago a quorum, or the leader, was heard from (ms).
     pub fn age_ms(&self, now: Time) -> u64 {
-        self.raft.silence(micros(now)) / 1000
+        self.raft.time_since_contact(micros(now)) / 1000
     }
 
     /// Name and address of the leader, or that none is known.
@@ -133,7 +133,7 @@
 
     /// Time has passed.
     pub fn on_timer(&mut self, now: Time) {
-        if self.raft.next() <= micros(now) {
+        if self.raft.next_deadline() <= micros(now) {
             self.handle(now, Event::Tick);
         }
         self.promote_learner(now);
@@ -147,10 +147,10 @@
 
     /// The log's writer has results.
     pub fn on_written(&mut self, now: Time) {
-        self.writer.heard();
-        while let Some(result) = self.writer.take() {
+        self.writer.reset_waker();
+        while let Some(result) = self.writer.next_result() {
             match result {
-                WriteResult::Up(number) => self.handle(now, Event::Persisted(number)),
+                WriteResult::Persisted(number) => self.handle(now, Event::Persisted(number)),
                 WriteResult::Failed(error) => {
                     tracing::error!(
                         at = now,
--- a/src/store/wire/answer.rs
+++ b/src/store/wire/answer.rs
@@ -2,7 +2,8 @@
 
 use super::DecodeError;
 use crate::store::replica::NoRandomNumbers;
-use dahliaspoke_raft::state_machine::{Value, MAX_VALUE_BYTES};
+use dahliaspoke_raft::raft::MembershipError;
+use dahliaspoke_raft::state_machine::{CommandError, Value, MAX_VALUE_BYTES};
 use dahliaspoke_raft::Index;
 use std::sync::Arc;
 
@@ -32,8 +33,8 @@
     #[error("{0}")]
     Decode(DecodeError),
     /// The command can never be proposed, for this reason.
-    #[error("{0}")]
-    InvalidCommand(String),
+    #[error(transparent)]
+    InvalidCommand(#[from] CommandError),
     /// A key may not hold that value.
     #[error("{key}: {reason}")]
     InvalidValue {
@@ -73,8 +74,8 @@
     #[error("too much is under way; nothing was done")]
     Busy,
     /// The members cannot be changed so, or not now.
-    #[error("{0}")]
-    NotNow(&'static str),
+    #[error(transparent)]
+    Membership(#[from] MembershipError),
     /// The entry was overwritten.
     #[error("it was not done and will not be")]
     Lost,
@@ -110,7 +111,7 @@
             | CallError::AlreadyFounded
             | CallError::NoRandomNumbers(_)
             | CallError::DiskFailed
-            | CallError::NotNow(_)
+            | CallError::Membership(_)
             | CallError::Rejected(_) => "REFUSED",
             CallError::NotLeader(_) => "LEADER",
             CallError::Busy => "BUSY",
--- a/src/store/wire/decode.rs
+++ b/src/store/wire/decode.rs
@@ -2,7 +2,7 @@
 
 use super::{Hello, Request, WatchEvent, WatchProgress};
 use crate::net::Time;
-use dahliaspoke_raft::message::{self, open, VERSION};
+use dahliaspoke_raft::codec::{self, VERSION};
 use dahliaspoke_raft::state_machine::{Command, KeyChange, Op};
 use dahliaspoke_raft::Index;
 use std::str::{from_utf8, Utf8Error};
@@ -22,7 +22,7 @@
     Version(String),
     /// The message of the consensus protocol cannot be read.
     #[error("{0}")]
-    Message(message::DecodeError),
+    Message(codec::DecodeError),
     /// The command, or its count of arguments, is unknown.
     #[error("no such command, or not so many words")]
     UnknownCommand,
@@ -55,7 +55,9 @@
 /// Where it is none.
 pub fn decode_request(values: &[&[u8]]) -> Result<Request, DecodeError> {
     if let [b"RAFT", bytes] = values {
-        return open(bytes).map(|message| Request::Raft(Box::new(message))).map_err(DecodeError::Message);
+        return codec::decode(bytes)
+            .map(|message| Request::Raft(Box::new(message)))
+            .map_err(DecodeError::Message);
     }
     let texts = texts(values)?;
     // `SESSION id serial` may follow any command.
--- a/src/store/wire/encode.rs
+++ b/src/store/wire/encode.rs
@@ -2,7 +2,8 @@
 
 use super::{Answer, CallError, Hello, Reply};
 use crate::net::resp::{array, bulk};
-use dahliaspoke_raft::message::{seal, Message, VERSION};
+use dahliaspoke_raft::codec::{self, VERSION};
+use dahliaspoke_raft::message::Message;
 use dahliaspoke_raft::state_machine::KeyChange;
 use dahliaspoke_raft::Index;
 
@@ -46,7 +47,7 @@
 /// A message of the consensus protocol.
 #[must_use]
 pub fn encode_message(message: &Message) -> Vec<u8> {
-    array(&[b"RAFT", &seal(message)])
+    array(&[b"RAFT", &codec::encode(message)])
 }
 
 /// The request for all changes after a version.
