--- a/crates/simulator/src/subsets.rs
+++ b/crates/simulator/src/subsets.rs
@@ -1,7 +1,7 @@
 //! Ways to say which engines each gateway keeps to, weighed: how evenly, how many pairs move, what it costs. The one in use
 //! is `dahliaspoke::policy::subsetting`; the others stand here to be compared with it.
 
-use dahliaspoke::policy::subsetting::{places, Seat};
+use dahliaspoke::policy::subsetting::{subset_positions, RingEngine};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_core::SeedableRng;
@@ -58,8 +58,8 @@
         order.into_iter().take(keep).map(|at| (at, 1.0)).collect::<Vec<_>>()
     };
     let ring = || {
-        let seats: Vec<Seat> = ids.iter().map(|id| Seat { id, zone: "", cores: 8.0 }).collect();
-        places(&seats, "", gateway as f64, gateways as f64)
+        let seats: Vec<RingEngine> = ids.iter().map(|id| RingEngine { id, zone: "", cores: 8.0 }).collect();
+        subset_positions(&seats, "", gateway as f64, gateways as f64)
     };
     match way {
         Way::Draws => best(ids.iter().map(|id| draw(gateway, id)).collect()),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,20 +4,22 @@
 //! query goes where a weighted draw puts it and the bound has room, and a PI loop moves the bound each
 //! second toward a set-point of the mean delay-to-deadline ratio (DDR). The rest are documented exceptions.
 
+mod action;
 mod estimators;
-mod interface;
+mod event;
+mod settings;
 pub mod subsetting;
 
-pub use interface::*;
+pub use action::*;
+pub use event::*;
+pub use settings::*;
 
-use estimators::{uniform, Mean, Quantile};
+use estimators::{uniform, RunningMean, RunningQuantile};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use subsetting::{places, Seat};
-
-// ---- Tuned constants: value, unit, reason ----
+use subsetting::{subset_positions, RingEngine};
 
 const SET_POINT: f64 = 0.9; // mean DDR (ratio), as in the paper
 const PERIOD: f64 = 1.0; // of the loop (s), as in the paper
@@ -80,8 +82,6 @@
 const TICK_TOKEN: u64 = 0; // timer of the tick; requests use their own number
 const LIST_TOKEN: u64 = u64::MAX >> 1; // timer of the next call to the list
 
-// ---- State ----
-
 #[derive(Clone, Copy, PartialEq)]
 enum Fate {
     Out,
@@ -122,13 +122,13 @@
 
 #[derive(Default)]
 struct Class {
-    unit: Quantile,  // natural log of work over estimate
-    grant: Quantile, // natural log of the memory granted over the estimate
-    told: Mean,      // estimate as told (ms)
-    cost: Mean,      // estimated cost (ms of work)
-    work: Mean,      // work that answers told (ms)
-    demand: f64,     // cost asked for lately (ms/s)
-    slowness: Mean,  // delay over the unhindered one, over all engines
+    unit: RunningQuantile,  // natural log of work over estimate
+    grant: RunningQuantile, // natural log of the memory granted over the estimate
+    told: RunningMean,      // estimate as told (ms)
+    cost: RunningMean,      // estimated cost (ms of work)
+    work: RunningMean,      // work that answers told (ms)
+    demand: f64,            // cost asked for lately (ms/s)
+    slowness: RunningMean,  // delay over the unhindered one, over all engines
 }
 
 impl Class {
@@ -226,9 +226,9 @@
     held: BTreeSet<u64>,
     engines: BTreeMap<EngineId, Engine>,
     classes: Vec<Class>,
-    cost: Mean,    // of all queries
-    hold: f64,     // work that a busy thread holds (ms): the mean cost of a thread, weighed by cost
-    bound_by: f64, // the same as bounds were last set by
+    cost: RunningMean, // of all queries
+    hold: f64,         // work that a busy thread holds (ms): the mean cost of a thread, weighed by cost
+    bound_by: f64,     // the same as bounds were last set by
     slack: Vec<f64>,
     taken: Vec<f64>,
     again: Vec<(f64, u64, u32)>,
@@ -237,7 +237,7 @@
     done: f64,  // cost served lately (ms/s)
     share: f64, // its part of traffic over an equal one, at least 1
     turned_away: bool,
-    util: Mean, // part of cores that answers told to be busy lately
+    util: RunningMean, // part of cores that answers told to be busy lately
     next_loop: Option<f64>,
 }
 
@@ -260,7 +260,7 @@
             held: BTreeSet::new(),
             engines: BTreeMap::new(),
             classes: settings.classes.iter().map(|_| Class::default()).collect(),
-            cost: Mean::default(),
+            cost: RunningMean::default(),
             hold: HOLD_BLIND,
             bound_by: HOLD_BLIND,
             slack: settings.classes.iter().map(slack).collect(),
@@ -271,7 +271,7 @@
             done: 0.0,
             share: 1.0,
             turned_away: false,
-            util: Mean::default(),
+            util: RunningMean::default(),
             next_loop: None,
             settings,
         }
@@ -339,8 +339,6 @@
         }
     }
 
-    // ---- Following the list ----
-
     fn on_list(&mut self, now: f64, scope: ListScope, entries: Vec<EngineEntry>) {
         self.engines.values_mut().for_each(|engine| engine.listed &= scope == ListScope::Changes);
         for entry in entries {
@@ -380,11 +378,12 @@
         }
         self.forget_engines();
         // All gateways reckon alike, so that each engine is kept to by equally many.
-        let seats: Vec<Seat> = (self.engines.values())
+        let seats: Vec<RingEngine> = (self.engines.values())
             .map(|e| (&e.entry, if e.listed { e.cores } else { 0.0 }))
-            .map(|(entry, cores)| Seat { id: &entry.id, zone: &entry.zone, cores })
+            .map(|(entry, cores)| RingEngine { id: &entry.id, zone: &entry.zone, cores })
             .collect();
-        let places = places(&seats, &self.settings.zone, self.settings.index, self.settings.gateways);
+        let places =
+            subset_positions(&seats, &self.settings.zone, self.settings.index, self.settings.gateways);
         self.engines.values_mut().zip(places).for_each(|(engine, place)| engine.place = place);
     }
 
@@ -393,8 +392,6 @@
         self.engines.retain(|_, e| e.listed && e.entry.lifecycle != Lifecycle::Gone || !e.flights.is_empty());
     }
 
-    // ---- Taking and dispatching ----
-
     fn on_query(&mut self, now: f64, query: Query, out: &mut Out) {
         let number = self.next_number;
         self.next_number += 1;
@@ -781,8 +778,6 @@
         self.held.clone().into_iter().for_each(|number| self.dispatch(now, number, out));
     }
 
-    // ---- Outcomes ----
-
     fn on_ended(&mut self, now: f64, mut ended: AttemptEnd, out: &mut Out) {
         let Some(&number) = self.numbers.get(&ended.id) else { return };
         let Some(request) = self.requests.get_mut(&number) else { return };
@@ -912,8 +907,6 @@
         grant.add(short, if cheap && need.is_some() { 0.5 } else { GRANT_QUANTILE });
     }
 
-    // ---- Health ----
-
     /// Takes an outcome into the engine's backlog, loop and health.
     fn judge(&mut self, now: f64, number: u64, ended: &AttemptEnd, delay: f64) {
         let request = &self.requests[&number];
--- a/tests/rings.rs
+++ b/tests/rings.rs
@@ -1,21 +1,21 @@
 //! Subsets that every gateway reckons for itself add up.
 
-use dahliaspoke::policy::subsetting::{places, Seat};
+use dahliaspoke::policy::subsetting::{subset_positions, RingEngine};
 
 /// Engines of that many zones, in turn.
 fn ids(count: usize, from: usize) -> Vec<String> {
     (from..from + count).map(|n| format!("node-{n}")).collect()
 }
 
-fn seats(ids: &[String], zones: usize) -> Vec<Seat<'_>> {
+fn seats(ids: &[String], zones: usize) -> Vec<RingEngine<'_>> {
     const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
     let zone = |n: usize| ZONES[n % zones];
-    ids.iter().enumerate().map(|(n, id)| Seat { id, zone: zone(n), cores: 8.0 }).collect()
+    ids.iter().enumerate().map(|(n, id)| RingEngine { id, zone: zone(n), cores: 8.0 }).collect()
 }
 
 /// The engines that a gateway of that zone keeps to.
-fn kept(seats: &[Seat], zone: &str, number: usize, gateways: usize, keep: usize) -> Vec<usize> {
-    let places = places(seats, zone, number as f64, gateways as f64);
+fn kept(seats: &[RingEngine], zone: &str, number: usize, gateways: usize, keep: usize) -> Vec<usize> {
+    let places = subset_positions(seats, zone, number as f64, gateways as f64);
     let mut order: Vec<usize> = (0..seats.len()).collect();
     order.sort_by(|a, b| places[*a].total_cmp(&places[*b]));
     order.truncate(keep);
@@ -23,7 +23,7 @@
 }
 
 /// How many gateways keep to each engine.
-fn keepers(seats: &[Seat], gateways: usize, keep: usize) -> Vec<usize> {
+fn keepers(seats: &[RingEngine], gateways: usize, keep: usize) -> Vec<usize> {
     let mut keepers = vec![0; seats.len()];
     for number in 0..gateways {
         kept(seats, "hall-a", number, gateways, keep).into_iter().for_each(|at| keepers[at] += 1);
@@ -115,8 +115,8 @@
     let ids = ids(8, 0);
     let told = seats(&ids, 2);
     for (number, gateways) in [(7.0, 3.0), (-1.0, 3.0), (0.0, 0.0), (1e9, 1.0)] {
-        let places = places(&told, "hall-a", number, gateways);
+        let places = subset_positions(&told, "hall-a", number, gateways);
         assert!(places.iter().all(|place| *place > 0.0 && *place <= 2.0), "{places:?}");
     }
-    assert!(places(&[], "hall-a", 0.0, 3.0).is_empty());
+    assert!(subset_positions(&[], "hall-a", 0.0, 3.0).is_empty());
 }
