--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -285,7 +285,7 @@
 
     /// Whether the decisions leave an engine out for now.
     pub fn avoids(&self, engine: &EngineId) -> bool {
-        self.gateway.engine(engine).is_some_and(|(_, _, ejected)| ejected)
+        self.gateway.engine(engine).is_some_and(|status| status.ejected)
     }
 
     /// Requests that are owed an answer.
--- a/src/core/trace.rs
+++ b/src/core/trace.rs
@@ -4,7 +4,7 @@
 use super::AttemptReport;
 use crate::config::optional;
 use crate::net::Time;
-use dahliaspoke::policy::{EngineId, Outcome, Progress, RequestId};
+use dahliaspoke::policy::{EngineId, EngineStatus, Outcome, Progress, RequestId};
 use dahliaspoke::settings::Res;
 use serde::Deserialize;
 use std::fmt;
@@ -59,13 +59,15 @@
     }
 
     /// Once a second: bounds and work in hand over all engines (ms), and how many are left out as bad.
-    pub fn pool(self, now: Time, engines: impl Iterator<Item = (f64, f64, bool)>) {
+    pub fn pool(self, now: Time, engines: impl Iterator<Item = EngineStatus>) {
         if self.requests {
-            let add = |(bounds, held, out): (f64, f64, u32), (bound, backlog, ejected): (f64, f64, bool)| {
-                (bounds + bound, held + backlog, out + u32::from(ejected))
-            };
-            let (bounds, held, out) = engines.fold((0.0, 0.0, 0), add);
-            self.line(now, format_args!("pool {bounds:.0} {held:.0} {out}"));
+            let (mut bounds, mut backlogs, mut ejected) = (0.0, 0.0, 0);
+            for engine in engines {
+                bounds += engine.bound;
+                backlogs += engine.backlog;
+                ejected += u32::from(engine.ejected);
+            }
+            self.line(now, format_args!("pool {bounds:.0} {backlogs:.0} {ejected}"));
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -54,7 +54,7 @@
 //!     id: "q1".into(), attempt: 0, outcome: Outcome::Ok, finished: true, work: None, memory: None, report: None,
 //! };
 //! policy.handle(0.25, Event::AttemptEnded(end), &mut actions);
-//! assert_eq!(policy.known().0, 0);
+//! assert_eq!(policy.known().requests, 0);
 //! ```
 //!
 //! What an embedder owes the module:
--- /dev/null
+++ b/src/policy/engine_state.rs
@@ -0,0 +1,251 @@
+//! State of engines: what discovery reports, work in flight, load, and what the decisions keep of each.
+
+use super::outlier::EngineHealth;
+use super::pi_controller::{starting_bound, PiController};
+use super::request_state::{EngineLocation, RequestNumber};
+use super::slow_start::{warm_up_factor, WarmUpState};
+use super::subsetting::{subset_positions, RingEngine};
+use super::{EngineEntry, EngineId, Lifecycle, ListScope, LoadReport, Settings};
+use std::collections::BTreeMap;
+
+/// An attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    /// The request.
+    pub request: RequestNumber,
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+}
+
+/// An attempt in flight, as its engine's load.
+pub struct InFlightAttempt {
+    /// When it was sent (seconds).
+    pub sent_at: f64,
+    /// Expected delay (seconds).
+    pub expected_delay: f64,
+    /// Estimated cost (ms of work).
+    pub cost: f64,
+    /// Estimated memory (MB).
+    pub memory: f64,
+    /// Group of tables that it reads or writes.
+    pub tables: i64,
+    /// Whether it is a load, which locks its tables.
+    pub is_load: bool,
+}
+
+/// Work of an attempt that was given up and that still runs.
+pub struct AbandonedWork {
+    /// Until when it counts in the backlog (seconds).
+    pub until: f64,
+    /// Estimated cost (ms of work).
+    pub cost: f64,
+}
+
+/// One engine.
+#[derive(Default)]
+pub struct Engine {
+    /// What discovery reported.
+    pub entry: EngineEntry,
+    /// Whether the present endpoint set has it.
+    pub listed: bool,
+    /// Cores, at least 1.
+    pub cores: f64,
+    /// Memory (MB); infinite where it is not known.
+    pub memory: f64,
+    /// Position in this coordinator's order of preference; above 1 in other zones.
+    pub subset_position: f64,
+    /// When an attempt was last sent to it (seconds).
+    pub last_used_at: f64,
+    /// Warm-up after a start.
+    pub warm_up: WarmUpState,
+    /// The bound on its backlog, and what moves it.
+    pub controller: PiController,
+    /// Attempts in flight.
+    pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
+    /// Work of attempts that were given up and that still runs.
+    pub abandoned: Vec<AbandonedWork>,
+    /// Its load as it last reported it.
+    pub load: LoadReport,
+    /// How many attempts were sent since the last outcome.
+    pub sent_since_report: f64,
+    /// Tables that a load of another coordinator locks, and until when that is believed (seconds).
+    pub locked_tables: BTreeMap<i64, f64>,
+    /// Its health.
+    pub health: EngineHealth,
+}
+
+impl Engine {
+    /// An engine that has just become known, with a bound of `bound` (ms).
+    fn new(settings: &Settings, entry: &EngineEntry, now: f64, work_per_thread: f64) -> Self {
+        let kind = settings.kinds.iter().find(|kind| *kind.name == *entry.kind);
+        let cores = kind.map_or(1.0, |kind| kind.cores.max(1.0));
+        Self {
+            cores,
+            memory: kind.map(|kind| kind.memory).filter(|mb| *mb > 0.0).unwrap_or(f64::INFINITY),
+            last_used_at: f64::NEG_INFINITY,
+            controller: PiController::new(starting_bound(settings, cores, work_per_thread), 1.0),
+            health: EngineHealth::new(now),
+            ..Self::default()
+        }
+    }
+
+    /// Starts anew for a new process of the engine, of this age (seconds): it warms up, and nothing of the
+    /// old process counts but attempts in flight.
+    fn restart(&mut self, fresh: Self, settings: &Settings, age: f64) {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let factor = warm_up_factor(settings, age);
+        let controller = PiController::new(fresh.controller.bound * factor, factor);
+        *self = Self { in_flight, controller, ..fresh };
+    }
+
+    /// Whether it takes requests, as far as discovery knows.
+    pub fn is_ready(&self) -> bool {
+        self.listed && self.entry.lifecycle == Lifecycle::Ready
+    }
+
+    /// Whether the present endpoint set has it, draining or not.
+    pub fn is_present(&self) -> bool {
+        self.listed && self.entry.lifecycle != Lifecycle::Gone
+    }
+
+    /// Whether it takes requests and is not ejected.
+    pub fn is_available(&self) -> bool {
+        self.is_ready() && !self.health.ejected
+    }
+
+    /// Its zone and cell.
+    pub fn location(&self) -> EngineLocation {
+        EngineLocation { zone: self.entry.zone.clone(), cell: self.entry.cell }
+    }
+
+    /// How many times slower than its peers it seems (ratio, at least 1).
+    pub fn outlier_score(&self, now: f64) -> f64 {
+        self.health.outlier_score(now, self.in_flight.values())
+    }
+
+    /// Whether a load that may still run was reported to lock these tables.
+    pub fn has_locked(&self, now: f64, tables: i64) -> bool {
+        self.locked_tables.get(&tables).is_some_and(|until| now < *until)
+    }
+
+    /// Memory that attempts in flight are estimated to need (MB).
+    pub fn memory_in_flight(&self) -> f64 {
+        self.in_flight.values().map(|attempt| attempt.memory).sum()
+    }
+
+    /// Unfinished work of this coordinator there (ms): attempts in flight and abandoned work.
+    pub fn backlog(&self) -> f64 {
+        let in_flight = self.in_flight.values().map(|attempt| attempt.cost).sum::<f64>();
+        in_flight + self.abandoned.iter().map(|work| work.cost).sum::<f64>()
+    }
+
+    /// Forgets what no longer counts; `window` is that of slow start (seconds).
+    pub fn expire(&mut self, now: f64, window: f64) {
+        self.abandoned.retain(|work| work.until > now);
+        self.locked_tables.retain(|_, until| *until > now);
+        self.warm_up.forget_sends_before(now - window - 1.0);
+    }
+}
+
+/// An endpoint set, or changes to it.
+pub struct EndpointUpdate {
+    /// When it arrived (seconds).
+    pub now: f64,
+    /// What the entries stand for.
+    pub scope: ListScope,
+    /// The entries.
+    pub entries: Vec<EngineEntry>,
+}
+
+/// All engines that are known, and those that left with attempts in flight.
+#[derive(Default)]
+pub struct EngineTable {
+    engines: BTreeMap<EngineId, Engine>,
+}
+
+impl EngineTable {
+    /// How many there are.
+    pub fn len(&self) -> usize {
+        self.engines.len()
+    }
+
+    /// The engine with this identity.
+    pub fn get(&self, id: &str) -> Option<&Engine> {
+        self.engines.get(id)
+    }
+
+    /// The engine with this identity, to change it.
+    pub fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
+        self.engines.get_mut(id)
+    }
+
+    /// All engines, in the order of their ids.
+    pub fn iter(&self) -> impl Iterator<Item = &Engine> {
+        self.engines.values()
+    }
+
+    /// All engines in the order of their ids, to change them.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Engine> {
+        self.engines.values_mut()
+    }
+
+    /// Engines that take requests, as far as discovery knows.
+    pub fn ready(&self) -> impl Iterator<Item = &Engine> {
+        self.iter().filter(|engine| engine.is_ready())
+    }
+
+    /// Engines that take requests and are not ejected.
+    pub fn available(&self) -> impl Iterator<Item = &Engine> {
+        self.iter().filter(|engine| engine.is_available())
+    }
+
+    /// Unfinished work of this coordinator on all engines (ms).
+    pub fn backlog(&self) -> f64 {
+        self.iter().map(Engine::backlog).sum()
+    }
+
+    /// Takes an endpoint set, or changes to it. `work_per_thread` (ms) sets the bounds of new engines.
+    pub fn apply(&mut self, update: EndpointUpdate, settings: &Settings, work_per_thread: f64) {
+        let EndpointUpdate { now, scope, entries } = update;
+        for engine in self.iter_mut() {
+            engine.listed &= scope == ListScope::Changes;
+        }
+        for entry in entries {
+            let fresh = || Engine::new(settings, &entry, now, work_per_thread);
+            let engine = self.engines.entry(entry.id.clone()).or_insert_with(fresh);
+            let started_at = entry.started.unwrap_or(f64::NEG_INFINITY);
+            let age = now - started_at;
+            if started_at > engine.warm_up.started_at && age < settings.warmup_time {
+                engine.restart(fresh(), settings, age);
+                if scope == ListScope::Restored {
+                    engine.warm_up.budget_spent_until = now + settings.overload_window;
+                }
+            }
+            engine.warm_up.started_at = engine.warm_up.started_at.max(started_at);
+            engine.listed = true;
+            engine.entry = entry;
+        }
+        self.forget_departed();
+        self.set_subset_positions(settings);
+    }
+
+    /// Forgets engines that have left once their attempts are over.
+    pub fn forget_departed(&mut self) {
+        self.engines.retain(|_, engine| engine.is_present() || !engine.in_flight.is_empty());
+    }
+
+    fn set_subset_positions(&mut self, settings: &Settings) {
+        let ring: Vec<RingEngine> = self
+            .iter()
+            .map(|engine| RingEngine {
+                id: &engine.entry.id,
+                zone: &engine.entry.zone,
+                cores: if engine.listed { engine.cores } else { 0.0 },
+            })
+            .collect();
+        let positions = subset_positions(&ring, &settings.zone, settings.index, settings.gateways);
+        for (engine, position) in self.iter_mut().zip(positions) {
+            engine.subset_position = position;
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/load_balancing.rs
@@ -0,0 +1,204 @@
+//! Load balancing: a weighted random order of the engines that a request may go to; the first with capacity
+//! gets it.
+
+use super::admission::{Admission, AdmissionInput, LOW_PRIORITY_CAPACITY};
+use super::control_loop::ControlLoop;
+use super::cost_model::{latency_objective, service_time, CostModel};
+use super::engine_state::{Engine, EngineTable, InFlightAttempt};
+use super::estimators::uniform;
+use super::request_state::Request;
+use super::retry::RetryBudgetTracker;
+use super::send_guard::{is_placement_allowed, SendGuard};
+use super::slow_start::SlowStart;
+use super::{ClassSettings, EngineId, Settings};
+use rand_pcg::Pcg64Mcg;
+
+/// Weight of an engine where a load seems to lock the request's tables (factor).
+const LOCKED_TABLES_WEIGHT: f64 = 0.05;
+/// Expected delays after which a request that reads the same tables seems to stall.
+const STALL_DELAYS: f64 = 1.5;
+/// How much the cost of a new connection counts in the weight (exponent).
+const HANDSHAKE_EXPONENT: f64 = 50.0;
+/// The same of an attempt in another zone; less, as zones are loaded unequally.
+const CROSS_ZONE_EXPONENT: f64 = 25.0;
+/// How long an unused connection stays open (seconds).
+const CONNECTION_IDLE_S: f64 = 10.0;
+/// Urgency of a warming engine (ratio) from which on costs of connections do not count.
+const MAX_PRICED_URGENCY: f64 = 3.0;
+/// Engines in a coordinator's subset, at least.
+const MIN_SUBSET_ENGINES: f64 = 10.0;
+/// Coordinators that have an engine in their subset, at least.
+const MIN_SUBSET_COORDINATORS: f64 = 20.0;
+
+/// What the choice of an engine goes by.
+pub struct LoadBalancer<'a> {
+    /// The request.
+    pub request: &'a Request,
+    /// Its class.
+    pub class: &'a ClassSettings,
+    /// Settings of the coordinator.
+    pub settings: &'a Settings,
+    /// All engines.
+    pub engines: &'a EngineTable,
+    /// What queries cost.
+    pub costs: &'a CostModel,
+    /// Retries of the budget's window.
+    pub retry_budget: &'a RetryBudgetTracker,
+    /// What is known of all engines together.
+    pub control: &'a ControlLoop,
+    /// Part of cores in use lately (0 to 1).
+    pub utilization: f64,
+    /// The present time (seconds).
+    pub now: f64,
+}
+
+/// Engines that a request may go to.
+struct Candidates<'a> {
+    engines: Vec<&'a Engine>,
+    /// Whether ejected engines are among them.
+    with_ejected: bool,
+}
+
+/// An engine with its place in the random order.
+struct DrawnEngine<'a> {
+    key: f64,
+    engine: &'a Engine,
+}
+
+impl<'a> LoadBalancer<'a> {
+    /// Draws an order of engines and returns the first with capacity.
+    pub fn pick(&self, rng: &mut Pcg64Mcg) -> Option<EngineId> {
+        let Candidates { engines, with_ejected } = self.candidates();
+        let order = self.draw_order(engines, rng);
+        let admission = self.admission(with_ejected, uniform(rng));
+        let fitting = order.into_iter().map(|drawn| drawn.engine).find(|engine| admission.fits(engine));
+        fitting.map(|engine| engine.entry.id.clone())
+    }
+
+    fn slow_start(&self) -> SlowStart<'a> {
+        SlowStart { settings: self.settings, costs: self.costs, now: self.now }
+    }
+
+    /// Engines that the rules allow: those without an attempt of this request and not ejected come before
+    /// others.
+    fn candidates(&self) -> Candidates<'a> {
+        let guard = SendGuard {
+            request: self.request,
+            class: self.class,
+            settings: self.settings,
+            slow_start: self.slow_start(),
+        };
+        let mut engines = guard.allowed_engines(self.engines, self.retry_budget);
+        let untried = |engine: &Engine| !self.request.tried(&engine.entry.id);
+        if engines.iter().any(|engine| untried(engine) && !engine.health.ejected) {
+            engines.retain(|engine| untried(engine));
+        }
+        let with_ejected = self.is_most_ejected() || engines.iter().all(|engine| engine.health.ejected);
+        engines.retain(|engine| with_ejected || !engine.health.ejected);
+        Candidates { engines, with_ejected }
+    }
+
+    /// Whether most ready engines are ejected together: the cause is shared, and the bounds alone decide, or
+    /// nothing would be served. That hurts if most engines really are dead, for as long as it lasts.
+    fn is_most_ejected(&self) -> bool {
+        2 * self.engines.available().count() < self.engines.ready().count()
+    }
+
+    /// The engines in random order, by weights: exponential keys over weights, least first.
+    fn draw_order(&self, engines: Vec<&'a Engine>, rng: &mut Pcg64Mcg) -> Vec<DrawnEngine<'a>> {
+        let subset_end = self.subset_end();
+        let draw = |engine: &'a Engine| {
+            let weight = self.weight(engine, subset_end);
+            DrawnEngine { key: -(1.0 - uniform(rng)).ln() / weight, engine }
+        };
+        let mut order: Vec<DrawnEngine> = engines.into_iter().map(draw).collect();
+        order.sort_by(|a, b| a.key.total_cmp(&b.key));
+        order
+    }
+
+    /// Weight of an engine in the draw.
+    fn weight(&self, engine: &Engine, subset_end: f64) -> f64 {
+        let mut weight = load_weight(engine);
+        weight /= engine.outlier_score(self.now).powi(2);
+        weight *= self.connection_weight(engine, subset_end);
+        if self.seems_locked(engine) {
+            weight *= LOCKED_TABLES_WEIGHT;
+        }
+        weight
+    }
+
+    /// Weight by the costs of new connections and other zones. Coordinators with a rotation slot at a warming
+    /// engine send it what it bears for all, from wherever they are.
+    fn connection_weight(&self, engine: &Engine, subset_end: f64) -> f64 {
+        let limit = self.slow_start().limit(engine, self.request.query.class);
+        let slots = limit.map_or(f64::INFINITY, |limit| limit.slots);
+        let urgency = (self.settings.gateways / slots * self.settings.initial_capacity_share).max(1.0);
+        if urgency > MAX_PRICED_URGENCY {
+            return urgency;
+        }
+        let idle = self.now - engine.last_used_at > CONNECTION_IDLE_S;
+        let new_connection = f64::from(engine.subset_position > subset_end && idle);
+        let other_zone = f64::from(engine.subset_position > 1.0);
+        let price = HANDSHAKE_EXPONENT * self.settings.handshake_cost * new_connection
+            + CROSS_ZONE_EXPONENT * self.settings.cross_zone_cost * other_zone;
+        urgency * (-price).exp()
+    }
+
+    /// Whether a load seems to lock the request's tables there. The load of another coordinator shows only in
+    /// requests for the same tables that stall.
+    fn seems_locked(&self, engine: &Engine) -> bool {
+        let tables = self.request.query.tables;
+        let stalls = |attempt: &InFlightAttempt| {
+            attempt.is_load || self.now - attempt.sent_at > STALL_DELAYS * attempt.expected_delay
+        };
+        engine.has_locked(self.now, tables)
+            || engine.in_flight.values().any(|attempt| attempt.tables == tables && stalls(attempt))
+    }
+
+    /// Last position in the order of preference that is in this coordinator's subset. Small subsets spare
+    /// handshakes and hear of each engine often; enough coordinators for each engine even its load out.
+    fn subset_end(&self) -> f64 {
+        let mut positions: Vec<f64> = self.engines.available().map(|engine| engine.subset_position).collect();
+        positions.sort_by(f64::total_cmp);
+        let shared = MIN_SUBSET_COORDINATORS * positions.len() as f64 / self.settings.gateways;
+        let count = shared.max(MIN_SUBSET_ENGINES) * self.control.traffic_share();
+        positions.get(count as usize).copied().unwrap_or(f64::INFINITY)
+    }
+
+    /// Admission of the request, with the engines that its class may use now as the pool.
+    fn admission(&self, with_ejected: bool, draw: f64) -> Admission<'a> {
+        let class = self.request.query.class;
+        let slow_start = self.slow_start();
+        let in_pool = |engine: &&Engine| {
+            is_placement_allowed(self.class, &engine.entry)
+                && (with_ejected || !engine.health.ejected)
+                && slow_start.has_capacity(engine, class)
+        };
+        let pool: Vec<&Engine> = self.engines.ready().filter(in_pool).collect();
+        let input = AdmissionInput {
+            request: self.request,
+            capacity_share: self.capacity_share(),
+            work_per_thread: self.costs.work_per_thread(),
+            utilization: self.utilization,
+            draw,
+        };
+        Admission::new(input, slow_start, &pool, self.engines)
+    }
+
+    /// Share of each bound that is open to the request. Past its latency objective a request earns little: in
+    /// an overload it would only delay those still in time.
+    fn capacity_share(&self) -> f64 {
+        let objective = latency_objective(self.class, service_time(self.class, self.request.cost));
+        let late = self.now - self.request.arrived_at() > objective;
+        let low_priority = self.request.over_quota || late;
+        self.control.traffic_share() * if low_priority { LOW_PRIORITY_CAPACITY } else { 1.0 }
+    }
+}
+
+/// Weight of an engine by its size and load. The scarcest resource counts: memory or disks can be used up
+/// while cores idle.
+fn load_weight(engine: &Engine) -> f64 {
+    let cores = engine.load.util.unwrap_or_else(|| engine.backlog() / engine.controller.bound.max(1.0));
+    let used = cores.max(engine.load.memory.unwrap_or(0.0)).max(engine.load.disk.unwrap_or(0.0));
+    engine.cores * (1.0 + used + engine.sent_since_report / engine.cores).powi(-3)
+}
--- /dev/null
+++ b/src/policy/outcomes.rs
@@ -0,0 +1,183 @@
+//! Outcomes of attempts: what follows for the request, and what is learned of its engine and class.
+
+use super::attempt_plan::MIN_EXPECTED_SHARE;
+use super::cost_model::{reported_service_time, service_time, CostModel};
+use super::engine_state::{AbandonedWork, AttemptKey};
+use super::outlier::{failure_slowdown, measured_slowdown, EngineHealth, EJECTION_SCORE};
+use super::pi_controller::PiController;
+use super::request_state::{AttemptState, Request, RequestNumber};
+use super::{Action, AttemptEnd, Outcome, Policy};
+
+/// Most work that an outcome may report over what the engine's cores do in all of the request's time (ratio):
+/// some engines are faster than nominal.
+const MAX_REPORTED_WORK: f64 = 2.0;
+/// Expected delays for which abandoned work counts in the backlog.
+const ABANDONED_WORK_DELAYS: f64 = 2.0;
+/// Weight of an outcome in the recent utilization of cores (share): some seven outcomes.
+const UTILIZATION_WEIGHT: f64 = 0.15;
+/// Least service time that delays are compared with (seconds).
+const MIN_SERVICE_TIME_S: f64 = 1e-4;
+
+/// An outcome with the attempt's delay and what it is compared with.
+struct MeasuredOutcome {
+    /// When the attempt ended (seconds).
+    now: f64,
+    /// Class of the request, by position in the settings.
+    class: usize,
+    /// How the attempt ended.
+    outcome: Outcome,
+    /// Delay (seconds).
+    delay: f64,
+    /// Unhindered delay that was expected (seconds).
+    expected: f64,
+    /// Delay-to-deadline ratio.
+    ddr: f64,
+}
+
+impl MeasuredOutcome {
+    /// Whether the engine worked on the attempt and did not return an error.
+    fn ran(&self) -> bool {
+        matches!(self.outcome, Outcome::Ok | Outcome::Timeout | Outcome::Cancelled)
+    }
+
+    /// Counts the outcome in the controller of its engine. Errors are no service: a fast one must not look
+    /// like speed.
+    fn record_in_controller(&self, controller: &mut PiController) {
+        if self.outcome == Outcome::Ok {
+            controller.add_served();
+        }
+        if self.ran() {
+            controller.add_ddr(self.ddr);
+        } else if self.outcome == Outcome::Full {
+            controller.add_full();
+        }
+    }
+
+    /// Counts the outcome in the health of its engine and in the slowness of its class. A failure counts as
+    /// the slowest service; having no room says nothing of an engine's health.
+    fn record_in_health(&self, health: &mut EngineHealth, costs: &mut CostModel) {
+        let mut slowdown = failure_slowdown(self.outcome);
+        if self.ran() {
+            let usual = costs.slowness(self.class);
+            slowdown = measured_slowdown(self.delay / self.expected / usual);
+            costs.add_slowness(self.class, slowdown.min(EJECTION_SCORE) * usual);
+        }
+        if self.outcome != Outcome::Full {
+            health.add_outcome(self.now, slowdown);
+        }
+    }
+}
+
+impl Policy {
+    /// Takes the end of an attempt.
+    pub(super) fn on_attempt_ended(&mut self, now: f64, mut ended: AttemptEnd, out: &mut Vec<Action>) {
+        let Some(number) = self.requests.number_of(&ended.id) else { return };
+        let Some(delay) = self.finish_attempt(now, number, &mut ended) else { return };
+        self.record_outcome(now, number, &ended, delay);
+        if ended.outcome == Outcome::Ok {
+            let request = &self.requests[number];
+            self.control.add_served(request.cost);
+            self.costs.learn_work(&self.settings, request, delay, ended.work);
+            self.costs.learn_memory(&self.settings, request, ended.memory);
+        }
+        self.proceed(now, number, ended.outcome, out);
+        self.engines.forget_departed();
+    }
+
+    /// Marks an attempt as ended and returns its delay (seconds); `None` if it was not in flight. Drops a
+    /// report of work that cannot be true.
+    fn finish_attempt(&mut self, now: f64, number: RequestNumber, ended: &mut AttemptEnd) -> Option<f64> {
+        let request = self.requests.get_mut(number)?;
+        let attempt = request.attempts.get_mut(ended.attempt as usize)?;
+        if attempt.state != AttemptState::InFlight {
+            return None;
+        }
+        let never_ran = ended.outcome.never_ran();
+        attempt.state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        let delay = now - attempt.sent_at;
+        // No query does more work than its engine could in all of its time.
+        let engine = self.engines.get(&attempt.engine);
+        let max_rate = engine.map_or(0.0, |engine| MAX_REPORTED_WORK * 1000.0 * engine.cores);
+        request.finished |= ended.finished;
+        ended.work = ended.work.filter(|work| *work <= max_rate * request.query.time_left);
+        if matches!(ended.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
+            let pause = self.settings.order_settle + 2.0 * self.settings.tick;
+            self.order.pause(request, now + pause);
+        }
+        Some(delay)
+    }
+
+    /// Closes a request that is finished, or retries one without attempts in flight.
+    fn proceed(&mut self, now: f64, number: RequestNumber, outcome: Outcome, out: &mut Vec<Action>) {
+        let request = &self.requests[number];
+        if request.finished {
+            return self.close(number, out);
+        }
+        if request.in_flight() {
+            return;
+        }
+        // Too late for a retry, or never sent for want of time: answered at once.
+        if outcome == Outcome::Expired || request.deadline - now < self.answer_margin() {
+            self.give_up(number, out);
+        } else {
+            self.dispatch(now, number, out);
+        }
+    }
+
+    /// Takes an outcome into the backlog, the controller and the health of its engine.
+    fn record_outcome(&mut self, now: f64, number: RequestNumber, ended: &AttemptEnd, delay: f64) {
+        let request = &self.requests[number];
+        let attempt = &request.attempts[ended.attempt as usize];
+        let measured = self.measure(now, request, ended, delay);
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        let key = AttemptKey { request: number, attempt: ended.attempt };
+        let in_flight = engine.in_flight.remove(&key);
+        engine.load = ended.report.unwrap_or(engine.load);
+        if let Some(utilization) = ended.report.and_then(|report| report.util) {
+            self.utilization.add(utilization, UTILIZATION_WEIGHT);
+        }
+        engine.sent_since_report = 0.0; // without reports the backlog stands for them
+        match ended.outcome {
+            Outcome::Expired => return self.retry_budget.withdraw(key),
+            Outcome::Cancelled if attempt.relocated => return,
+            // How long it took was its client's doing.
+            Outcome::Ok | Outcome::Timeout | Outcome::Cancelled if request.query.uploading => return,
+            Outcome::Timeout | Outcome::Cancelled => {
+                // Work that cannot be cancelled still occupies the engine.
+                if let Some(in_flight) = in_flight.filter(|_| !self.settings.may_cancel) {
+                    let until = now + ABANDONED_WORK_DELAYS * measured.expected;
+                    engine.abandoned.push(AbandonedWork { until, cost: in_flight.cost });
+                }
+            }
+            _ => engine.health.last_heard_at = now,
+        }
+        // An engine that refuses connections probably restarts, which discovery may tell late (rule 4).
+        if ended.outcome == Outcome::Unreachable {
+            engine.warm_up.unreachable_at = now;
+        }
+        measured.record_in_controller(&mut engine.controller);
+        measured.record_in_health(&mut engine.health, &mut self.costs);
+    }
+
+    /// Compares the delay of an attempt with what was expected.
+    fn measure(&self, now: f64, request: &Request, ended: &AttemptEnd, delay: f64) -> MeasuredOutcome {
+        let class = request.query.class;
+        let class_settings = &self.settings.classes[class];
+        let estimated = service_time(class_settings, request.cost).max(MIN_SERVICE_TIME_S);
+        let usual = self.costs.usual_service_time(&self.settings, class);
+        // The deadline goes by the reported cost where there is one: estimates scatter.
+        let known = ended.work.map_or(estimated, |work| reported_service_time(class_settings, work));
+        // An attempt that was cancelled for its pace would have taken longer than it did.
+        let cancelled = ended.outcome == Outcome::Cancelled && !request.finished;
+        let projected = request.attempts[ended.attempt as usize].projected_delay;
+        let delay = projected.filter(|_| cancelled).unwrap_or(delay);
+        MeasuredOutcome {
+            now,
+            class,
+            outcome: ended.outcome,
+            delay,
+            expected: estimated.max(MIN_EXPECTED_SHARE * usual),
+            ddr: self.slack.ddr(class, delay, known),
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/progress.rs
@@ -0,0 +1,154 @@
+//! Progress of attempts in flight: one is cancelled and retried elsewhere where that is better.
+//!
+//! - A spill, once, with the memory that it lacks: the estimate was too low. May hurt where progress is
+//!   reported late.
+//! - A wait for memory or for a load: the engine is fuller than its reports show. May hurt where all engines
+//!   queue.
+//! - A pace that leaves more than twice the expected delay: a bad plan, or an engine gone slow.
+
+use super::cost_model::service_time;
+use super::request_state::{Attempt, ProgressMark, Request, RequestNumber};
+use super::{Action, Idempotency, Policy, Progress, RequestId};
+
+/// Expected delays that are still to go, by its pace, at which an attempt is cancelled.
+const MAX_REMAINING_DELAYS: f64 = 2.0;
+/// Part of an average load's duration for which a report of locked tables is believed.
+const LOCK_BELIEVED_LOADS: f64 = 0.5;
+/// Ticks that a spill must cost for a retry to be worth it.
+const MIN_SPILL_TICKS: f64 = 2.0;
+/// Least share done since the mark (0 to 1) that a pace is computed from.
+const MIN_SHARE_DONE: f64 = 0.01;
+
+/// What a report of progress can lead to.
+struct RetryOptions {
+    /// Whether the rules and limits allow to cancel the attempt and retry.
+    allowed: bool,
+    /// Whether an untried engine without locks on the request's tables is available.
+    elsewhere: bool,
+    /// Whether the attempt has waited before, and has done nothing since.
+    still_waits: bool,
+    /// Whether the attempt lacks memory or waits for a load, rather than being slow.
+    lacks_resources: bool,
+}
+
+impl Policy {
+    /// Takes a report of progress.
+    pub(super) fn on_progress(
+        &mut self,
+        now: f64,
+        id: &RequestId,
+        report: AttemptProgress,
+        out: &mut Vec<Action>,
+    ) {
+        let AttemptProgress { attempt, progress } = report;
+        let Some(number) = self.requests.number_of(id) else { return };
+        let request = &self.requests[number];
+        let is_latest = attempt as usize + 1 == request.attempts.len();
+        if !is_latest || !request.in_flight() || request.finished {
+            return;
+        }
+        if let Some(engine) = self.engines.get_mut(&request.attempts[attempt as usize].engine) {
+            engine.health.last_heard_at = now;
+        }
+        let options = self.retry_options(now, number, report);
+        if progress == Progress::WaitsForLoad {
+            self.note_locked_tables(now, number, attempt);
+        }
+        let better = self.is_retry_better(now, number, report, &options);
+        if options.allowed && better && (options.elsewhere || self.settings.may_hedge) {
+            if let Some(request) = self.requests.get_mut(number) {
+                request.attempts[attempt as usize].relocated = options.lacks_resources;
+            }
+            out.push(Action::Cancel { id: id.clone(), attempt });
+        }
+    }
+
+    fn retry_options(&self, now: f64, number: RequestNumber, report: AttemptProgress) -> RetryOptions {
+        let request = &self.requests[number];
+        let attempt = &request.attempts[report.attempt as usize];
+        let still_waits = attempt.progress_since.is_none()
+            && matches!(report.progress, Progress::Done(share) if share <= 0.0);
+        let lacks_resources = still_waits || !matches!(report.progress, Progress::Done(_));
+        // These leave one attempt for failures.
+        let reserved = u32::from(lacks_resources);
+        let attempts_left = report.attempt + 1 + reserved < self.settings.max_attempts;
+        let idempotent = self.settings.classes[request.query.class].idempotency == Idempotency::Always;
+        let in_budget = || self.retry_budget.allows(now, &self.settings);
+        RetryOptions {
+            allowed: idempotent && attempts_left && self.settings.may_cancel && in_budget(),
+            elsewhere: self.is_untried_engine_free(now, request),
+            still_waits,
+            lacks_resources,
+        }
+    }
+
+    /// Whether an untried engine is available on which no load locks the request's tables.
+    fn is_untried_engine_free(&self, now: f64, request: &Request) -> bool {
+        let tables = request.query.tables;
+        let mut engines = self.engines.available();
+        engines.any(|engine| !engine.has_locked(now, tables) && !request.tried(&engine.entry.id))
+    }
+
+    fn note_locked_tables(&mut self, now: f64, number: RequestNumber, attempt: u32) {
+        let believed = LOCK_BELIEVED_LOADS * self.costs.load_duration(&self.settings);
+        let request = &self.requests[number];
+        let engine = &request.attempts[attempt as usize].engine;
+        if let Some(engine) = self.engines.get_mut(engine) {
+            engine.locked_tables.insert(request.query.tables, now + believed);
+        }
+    }
+
+    /// Whether a retry would be better than to wait for the attempt. Takes the report into the attempt's
+    /// pace.
+    fn is_retry_better(
+        &mut self,
+        now: f64,
+        number: RequestNumber,
+        report: AttemptProgress,
+        options: &RetryOptions,
+    ) -> bool {
+        let Some(request) = self.requests.get_mut(number) else { return false };
+        let service_time = service_time(&self.settings.classes[request.query.class], request.cost);
+        let time_left = request.deadline - now;
+        let attempt = &mut request.attempts[report.attempt as usize];
+        match (report.progress, request.granted_memory) {
+            (Progress::Spills(missing), Some(granted)) if request.required_memory.is_none() => {
+                request.required_memory = Some(granted + missing);
+                let spill_delay = service_time * missing / (granted + missing);
+                spill_delay > MIN_SPILL_TICKS * self.settings.tick
+            }
+            (Progress::Spills(_), _) => false,
+            (Progress::WaitsForMemory, _) => {
+                attempt.progress_since = None; // its pace counts from the next report
+                true
+            }
+            (Progress::WaitsForLoad, _) => {
+                attempt.progress_since = None; // it stands still: no pace until it goes on
+                options.elsewhere
+            }
+            (Progress::Done(_), _) if options.still_waits => options.elsewhere,
+            (Progress::Done(share), _) => {
+                let remaining = project_remaining(now, attempt, share);
+                time_left > attempt.expected_delay
+                    && remaining > MAX_REMAINING_DELAYS * attempt.expected_delay
+            }
+        }
+    }
+}
+
+/// A report of progress of one attempt.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptProgress {
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+    /// What it reported.
+    pub progress: Progress,
+}
+
+/// Time that an attempt still takes by its pace (seconds), with `share` of the work done (0 to 1).
+fn project_remaining(now: f64, attempt: &mut Attempt, share: f64) -> f64 {
+    let mark = *attempt.progress_since.get_or_insert(ProgressMark { at: now, share_done: share });
+    let remaining = (now - mark.at) * (1.0 - share) / (share - mark.share_done).max(MIN_SHARE_DONE);
+    attempt.projected_delay = Some(now - attempt.sent_at + remaining);
+    remaining
+}
--- /dev/null
+++ b/src/policy/retry.rs
@@ -0,0 +1,58 @@
+//! Retry budget: a limit on retries and hedged requests over a sliding window (rule 7).
+
+use super::engine_state::AttemptKey;
+use super::Settings;
+
+/// An attempt beyond its request's first.
+struct Retry {
+    sent_at: f64,
+    key: AttemptKey,
+}
+
+/// Requests and retries of the budget's window.
+#[derive(Default)]
+pub struct RetryBudgetTracker {
+    /// When requests were accepted (seconds).
+    accepted: Vec<f64>,
+    retries: Vec<Retry>,
+}
+
+impl RetryBudgetTracker {
+    /// Counts an accepted request.
+    pub fn add_request(&mut self, now: f64, settings: &Settings) {
+        if settings.retry_budget.is_some() {
+            self.accepted.push(now);
+        }
+    }
+
+    /// Counts an attempt, if it is a retry.
+    pub fn add_attempt(&mut self, now: f64, settings: &Settings, key: AttemptKey) {
+        if key.attempt > 0 && settings.retry_budget.is_some() {
+            self.retries.push(Retry { sent_at: now, key });
+        }
+    }
+
+    /// Takes back an attempt that was never sent: it spent nothing of the budget.
+    pub fn withdraw(&mut self, key: AttemptKey) {
+        self.retries.retain(|retry| retry.key != key);
+    }
+
+    /// Whether the budget allows a retry now, over this one and the window before it.
+    pub fn allows(&self, now: f64, settings: &Settings) -> bool {
+        let Some(budget) = settings.retry_budget else { return true };
+        let from = now - budget.window;
+        let retries =
+            self.retries.iter().filter(|retry| retry.sent_at >= from - settings.tick).count() as f64;
+        let accepted = self.accepted.iter().filter(|at| **at > from + settings.tick).count() as f64;
+        retries + 1.0 <= budget.min_attempts + budget.attempts_per_request * accepted
+    }
+
+    /// Forgets what is past the window.
+    pub fn expire(&mut self, now: f64, settings: &Settings) {
+        if let Some(budget) = settings.retry_budget {
+            let from = now - budget.window - 1.0;
+            self.retries.retain(|retry| retry.sent_at > from);
+            self.accepted.retain(|at| *at >= from);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/send_guard.rs
@@ -0,0 +1,87 @@
+//! The rules on attempts, in one place: whether a request may be sent to an engine at all.
+
+use super::engine_state::{Engine, EngineTable};
+use super::request_state::{Attempt, AttemptState, Request};
+use super::retry::RetryBudgetTracker;
+use super::slow_start::SlowStart;
+use super::{ClassSettings, DedupScope, EngineEntry, Idempotency, Settings};
+
+/// Whether the placement settings of a class allow an engine (rule 6).
+pub fn is_placement_allowed(class: &ClassSettings, entry: &EngineEntry) -> bool {
+    let zone = class.zones.as_ref().is_none_or(|zones| zones.iter().any(|zone| **zone == *entry.zone));
+    zone && class.kinds.as_ref().is_none_or(|kinds| kinds.iter().any(|kind| **kind == *entry.kind))
+}
+
+/// The rules on the next attempt of one request.
+pub struct SendGuard<'a> {
+    /// The request.
+    pub request: &'a Request,
+    /// Its class.
+    pub class: &'a ClassSettings,
+    /// Settings of the coordinator.
+    pub settings: &'a Settings,
+    /// Limits on warming engines, and the present time.
+    pub slow_start: SlowStart<'a>,
+}
+
+impl SendGuard<'_> {
+    /// Engines that the rules allow for the next attempt now, in the order of their ids.
+    pub fn allowed_engines<'e>(
+        &self,
+        engines: &'e EngineTable,
+        retry_budget: &RetryBudgetTracker,
+    ) -> Vec<&'e Engine> {
+        if !self.allows_attempt(retry_budget) {
+            return Vec::new();
+        }
+        engines.iter().filter(|engine| self.allows_engine(engine)).collect()
+    }
+
+    /// Whether the request may be sent anywhere: an answer is owed, and the limits on retries leave room.
+    fn allows_attempt(&self, retry_budget: &RetryBudgetTracker) -> bool {
+        let now = self.slow_start.now;
+        let in_budget = || self.request.attempts.is_empty() || retry_budget.allows(now, self.settings);
+        self.request.may_be_sent(now, self.settings.max_attempts) && in_budget()
+    }
+
+    /// Whether the request may be sent to this engine.
+    fn allows_engine(&self, engine: &Engine) -> bool {
+        engine.is_ready()
+            && self.is_apart_from_other_attempts(engine)
+            && self.may_repeat(&engine.entry)
+            && is_placement_allowed(self.class, &engine.entry)
+            && self.slow_start.has_capacity(engine, self.request.query.class)
+    }
+
+    /// Without hedging, no attempt is in flight, and none may still run on the same engine.
+    fn is_apart_from_other_attempts(&self, engine: &Engine) -> bool {
+        let may_run_there = |attempt: &Attempt| {
+            attempt.state == AttemptState::MayHaveRun && attempt.engine == engine.entry.id
+        };
+        self.settings.may_hedge
+            || !self.request.in_flight() && !self.request.attempts.iter().any(may_run_there)
+    }
+
+    /// Whether running once more on this engine is harmless after all attempts that may have run.
+    fn may_repeat(&self, entry: &EngineEntry) -> bool {
+        let mut attempts = self.request.attempts.iter().filter(|attempt| attempt.may_have_run());
+        attempts.all(|attempt| match self.class.idempotency {
+            Idempotency::Always => true,
+            Idempotency::Never => false,
+            Idempotency::WithKey => {
+                let window_end = attempt.sent_at + self.class.dedup_window;
+                self.in_dedup_scope(attempt, entry) && self.slow_start.now + self.settings.tick < window_end
+            }
+        })
+    }
+
+    /// Whether an engine drops repeats of an attempt.
+    fn in_dedup_scope(&self, attempt: &Attempt, entry: &EngineEntry) -> bool {
+        let same_zone = attempt.location.zone == entry.zone;
+        match self.class.dedup_scope {
+            DedupScope::All => true,
+            DedupScope::Zone => same_zone,
+            DedupScope::Cell => same_zone && attempt.location.cell == entry.cell,
+        }
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -132,13 +132,13 @@
         out
     }
     pub fn bound(&self, engine: &str) -> f64 {
-        self.gateway.engine(engine).unwrap().0
+        self.gateway.engine(engine).unwrap().bound
     }
     pub fn is_ejected(&self, engine: &str) -> bool {
-        self.gateway.engine(engine).is_some_and(|e| e.2)
+        self.gateway.engine(engine).is_some_and(|e| e.ejected)
     }
     pub fn backlog(&self, engine: &str) -> f64 {
-        self.gateway.engine(engine).unwrap().1
+        self.gateway.engine(engine).unwrap().backlog
     }
 }
 
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -15,7 +15,6 @@
     ("src/listener/http/mod.rs", 421),
     ("src/listener/mysql/large.rs", 545),
     ("src/listener/mysql/mod.rs", 696),
-    ("src/policy/mod.rs", 1098),
     ("src/store/mod.rs", 676),
     ("src/upstream/mysql/mod.rs", 605),
     ("src/upstream/resp/mod.rs", 787),
