--- a/examples/dispatcher.rs
+++ b/examples/dispatcher.rs
@@ -1,25 +1,28 @@
 //! A small dispatcher around the library, as an embedder would write it: it carries out every kind of action,
-//! keeps the timers, and feeds settings, the engine list, queries, notes, outcomes and timers back in.
+//! keeps the timers, and feeds settings, engines, queries, progress, outcomes and timers back in.
 //!
-//! Its engines are a list of calls that `main` ends by hand; a real one would put a network client there.
+//! Its engines are a list of attempts that `main` ends by hand; a real one would have a network client there.
 
 use dahliaspoke::policy::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// One attempt that an engine works on.
-pub struct Call {
+/// Rank of attempts before the policy has set one.
+const DEFAULT_RANK: u8 = 1;
+
+/// An attempt that an engine works on.
+pub struct RunningAttempt {
     /// The request that the attempt belongs to.
     pub id: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// The engine that runs it.
     pub engine: EngineId,
-    /// Memory granted (MB); `None` leaves it to the engine.
+    /// Memory granted (MB); `None`: the engine decides.
     pub memory: Option<f64>,
     /// Priority, 0 to 3.
     pub rank: u8,
-    /// When it times out, if ever.
-    pub until: Option<f64>,
+    /// When it times out (seconds), if ever.
+    pub times_out_at: Option<f64>,
 }
 
 /// The final answer of a request.
@@ -33,20 +36,33 @@
     Failed,
 }
 
-/// Drives one [`Policy`] and carries out what it asks for.
+/// Memory and priority of a request's attempts.
+#[derive(Clone, Copy)]
+struct Terms {
+    memory: Option<f64>,
+    rank: u8,
+}
+
+/// A timer that the policy has set.
+struct Timer {
+    expires_at: f64,
+    token: u64,
+}
+
+/// Drives one [`Policy`] and carries out its actions.
 pub struct Dispatcher {
     policy: Policy,
     now: f64,
-    timers: Vec<(f64, u64)>,
-    terms: BTreeMap<RequestId, (Option<f64>, u8)>,
-    tries: BTreeMap<RequestId, u32>,
-    /// Attempts that are out.
-    pub calls: Vec<Call>,
+    timers: Vec<Timer>,
+    terms: BTreeMap<RequestId, Terms>,
+    attempt_counts: BTreeMap<RequestId, u32>,
+    /// Attempts in flight.
+    pub attempts: Vec<RunningAttempt>,
     /// Final answers so far.
     pub answers: BTreeMap<RequestId, Answer>,
     /// Log lines of the policy.
     pub log: Vec<String>,
-    /// Whether the policy has subscribed to the endpoint list.
+    /// Whether the policy has subscribed to the set of engines.
     pub subscribed: bool,
 }
 
@@ -59,65 +75,74 @@
             now: 0.0,
             timers: vec![],
             terms: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            calls: vec![],
+            attempt_counts: BTreeMap::new(),
+            attempts: vec![],
             answers: BTreeMap::new(),
             log: vec![],
             subscribed: false,
         }
     }
 
-    /// Feeds one event and carries out all that it leads to.
+    /// Feeds one event and carries out all actions that follow from it.
     pub fn feed(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
             self.policy.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.act(action));
+                events.extend(self.carry_out(action));
             }
         }
     }
 
     /// Carries out one action; some lead to an event at once.
-    fn act(&mut self, action: Action) -> Option<Event> {
+    fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
-            // The first send of a request is attempt 0, the next is 1: both sides count.
-            Action::Send { id, engine, timeout, .. } => {
-                let tries = self.tries.entry(id.clone()).or_default();
-                let attempt = *tries;
-                *tries += 1;
-                let (memory, rank) = self.terms.get(&id).copied().unwrap_or((None, 1));
-                let until = timeout.map(|t| self.now + t);
-                self.calls.push(Call { id, attempt, engine, memory, rank, until });
-            }
-            // Every attempt has exactly one outcome; a cancelled one is told as such.
+            Action::Send { id, engine, timeout, .. } => self.send(id, engine, timeout),
+            // Every attempt has exactly one outcome, a cancelled one too.
             Action::Cancel { id, attempt } => {
-                let at = self.calls.iter().position(|c| c.id == id && c.attempt == attempt)?;
-                self.calls.remove(at);
-                return Some(self.ended(id, attempt, Outcome::Cancelled));
+                let at = self.attempts.iter().position(|a| a.id == id && a.attempt == attempt)?;
+                self.attempts.remove(at);
+                return Some(self.attempt_ended(id, attempt, Outcome::Cancelled));
             }
             Action::Reject { id, retry_after } => self.answer(id, Answer::Rejected(retry_after)),
             Action::Fail { id } => self.answer(id, Answer::Failed),
-            Action::SetTerms { id, memory, rank } => {
-                // The new priority holds for what is out as well, the memory for the next send.
-                self.calls.iter_mut().filter(|c| c.id == id).for_each(|c| c.rank = rank);
-                self.terms.insert(id, (memory, rank));
+            Action::SetTerms { id, memory, rank } => self.set_terms(id, Terms { memory, rank }),
+            Action::SetTimer { after, token } => {
+                self.timers.push(Timer { expires_at: self.now + after, token });
             }
-            Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
             Action::Subscribe => self.subscribed = true,
             Action::Log(line) => self.log.push(line),
         }
         None
     }
 
+    /// Sends the next attempt of a request: the first is 0, the next 1. Policy and dispatcher both count.
+    fn send(&mut self, id: RequestId, engine: EngineId, timeout: Option<f64>) {
+        let count = self.attempt_counts.entry(id.clone()).or_default();
+        let attempt = *count;
+        *count += 1;
+        let default = Terms { memory: None, rank: DEFAULT_RANK };
+        let Terms { memory, rank } = self.terms.get(&id).copied().unwrap_or(default);
+        let times_out_at = timeout.map(|timeout| self.now + timeout);
+        self.attempts.push(RunningAttempt { id, attempt, engine, memory, rank, times_out_at });
+    }
+
+    /// The new priority holds for attempts in flight as well, the memory for the next attempt.
+    fn set_terms(&mut self, id: RequestId, terms: Terms) {
+        for attempt in self.attempts.iter_mut().filter(|attempt| attempt.id == id) {
+            attempt.rank = terms.rank;
+        }
+        self.terms.insert(id, terms);
+    }
+
     fn answer(&mut self, id: RequestId, answer: Answer) {
         self.terms.remove(&id);
-        self.tries.remove(&id);
+        self.attempt_counts.remove(&id);
         self.answers.insert(id, answer);
     }
 
-    fn ended(&self, id: RequestId, attempt: u32, outcome: Outcome) -> Event {
+    fn attempt_ended(&self, id: RequestId, attempt: u32, outcome: Outcome) -> Event {
         let finished = outcome == Outcome::Ok || self.answers.contains_key(&id);
         Event::AttemptEnded(AttemptEnd {
             id,
@@ -130,43 +155,56 @@
         })
     }
 
-    /// An engine is done with the call at `at`. The first answer goes to the client.
+    /// Ends the attempt at a position. The first served one is the answer to the client.
     pub fn end(&mut self, at: usize, outcome: Outcome) {
-        let call = self.calls.remove(at);
+        let ended = self.attempts.remove(at);
         if outcome == Outcome::Ok {
-            self.answer(call.id.clone(), Answer::Served);
+            self.answer(ended.id.clone(), Answer::Served);
         }
-        let event = self.ended(call.id, call.attempt, outcome);
+        let event = self.attempt_ended(ended.id, ended.attempt, outcome);
         self.feed(event);
     }
 
-    /// Lets time pass: timers come due and attempts time out.
-    ///
-    /// # Panics
-    /// Never: what is due was looked for just before.
+    /// Lets time pass (seconds): timers expire and attempts time out.
     pub fn wait(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
-            let timer = self.timers.iter().map(|t| t.0).fold(f64::INFINITY, f64::min);
-            let call = self.calls.iter().filter_map(|c| c.until).fold(f64::INFINITY, f64::min);
-            if timer.min(call) > until {
-                break;
-            }
-            self.now = timer.min(call).max(self.now);
-            if timer <= call {
-                let at = self.timers.iter().position(|t| t.0 == timer).expect("the nearest one");
-                let (_, token) = self.timers.remove(at);
-                self.feed(Event::Timer(token));
-            } else {
-                let at = self.calls.iter().position(|c| c.until == Some(call)).expect("the nearest one");
-                self.end(at, Outcome::Timeout);
+            let timer = self.next_timer().filter(|at| self.timers[*at].expires_at <= until);
+            let timeout = self.next_timeout().filter(|(_, at)| *at <= until);
+            match (timer, timeout) {
+                (Some(timer), Some((_, at))) if self.timers[timer].expires_at <= at => self.expire(timer),
+                (_, Some((attempt, at))) => {
+                    self.now = at.max(self.now);
+                    self.end(attempt, Outcome::Timeout);
+                }
+                (Some(timer), None) => self.expire(timer),
+                (None, None) => break,
             }
         }
         self.now = until;
     }
+
+    /// Position of the timer that expires first.
+    fn next_timer(&self) -> Option<usize> {
+        let expires_at = |at: &usize| self.timers[*at].expires_at;
+        (0..self.timers.len()).min_by(|a, b| expires_at(a).total_cmp(&expires_at(b)))
+    }
+
+    /// Position of the attempt that times out first, and when it does (seconds).
+    fn next_timeout(&self) -> Option<(usize, f64)> {
+        let timeouts = self.attempts.iter().enumerate();
+        let timeouts = timeouts.filter_map(|(at, attempt)| attempt.times_out_at.map(|time| (at, time)));
+        timeouts.min_by(|a, b| a.1.total_cmp(&b.1))
+    }
+
+    fn expire(&mut self, at: usize) {
+        let timer = self.timers.remove(at);
+        self.now = timer.expires_at.max(self.now);
+        self.feed(Event::Timer(timer.token));
+    }
 }
 
-/// Settings of a small deployment: one class, one kind of engine, a list that must be asked for.
+/// Settings of a small deployment: one class, one kind of engine, and discovery that must be subscribed to.
 #[must_use]
 pub fn settings() -> Settings {
     let class = ClassSettings {
@@ -229,17 +267,22 @@
 
 #[allow(dead_code)] // the test drives the dispatcher by itself
 fn main() {
-    let mut d = Dispatcher::new(settings(), 42);
-    d.feed(Event::EngineList(ListScope::Complete, vec![engine("e1"), engine("e2")]));
-    d.feed(query("served"));
-    d.wait(0.1);
-    d.end(0, Outcome::Ok);
-    d.feed(query("spilled"));
-    d.feed(Event::Progress { id: "spilled".into(), attempt: 0, progress: Progress::Spills(100.0) });
-    println!("sent again to {} with {:?} MB", d.calls[0].engine, d.calls[0].memory);
-    d.wait(3.0);
-    for (id, answer) in &d.answers {
+    let mut dispatcher = Dispatcher::new(settings(), 42);
+    let engines = vec![engine("e1"), engine("e2")];
+    dispatcher.feed(Event::EngineList(ListScope::Complete, engines));
+    dispatcher.feed(query("served"));
+    dispatcher.wait(0.1);
+    dispatcher.end(0, Outcome::Ok);
+    dispatcher.feed(query("spilled"));
+    let progress = Progress::Spills(100.0);
+    dispatcher.feed(Event::Progress { id: "spilled".into(), attempt: 0, progress });
+    let retry = &dispatcher.attempts[0];
+    println!("retried on {} with {:?} MB", retry.engine, retry.memory);
+    dispatcher.wait(3.0);
+    for (id, answer) in &dispatcher.answers {
         println!("{id}: {answer:?}");
     }
-    d.log.iter().for_each(|line| println!("log: {line}"));
+    for line in &dispatcher.log {
+        println!("log: {line}");
+    }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -17,6 +17,8 @@
 const BACKLOG_DEVIATIONS: f64 = 4.0;
 /// Mean error of the controllers (ratio of DDR) from which on the allowance for deviations counts in full.
 const CALM_ERROR: f64 = 0.45;
+/// Exponent of the part of cores that is warm in the allowance.
+const WARM_EXPONENT: i32 = 3;
 /// Part of cores in recent use from which on none of the allowance counts.
 const BUSY_UTILIZATION: f64 = 0.8;
 /// So much below that, all of it counts.
@@ -24,7 +26,7 @@
 /// How far past its bound an idle engine takes work (share of the bound).
 const IDLE_EXTENSION: f64 = 1.0;
 
-/// What admission goes by beside the engines of the pool.
+/// What admission of a request goes by, beside the engines.
 pub struct AdmissionInput<'a> {
     /// The request.
     pub request: &'a Request,
@@ -60,7 +62,8 @@
         let sum = |value: fn(&Engine) -> f64| pool.iter().map(|engine| value(engine)).sum::<f64>();
         let bounds = input.capacity_share * sum(|engine| engine.controller.bound);
         let mean_error = sum(|engine| engine.controller.last_error) / (pool.len() as f64).max(1.0);
-        let calm = (mean_error / CALM_ERROR).clamp(0.0, 1.0) * warm_share(slow_start, engines).powi(3);
+        let calm =
+            (mean_error / CALM_ERROR).clamp(0.0, 1.0) * warm_share(slow_start, engines).powi(WARM_EXPONENT);
         let calm = calm * ((BUSY_UTILIZATION - input.utilization) / BUSY_RANGE).clamp(0.0, 1.0);
         let allowance = BACKLOG_DEVIATIONS * calm * (bounds * input.work_per_thread).sqrt();
         Self {
--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -1,8 +1,9 @@
 //! The control loop: each second, ends the period of every engine's controller.
 
+use super::bounds::{min_bound, query_share, starting_bound};
 use super::cost_model::{CostModel, RECENT_SPAN_S};
 use super::engine_state::{Engine, EngineTable};
-use super::pi_controller::{min_bound, query_share, starting_bound, EnginePeriod, PoolPeriod};
+use super::pi_controller::{EnginePeriod, PoolPeriod};
 use super::slow_start::warm_up_factor;
 use super::Settings;
 
--- a/src/policy/cost_model.rs
+++ b/src/policy/cost_model.rs
@@ -1,5 +1,7 @@
 //! Cost model: what a query costs, learned per class from estimates and outcomes.
 //!
+//! The service time of a request (σ of the design) is how long it takes on an engine without other work.
+//!
 //! Costs and work are in milliseconds of one thread, service times and delays in seconds.
 
 use super::estimators::{RunningMean, RunningQuantile};
@@ -12,17 +14,17 @@
 const INITIAL_WORK_PER_THREAD_MS: f64 = 1300.0;
 /// How many queries the initial work per thread counts as.
 const INITIAL_WORK_QUERIES: f64 = 20.0;
-/// Quantile of delay per unit of estimate that counts as unhindered where outcomes report no work.
-const UNHINDERED_DELAY_QUANTILE: f64 = 0.25;
+/// Quantile of delay per unit of estimate that counts as service time where outcomes report no work.
+const SERVICE_TIME_QUANTILE: f64 = 0.25;
 /// Quantile of work per unit of estimate where outcomes report it: the median.
 const REPORTED_WORK_QUANTILE: f64 = 0.5;
 /// Share of queries that get all the memory that they need, where a spill is costly.
 const MEMORY_GRANT_QUANTILE: f64 = 0.95;
 /// The same where a spill costs little, as the attempt is cancelled and retried: the median.
 const CHEAP_SPILL_GRANT_QUANTILE: f64 = 0.5;
-/// Slowness of a class without outcomes (ratio to its unhindered delay).
+/// Slowness of a class without outcomes (delay over service time).
 const INITIAL_SLOWNESS: f64 = 1.5;
-/// Most that the usual slowness of a class counts (ratio to its unhindered delay).
+/// Most that the usual slowness of a class counts (delay over service time).
 const MAX_SLOWNESS: f64 = 6.0;
 /// Least weight of a sample in the usual slowness of a class (share): some 25 outcomes.
 const SLOWNESS_MIN_WEIGHT: f64 = 0.04;
@@ -32,6 +34,10 @@
 const UNKNOWN_SERVICE_SHARE: f64 = 0.25;
 /// Part of the latency objective that the work is assumed to take on the careful side, likewise.
 const UNKNOWN_WORK_SHARE: f64 = 0.5;
+/// Least work that an outcome counts as (ms).
+const MIN_MEASURED_WORK_MS: f64 = 0.01;
+/// Least mean that parts and shares are computed of (ms, or ms per second): avoids division by zero.
+const MIN_MEAN: f64 = 1e-9;
 /// Least service time that counts (seconds), where work is reported.
 const MIN_SERVICE_TIME_S: f64 = 0.001;
 
@@ -50,7 +56,7 @@
     work: RunningMean,
     /// Cost that was recently asked for (ms per second).
     demand: f64,
-    /// Delay over the unhindered delay, over all engines (ratio).
+    /// Delay over service time, over all engines (ratio).
     slowness: RunningMean,
 }
 
@@ -115,7 +121,7 @@
     }
 
     fn add_work_per_thread(&mut self, settings: &ClassSettings, cost: f64) {
-        let mean = self.mean_cost.value.max(1e-9);
+        let mean = self.mean_cost.value.max(MIN_MEAN);
         let count = INITIAL_WORK_QUERIES + self.mean_cost.count;
         let weight = (CLASS_MEAN_MIN_WEIGHT.max(1.0 / count) * cost / mean).min(1.0);
         self.work_per_thread += weight * (cost / settings.threads.max(1.0) - self.work_per_thread);
@@ -151,7 +157,7 @@
         loads.map(|(at, _)| self.usual_service_time(settings, at) * self.slowness(at)).fold(0.0, f64::max)
     }
 
-    /// Usual delay of a class over its unhindered delay (ratio, at least 1).
+    /// Usual delay of a class over its service time (ratio, at least 1).
     pub fn slowness(&self, class: usize) -> f64 {
         self.classes[class].slowness.get().unwrap_or(INITIAL_SLOWNESS).clamp(1.0, MAX_SLOWNESS)
     }
@@ -175,7 +181,7 @@
 
     /// Part of the recent demand that is of this class (0 to 1).
     pub fn demand_share(&self, class: usize) -> f64 {
-        self.classes[class].demand / self.classes.iter().map(|class| class.demand).sum::<f64>().max(1e-9)
+        self.classes[class].demand / self.classes.iter().map(|class| class.demand).sum::<f64>().max(MIN_MEAN)
     }
 
     /// Learns from a served request what a unit of estimate comes to: from the work that was reported (ms),
@@ -187,13 +193,15 @@
             class.work.add(work, CLASS_MEAN_MIN_WEIGHT);
         }
         let timed = (!request.query.uploading).then_some(delay * 1000.0 * threads);
-        let Some(measured) = work.or(timed).map(|measured| measured.max(0.01)) else { return };
+        let Some(measured) = work.or(timed).map(|measured| measured.max(MIN_MEASURED_WORK_MS)) else {
+            return;
+        };
         let Some(estimate) = request.query.work else {
             class.cost.add(measured, CLASS_MEAN_MIN_WEIGHT);
             return self.mean_cost.add(measured, CLASS_MEAN_MIN_WEIGHT);
         };
         // The estimate is believed until outcomes say otherwise, each less than the one before.
-        let quantile = if work.is_some() { REPORTED_WORK_QUANTILE } else { UNHINDERED_DELAY_QUANTILE };
+        let quantile = if work.is_some() { REPORTED_WORK_QUANTILE } else { SERVICE_TIME_QUANTILE };
         class.unit.add((measured / estimate).ln() >= class.unit.value, quantile);
     }
 
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -4,13 +4,15 @@
 
 use super::{ClassSettings, Settings};
 
-/// Deadline over unhindered delay at the highest priority weight (ratio): about where shared cores do most
+/// Deadline over service time at the highest priority weight (ratio): about where shared cores do most
 /// work.
 const SLACK_FACTOR: f64 = 2.1;
-/// Times that where outcomes report no work (ratio): the unhindered delay is a lower quartile there.
+/// Times that where outcomes report no work (ratio): the service time is a lower quartile of delays there.
 const SLACK_WITHOUT_COST: f64 = 1.6;
 /// Growth of the slack factor with falling priority weight (exponent of the ratio of weights).
 const SLACK_EXPONENT: f64 = 0.03;
+/// Least part of the highest priority weight that a class counts with (ratio).
+const MIN_RELATIVE_WEIGHT: f64 = 1e-3;
 /// Most urgent rank.
 const MAX_RANK: f64 = 3.0;
 
@@ -25,7 +27,7 @@
         let highest = settings.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
         let unreported = if settings.reports_cost { 1.0 } else { SLACK_WITHOUT_COST };
         let factor = |class: &ClassSettings| {
-            let weight = class.priority_weight.max(highest * 1e-3).max(1e-9);
+            let weight = class.priority_weight.max(highest * MIN_RELATIVE_WEIGHT).max(1e-9);
             unreported * SLACK_FACTOR * (highest / weight).powf(SLACK_EXPONENT)
         };
         Self { by_class: settings.classes.iter().map(factor).collect() }
--- a/src/policy/engine_state.rs
+++ b/src/policy/engine_state.rs
@@ -1,13 +1,17 @@
 //! State of engines: what discovery reports, work in flight, load, and what the decisions keep of each.
 
+use super::bounds::starting_bound;
 use super::outlier::EngineHealth;
-use super::pi_controller::{starting_bound, PiController};
+use super::pi_controller::PiController;
 use super::request_state::{EngineLocation, RequestNumber};
 use super::slow_start::{warm_up_factor, WarmUpState};
 use super::subsetting::{subset_positions, RingEngine};
 use super::{EngineEntry, EngineId, Lifecycle, ListScope, LoadReport, Settings};
 use std::collections::BTreeMap;
 
+/// How long attempts are remembered past the window that they count in (seconds).
+pub const EXPIRY_MARGIN_S: f64 = 1.0;
+
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
@@ -42,7 +46,6 @@
 }
 
 /// One engine.
-#[derive(Default)]
 pub struct Engine {
     /// What discovery reported.
     pub entry: EngineEntry,
@@ -75,17 +78,25 @@
 }
 
 impl Engine {
-    /// An engine that has just become known, with a bound of `bound` (ms).
+    /// An engine that has just become known. `work_per_thread` (ms) sets its bound.
     fn new(settings: &Settings, entry: &EngineEntry, now: f64, work_per_thread: f64) -> Self {
         let kind = settings.kinds.iter().find(|kind| *kind.name == *entry.kind);
         let cores = kind.map_or(1.0, |kind| kind.cores.max(1.0));
         Self {
+            entry: entry.clone(),
+            listed: true,
             cores,
             memory: kind.map(|kind| kind.memory).filter(|mb| *mb > 0.0).unwrap_or(f64::INFINITY),
+            subset_position: 0.0,
             last_used_at: f64::NEG_INFINITY,
+            warm_up: WarmUpState::default(),
             controller: PiController::new(starting_bound(settings, cores, work_per_thread), 1.0),
+            in_flight: BTreeMap::new(),
+            abandoned: Vec::new(),
+            load: LoadReport::default(),
+            sent_since_report: 0.0,
+            locked_tables: BTreeMap::new(),
             health: EngineHealth::new(now),
-            ..Self::default()
         }
     }
 
@@ -143,7 +154,7 @@
     pub fn expire(&mut self, now: f64, window: f64) {
         self.abandoned.retain(|work| work.until > now);
         self.locked_tables.retain(|_, until| *until > now);
-        self.warm_up.forget_sends_before(now - window - 1.0);
+        self.warm_up.forget_sends_before(now - window - EXPIRY_MARGIN_S);
     }
 }
 
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -13,6 +13,10 @@
 use super::{ClassSettings, EngineId, Settings};
 use rand_pcg::Pcg64Mcg;
 
+/// Exponent of an engine's load in its weight.
+const LOAD_EXPONENT: i32 = -3;
+/// Exponent of an engine's outlier score in its weight, by which it is divided.
+const OUTLIER_EXPONENT: i32 = 2;
 /// Weight of an engine where a load seems to lock the request's tables (factor).
 const LOCKED_TABLES_WEIGHT: f64 = 0.05;
 /// Expected delays after which a request that reads the same tables seems to stall.
@@ -54,6 +58,7 @@
 
 /// Engines that a request may go to.
 struct Candidates<'a> {
+    /// The engines, in the order of their ids.
     engines: Vec<&'a Engine>,
     /// Whether ejected engines are among them.
     with_ejected: bool,
@@ -61,6 +66,7 @@
 
 /// An engine with its place in the random order.
 struct DrawnEngine<'a> {
+    /// Exponentially distributed key, by which engines are ordered.
     key: f64,
     engine: &'a Engine,
 }
@@ -104,7 +110,8 @@
         2 * self.engines.available().count() < self.engines.ready().count()
     }
 
-    /// The engines in random order, by weights: exponential keys over weights, least first.
+    /// The engines in random order by weights: each draws an exponential key with its weight as the rate, and
+    /// the least key comes first.
     fn draw_order(&self, engines: Vec<&'a Engine>, rng: &mut Pcg64Mcg) -> Vec<DrawnEngine<'a>> {
         let subset_end = self.subset_end();
         let draw = |engine: &'a Engine| {
@@ -119,7 +126,7 @@
     /// Weight of an engine in the draw.
     fn weight(&self, engine: &Engine, subset_end: f64) -> f64 {
         let mut weight = load_weight(engine);
-        weight /= engine.outlier_score(self.now).powi(2);
+        weight /= engine.outlier_score(self.now).powi(OUTLIER_EXPONENT);
         weight *= self.connection_weight(engine, subset_end);
         if self.seems_locked(engine) {
             weight *= LOCKED_TABLES_WEIGHT;
@@ -200,5 +207,5 @@
 fn load_weight(engine: &Engine) -> f64 {
     let cores = engine.load.util.unwrap_or_else(|| engine.backlog() / engine.controller.bound.max(1.0));
     let used = cores.max(engine.load.memory.unwrap_or(0.0)).max(engine.load.disk.unwrap_or(0.0));
-    engine.cores * (1.0 + used + engine.sent_since_report / engine.cores).powi(-3)
+    engine.cores * (1.0 + used + engine.sent_since_report / engine.cores).powi(LOAD_EXPONENT)
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,6 +11,7 @@
 mod action;
 mod admission;
 mod attempt_plan;
+mod bounds;
 mod control_loop;
 mod cost_model;
 mod deadline;
@@ -30,16 +31,18 @@
 mod send_guard;
 mod settings;
 mod slow_start;
+mod status;
 pub mod subsetting;
 
 pub use action::*;
 pub use event::*;
 pub use settings::*;
+pub use status::*;
 
 use control_loop::ControlLoop;
 use cost_model::CostModel;
 use deadline::SlackFactors;
-use engine_state::{EndpointUpdate, Engine, EngineTable};
+use engine_state::{EndpointUpdate, EngineTable};
 use estimators::RunningMean;
 use ordering::OrderQueues;
 use progress::AttemptProgress;
@@ -58,34 +61,6 @@
 /// Token of the timer of the next call to discovery.
 const DISCOVERY_TOKEN: u64 = u64::MAX >> 1;
 
-/// How many requests, engines and order keys a policy keeps state of.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StateCounts {
-    /// Requests that are open or have attempts in flight.
-    pub requests: usize,
-    /// Engines that are listed or have attempts in flight.
-    pub engines: usize,
-    /// Keys of requests that run in order.
-    pub order_keys: usize,
-}
-
-/// State of one engine, for operators and tests.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EngineStatus {
-    /// Bound on this coordinator's backlog there (ms of work).
-    pub bound: f64,
-    /// This coordinator's backlog there (ms of work).
-    pub backlog: f64,
-    /// Whether the engine is ejected as an outlier.
-    pub ejected: bool,
-}
-
-impl From<&Engine> for EngineStatus {
-    fn from(engine: &Engine) -> Self {
-        Self { bound: engine.controller.bound, backlog: engine.backlog(), ejected: engine.health.ejected }
-    }
-}
-
 /// The decisions of one coordinator.
 pub struct Policy {
     settings: Settings,
@@ -124,7 +99,7 @@
 
     /// How much state is kept, for operators and tests.
     #[must_use]
-    pub fn known(&self) -> StateCounts {
+    pub fn state_counts(&self) -> StateCounts {
         StateCounts {
             requests: self.requests.len(),
             engines: self.engines.len(),
@@ -152,6 +127,11 @@
                 out.push(Action::Subscribe);
             }
         }
+        self.dispatch_event(now, event, out);
+        self.dispatch_waiting(now, out);
+    }
+
+    fn dispatch_event(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EngineList(scope, entries) => self.on_endpoints(now, scope, entries),
             // A coordinator that stopped asking would go on sending to engines that drain.
@@ -186,7 +166,6 @@
                 }
             }
         }
-        self.dispatch_waiting(now, out);
     }
 
     fn on_endpoints(&mut self, now: f64, scope: ListScope, entries: Vec<EngineEntry>) {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -28,7 +28,7 @@
     outcome: Outcome,
     /// Delay (seconds).
     delay: f64,
-    /// Unhindered delay that was expected (seconds).
+    /// Service time that was expected (seconds).
     expected: f64,
     /// Delay-to-deadline ratio.
     ddr: f64,
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -29,12 +29,6 @@
     evaluated_at: f64,
 }
 
-impl Default for EngineHealth {
-    fn default() -> Self {
-        Self::new(0.0)
-    }
-}
-
 impl EngineHealth {
     /// An engine of which nothing is known yet.
     pub fn new(now: f64) -> Self {
--- a/src/policy/progress.rs
+++ b/src/policy/progress.rs
@@ -19,6 +19,15 @@
 /// Least share done since the mark (0 to 1) that a pace is computed from.
 const MIN_SHARE_DONE: f64 = 0.01;
 
+/// A report of progress of one attempt.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptProgress {
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+    /// What it reported.
+    pub progress: Progress,
+}
+
 /// What a report of progress can lead to.
 struct RetryOptions {
     /// Whether the rules and limits allow to cancel the attempt and retry.
@@ -136,15 +145,6 @@
     }
 }
 
-/// A report of progress of one attempt.
-#[derive(Clone, Copy)]
-pub(super) struct AttemptProgress {
-    /// Number of the attempt, from 0.
-    pub attempt: u32,
-    /// What it reported.
-    pub progress: Progress,
-}
-
 /// Time that an attempt still takes by its pace (seconds), with `share` of the work done (0 to 1).
 fn project_remaining(now: f64, attempt: &mut Attempt, share: f64) -> f64 {
     let mark = *attempt.progress_since.get_or_insert(ProgressMark { at: now, share_done: share });
--- a/src/policy/request_state.rs
+++ b/src/policy/request_state.rs
@@ -1,6 +1,6 @@
 //! State of requests and of their attempts, from arrival until nothing is in flight any more.
 
-use super::{ClassSettings, EngineId, Idempotency, Query, RequestId};
+use super::{ClassSettings, DedupScope, EngineId, Idempotency, Query, RequestId};
 use std::collections::BTreeMap;
 use std::ops::Index;
 use std::sync::Arc;
@@ -114,8 +114,7 @@
     /// Whether a rejection can promise the client that a retry is harmless.
     pub fn is_retry_harmless(&self, class: &ClassSettings) -> bool {
         let never_ran = !self.attempts.iter().any(Attempt::may_have_run);
-        let deduplicated =
-            class.idempotency == Idempotency::WithKey && class.dedup_scope == super::DedupScope::All;
+        let deduplicated = class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All;
         never_ran || class.idempotency == Idempotency::Always || deduplicated
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,6 +1,6 @@
 //! Retry budget: a limit on retries and hedged requests over a sliding window (rule 7).
 
-use super::engine_state::AttemptKey;
+use super::engine_state::{AttemptKey, EXPIRY_MARGIN_S};
 use super::Settings;
 
 /// An attempt beyond its request's first.
@@ -50,7 +50,7 @@
     /// Forgets what is past the window.
     pub fn expire(&mut self, now: f64, settings: &Settings) {
         if let Some(budget) = settings.retry_budget {
-            let from = now - budget.window - 1.0;
+            let from = now - budget.window - EXPIRY_MARGIN_S;
             self.retries.retain(|retry| retry.sent_at > from);
             self.accepted.retain(|at| *at >= from);
         }
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -29,10 +29,11 @@
 pub struct ClassSettings {
     /// Name of the class.
     pub name: String,
-    /// Constant part of the latency objective (seconds); the whole adds `objective_stretch` times the
-    /// unhindered delay. A request served within it earns its full weight.
+    /// Constant part of the latency objective (seconds); the whole adds `objective_stretch` times the service
+    /// time, which a request takes on an engine without other work. A request served within it earns its full
+    /// weight.
     pub latency_objective: f64,
-    /// Part of the latency objective that grows with the unhindered delay (ratio).
+    /// Part of the latency objective that grows with the service time (ratio).
     pub objective_stretch: f64,
     /// How long a client waits in all (seconds).
     pub client_timeout: f64,
--- a/tests/example.rs
+++ b/tests/example.rs
@@ -16,8 +16,8 @@
     let mut d = two_engines();
     assert!(d.subscribed);
     d.feed(query("q"));
-    assert!(["e1", "e2"].contains(&&*d.calls[0].engine));
-    assert!(d.calls.len() == 1 && d.calls[0].memory == Some(64.0) && d.calls[0].rank <= 3);
+    assert!(["e1", "e2"].contains(&&*d.attempts[0].engine));
+    assert!(d.attempts.len() == 1 && d.attempts[0].memory == Some(64.0) && d.attempts[0].rank <= 3);
     d.wait(0.1);
     d.end(0, Outcome::Ok);
     assert_eq!(d.answers[&RequestId::from("q")], Answer::Served);
@@ -28,7 +28,7 @@
     let mut d = two_engines();
     d.feed(query("q"));
     d.feed(Event::Progress { id: "q".into(), attempt: 0, progress: Progress::Spills(100.0) });
-    assert_eq!((d.calls.len(), d.calls[0].attempt, d.calls[0].memory), (1, 1, Some(164.0)));
+    assert_eq!((d.attempts.len(), d.attempts[0].attempt, d.attempts[0].memory), (1, 1, Some(164.0)));
 }
 
 #[test]
@@ -37,6 +37,6 @@
     d.feed(query("q"));
     d.wait(3.0);
     assert!(matches!(d.answers[&RequestId::from("q")], Answer::Rejected(Some(_))));
-    assert!(d.calls.is_empty(), "what was out is cancelled");
+    assert!(d.attempts.is_empty(), "what was out is cancelled");
     assert!(!d.log.is_empty(), "silent engines are ejected, and the log says so");
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -164,7 +164,7 @@
     assert!(!refused(&out) && !failed(&out), "what runs on may still be answered");
     assert_eq!(sent_to(&w.end("r", 0, Outcome::Unreachable)), ["e3"]);
     w.end("r", 1, Outcome::Ok);
-    assert_eq!(w.gateway.known(), StateCounts { requests: 0, engines: 1, order_keys: 0 });
+    assert_eq!(w.gateway.state_counts(), StateCounts { requests: 0, engines: 1, order_keys: 0 });
 }
 
 #[test]
@@ -281,7 +281,7 @@
     }
     w.list(ListScope::Complete, vec![]);
     w.wait(12.0);
-    assert_eq!(w.gateway.known(), StateCounts { requests: 0, engines: 0, order_keys: 0 });
+    assert_eq!(w.gateway.state_counts(), StateCounts { requests: 0, engines: 0, order_keys: 0 });
 }
 
 #[test]
@@ -498,7 +498,7 @@
     assert!(refused(&out) && failed(&out), "one may be asked again, the other may have run");
     w.end("r", 0, Outcome::Reset);
     w.end("s", 0, Outcome::Reset);
-    assert_eq!(w.gateway.known().requests, 0);
+    assert_eq!(w.gateway.state_counts().requests, 0);
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,7 +13,7 @@
     assert!(refused(&end));
     assert!(w.event(Event::Timer(1)).is_empty(), "no second answer");
     assert!(w.end("r", 0, Outcome::Timeout).is_empty(), "nothing more is sent or answered");
-    assert_eq!(w.gateway.known().requests, 0);
+    assert_eq!(w.gateway.state_counts().requests, 0);
 }
 
 #[test]
