--- a/src/failpoints.rs
+++ b/src/failpoints.rs
@@ -1,41 +1,62 @@
-//! Named points at which a test ends or stops the program in the middle of its work. In the daemon's build there are none.
+//! Named points at which a test kills or stops the process in the middle of its work. The daemon's own build has none.
 
-/// Comes to a point.
+/// Marks a failpoint.
 #[cfg(not(feature = "points"))]
 pub fn reach(_: &str) {}
 
-/// Comes to a point.
+/// Marks a failpoint.
 #[cfg(feature = "points")]
 pub fn reach(name: &str) {
     fail::eval::<(), _>(name, |_| ());
 }
 
-/// Without the points there is nothing to set.
+/// Without failpoints there is nothing to configure.
 #[cfg(not(feature = "points"))]
-pub fn set() {}
+pub fn configure() {}
 
-/// Sets what the environment says, to end there or to stop: `point`, or `point@3` for the third time that the program
-/// comes there.
+/// Configures the failpoints that the environment names: `DAHLIASPOKE_KILL_AT=NAME` kills the process there, and
+/// `DAHLIASPOKE_STOP_AT=NAME` stops it; `NAME@3` means the third time that it reaches the point.
 #[cfg(feature = "points")]
-pub fn set() {
-    use rustix::process::Signal;
+pub fn configure() {
+    active::configure();
+}
+
+#[cfg(feature = "points")]
+mod active {
+    use rustix::process::{getpid, kill_process, Signal};
     use std::sync::atomic::{AtomicUsize, Ordering};
-    for (variable, signal) in [("DAHLIASPOKE_KILL_AT", Signal::KILL), ("DAHLIASPOKE_STOP_AT", Signal::STOP)] {
-        let Ok(said) = std::env::var(variable) else { continue };
-        let (name, times) = said.split_once('@').unwrap_or((&said, "1"));
-        let times = times.parse().unwrap_or(1usize);
-        let come = AtomicUsize::new(0);
-        let met = move || {
-            if come.fetch_add(1, Ordering::SeqCst) + 1 == times {
-                // One that is killed does not come back; one that is stopped goes on from here.
-                let _ = rustix::process::kill_process(rustix::process::getpid(), signal);
-                if signal == Signal::KILL {
-                    loop {
-                        std::thread::park();
-                    }
-                }
+
+    /// Names the failpoint at which the process is killed.
+    const KILL_VARIABLE: &str = "DAHLIASPOKE_KILL_AT";
+    /// Names the failpoint at which the process is stopped.
+    const STOP_VARIABLE: &str = "DAHLIASPOKE_STOP_AT";
+
+    pub fn configure() {
+        configure_from(KILL_VARIABLE, Signal::KILL);
+        configure_from(STOP_VARIABLE, Signal::STOP);
+    }
+
+    /// Sends `signal` to this process at the failpoint that the variable names.
+    fn configure_from(variable: &str, signal: Signal) {
+        let Ok(value) = std::env::var(variable) else { return };
+        let (name, count) = value.split_once('@').unwrap_or((&value, "1"));
+        let count = count.parse().unwrap_or(1usize);
+        let reached = AtomicUsize::new(0);
+        let on_reached = move || {
+            if reached.fetch_add(1, Ordering::SeqCst) + 1 == count {
+                send(signal);
             }
         };
-        fail::cfg_callback(name, met).unwrap_or_else(|e| println!("{name}: {e}"));
+        fail::cfg_callback(name, on_reached).unwrap_or_else(|error| println!("{name}: {error}"));
+    }
+
+    /// A process that is killed does not come back; one that is stopped goes on from here.
+    fn send(signal: Signal) {
+        let _ = kill_process(getpid(), signal);
+        if signal == Signal::KILL {
+            loop {
+                std::thread::park();
+            }
+        }
     }
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,10 +1,11 @@
-//! What the program says on standard output: lines of text, or JSON objects where `deploy/log.toml` wants them.
+//! The program's log on standard output: lines of text, or JSON objects where `deploy/log.toml` wants them.
 //!
-//! An event's `at` is the daemon's own clock (Unix seconds), and `part` who says it; both may be absent.
+//! An event's `at` is the daemon's own clock (Unix seconds), and its `part` the component that logs; both may be absent.
 
 use crate::config::optional;
 use serde::Deserialize;
 use std::fmt::{self, Write};
+use thiserror::Error;
 use tracing::field::{Field, Visit};
 use tracing::{Event, Subscriber};
 use tracing_subscriber::fmt::format::{FormatEvent, FormatFields, Writer};
@@ -14,7 +15,7 @@
 /// Where the file is, from the folder that the daemon is started in.
 pub const FILE: &str = "deploy/log.toml";
 
-/// The file's content.
+/// The content of [`FILE`].
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
@@ -30,44 +31,94 @@
     Json,
 }
 
-/// Takes the program's events from here on.
+/// Why the log could not be opened.
+#[derive(Debug, Error)]
+pub enum LogError {
+    /// The file is wrong; the text names file, line and key.
+    #[error("{0}")]
+    Configuration(String),
+}
+
+/// Writes the program's events to standard output from here on.
 ///
 /// # Errors
-/// Where the file is wrong, with line and key.
-pub fn start() -> Result<(), String> {
-    let Config { format } = optional(FILE)?.unwrap_or_default();
-    // A second start in one process, as tests may do, keeps the first.
+/// Where [`FILE`] is wrong.
+pub fn init() -> Result<(), LogError> {
+    let config = optional(FILE).map_err(|error| LogError::Configuration(error.to_string()))?;
+    let Config { format } = config.unwrap_or_default();
+    // A second call in one process, as tests may make, keeps the first subscriber.
     let _ = tracing_subscriber::fmt().event_format(format).with_writer(std::io::stdout).try_init();
     Ok(())
 }
 
+/// A field of an event that has no place of its own in a line.
+struct ExtraField {
+    name: &'static str,
+    value: String,
+}
+
+/// The fields of one event.
 #[derive(Default)]
-struct Fields {
+struct EventFields {
+    /// Unix seconds.
     at: Option<f64>,
     part: String,
     message: String,
-    others: Vec<(&'static str, String)>,
+    extra: Vec<ExtraField>,
+}
+
+impl EventFields {
+    fn add(&mut self, name: &'static str, value: String) {
+        self.extra.push(ExtraField { name, value });
+    }
+
+    fn write_text(&self, out: &mut Writer<'_>) -> fmt::Result {
+        let mut line = self.at.map_or(String::new(), |at| format!("{at:.3} "));
+        if !self.part.is_empty() {
+            write!(line, "{}: ", self.part)?;
+        }
+        line += &self.message;
+        for ExtraField { name, value } in &self.extra {
+            write!(line, " {name}={value}")?;
+        }
+        // One line for each event, whatever a value holds.
+        writeln!(out, "{}", line.replace(['\r', '\n'], " "))
+    }
+
+    fn write_json(self, level: &str, out: &mut Writer<'_>) -> fmt::Result {
+        let mut object = serde_json::Map::new();
+        object.extend(self.at.map(|at| ("at".into(), at.into())));
+        object.insert("level".into(), level.to_lowercase().into());
+        if !self.part.is_empty() {
+            object.insert("part".into(), self.part.into());
+        }
+        object.insert("message".into(), self.message.into());
+        for ExtraField { name, value } in self.extra {
+            object.insert(name.into(), value.into());
+        }
+        writeln!(out, "{}", serde_json::Value::Object(object))
+    }
 }
 
-impl Visit for Fields {
+impl Visit for EventFields {
     fn record_f64(&mut self, field: &Field, value: f64) {
         match field.name() {
             "at" => self.at = Some(value),
-            name => self.others.push((name, value.to_string())),
+            name => self.add(name, value.to_string()),
         }
     }
 
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "part" => self.part = value.into(),
-            name => self.others.push((name, value.into())),
+            name => self.add(name, value.into()),
         }
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
             "message" => self.message = format!("{value:?}"),
-            name => self.others.push((name, format!("{value:?}"))),
+            name => self.add(name, format!("{value:?}")),
         }
     }
 }
@@ -78,34 +129,11 @@
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut fields = Fields::default();
+        let mut fields = EventFields::default();
         event.record(&mut fields);
         match self {
-            Format::Text => {
-                let mut line = fields.at.map_or(String::new(), |at| format!("{at:.3} "));
-                if !fields.part.is_empty() {
-                    write!(line, "{}: ", fields.part)?;
-                }
-                line += &fields.message;
-                for (name, value) in &fields.others {
-                    write!(line, " {name}={value}")?;
-                }
-                // One line an event, whatever a value holds.
-                writeln!(out, "{}", line.replace(['\r', '\n'], " "))
-            }
-            Format::Json => {
-                let mut object = serde_json::Map::new();
-                object.extend(fields.at.map(|at| ("at".into(), at.into())));
-                object.insert("level".into(), event.metadata().level().as_str().to_lowercase().into());
-                if !fields.part.is_empty() {
-                    object.insert("part".into(), fields.part.into());
-                }
-                object.insert("message".into(), fields.message.into());
-                for (name, value) in fields.others {
-                    object.insert(name.into(), value.into());
-                }
-                writeln!(out, "{}", serde_json::Value::Object(object))
-            }
+            Format::Text => fields.write_text(&mut out),
+            Format::Json => fields.write_json(event.metadata().level().as_str(), &mut out),
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -24,10 +24,11 @@
     "without words, starts as NODE_CONFIG says; `check FILE` checks a file of deploy/, or the configuration";
 
 fn main() -> ExitCode {
-    failpoints::set();
+    failpoints::configure();
     let words: Vec<String> = std::env::args().skip(1).collect();
     let end = match words.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
-        [] => log::start()
+        [] => log::init()
+            .map_err(|error| error.to_string())
             .and_then(|()| config::Config::from_env())
             .and_then(|config| daemon::Daemon::start(config)?.run()),
         ["check", file] => check::file(file).map(|said| println!("{file}: {said}")),
--- a/src/shared_file.rs
+++ b/src/shared_file.rs
@@ -1,4 +1,4 @@
-//! A file on a thread of its own. A disk may hold a call up for seconds, and the loop must not wait for it.
+//! A small file with a thread of its own. A disk may delay a call for seconds, and the event loop must not wait for it.
 
 use rustix::fs::{Mode, OFlags};
 use std::fs::File;
@@ -6,66 +6,78 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, Sender};
 
+/// What the thread is to do.
 enum Task {
-    /// See whether another process has replaced it.
-    Look,
+    /// Read the file, to see whether another process has replaced it.
+    Read,
+    /// Replace its content.
     Replace(Vec<u8>),
 }
 
-enum News {
-    Looked(Option<Vec<u8>>),
+/// A task that the thread has done.
+enum Completion {
+    /// The content, where it is not what was read or written here last.
+    Read(Option<Vec<u8>>),
+    /// The content was replaced, or that failed.
     Replaced(io::Result<()>),
 }
 
 /// A small file that other processes may replace as well.
 pub struct SharedFile {
     tasks: Sender<Task>,
-    news: Receiver<News>,
-    /// What was asked for and is not done yet.
-    looks: usize,
-    writes: usize,
+    completions: Receiver<Completion>,
+    /// Reads that are not complete yet.
+    pending_reads: usize,
+    /// Replacements that are not complete yet.
+    pending_writes: usize,
 }
 
 impl SharedFile {
-    /// With what it holds now, if it is there.
+    /// Starts the thread; returns the content as well, if the file is there.
     pub fn open(path: PathBuf) -> (Self, Option<Vec<u8>>) {
-        let first = read(&path);
-        let ((tasks, asked), (tell, news)) = (channel(), channel());
-        let held = first.clone();
+        let content = read(&path);
+        let (tasks, task_queue) = channel();
+        let (completion_queue, completions) = channel();
+        let worker =
+            Worker { path, content: content.clone(), tasks: task_queue, completions: completion_queue };
         // It ends with the program, or with the channel.
-        std::thread::spawn(move || keep(&path, held, &asked, &tell));
-        (Self { tasks, news, looks: 0, writes: 0 }, first)
+        std::thread::spawn(move || worker.run());
+        (Self { tasks, completions, pending_reads: 0, pending_writes: 0 }, content)
     }
 
-    /// Puts these bytes in its place, soon.
+    /// Replaces the content, soon.
     pub fn replace(&mut self, bytes: Vec<u8>) {
-        self.writes += usize::from(self.tasks.send(Task::Replace(bytes)).is_ok());
+        self.pending_writes += usize::from(self.tasks.send(Task::Replace(bytes)).is_ok());
     }
 
-    /// What another process has put in its place since, as far as that is known, and has it looked at again.
+    /// The content that another process has put in place since the last call, as far as that is known, and starts the next
+    /// read.
+    ///
+    /// # Errors
+    /// Where an earlier replacement failed.
     pub fn look(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let (mut latest, mut failed) = (None, Ok(()));
-        while let Ok(news) = self.news.try_recv() {
-            match news {
-                News::Looked(found) => {
-                    self.looks -= 1;
+        let (mut latest, mut written) = (None, Ok(()));
+        while let Ok(completion) = self.completions.try_recv() {
+            match completion {
+                Completion::Read(found) => {
+                    self.pending_reads -= 1;
                     // What was found before one's own bytes were there is about to be replaced.
-                    latest = found.filter(|_| self.writes == 0).or(latest);
+                    latest = found.filter(|_| self.pending_writes == 0).or(latest);
                 }
-                News::Replaced(done) => {
-                    self.writes -= 1;
-                    failed = failed.and(done);
+                Completion::Replaced(result) => {
+                    self.pending_writes -= 1;
+                    written = written.and(result);
                 }
             }
         }
-        if self.looks == 0 {
-            self.looks += usize::from(self.tasks.send(Task::Look).is_ok());
+        if self.pending_reads == 0 {
+            self.pending_reads += usize::from(self.tasks.send(Task::Read).is_ok());
         }
-        failed.map(|()| latest)
+        written.map(|()| latest)
     }
 }
 
-/// Reads it without a note of that on the disk, which would be a write: a start must not wait either.
+/// Reads the file without an access time on the disk, which would be a write: a start must not wait for that either.
 fn read(path: &Path) -> Option<Vec<u8>> {
     let flags = OFlags::RDONLY | OFlags::NOATIME | OFlags::CLOEXEC;
     let mut bytes = Vec::new();
@@ -73,24 +85,40 @@
     Some(bytes)
 }
 
-fn keep(path: &Path, mut held: Option<Vec<u8>>, asked: &Receiver<Task>, tell: &Sender<News>) {
-    while let Ok(task) = asked.recv() {
-        let news = match task {
-            Task::Look => {
-                let found = read(path).filter(|bytes| held.as_ref() != Some(bytes));
-                held = found.clone().or(held);
-                News::Looked(found)
-            }
-            Task::Replace(bytes) => {
-                // Whole or not at all: others read it at any time.
-                let part = path.with_extension(std::process::id().to_string());
-                let done = std::fs::write(&part, &bytes).and_then(|()| std::fs::rename(&part, path));
-                held = Some(bytes);
-                News::Replaced(done)
+/// The thread's side.
+struct Worker {
+    path: PathBuf,
+    /// What was read or written last.
+    content: Option<Vec<u8>>,
+    tasks: Receiver<Task>,
+    completions: Sender<Completion>,
+}
+
+impl Worker {
+    fn run(mut self) {
+        while let Ok(task) = self.tasks.recv() {
+            let completion = match task {
+                Task::Read => Completion::Read(self.read_changed()),
+                Task::Replace(bytes) => Completion::Replaced(self.replace(bytes)),
+            };
+            if self.completions.send(completion).is_err() {
+                return;
             }
-        };
-        if tell.send(news).is_err() {
-            return;
         }
     }
+
+    fn read_changed(&mut self) -> Option<Vec<u8>> {
+        let found = read(&self.path).filter(|bytes| self.content.as_ref() != Some(bytes))?;
+        self.content = Some(found.clone());
+        Some(found)
+    }
+
+    /// Replaces the file whole or not at all: others read it at any time.
+    fn replace(&mut self, bytes: Vec<u8>) -> io::Result<()> {
+        let temporary = self.path.with_extension(std::process::id().to_string());
+        let result =
+            std::fs::write(&temporary, &bytes).and_then(|()| std::fs::rename(&temporary, &self.path));
+        self.content = Some(bytes);
+        result
+    }
 }
