--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,4 @@
-//! `dahliaspoke check FILE`: whether a file would be taken, without a start.
+//! `dahliaspoke check FILE`: whether a file would be accepted, without a start.
 
 use crate::body_store::Bodies;
 use crate::config::{parsed, Config};
@@ -6,30 +6,85 @@
 use crate::mysql::config::Mysql;
 use crate::{core, log, store};
 use serde::de::DeserializeOwned;
+use std::io;
 use std::path::Path;
+use thiserror::Error;
 
-/// What is wrong with a file, by its name; a word on it where nothing is.
-pub fn file(path: &str) -> Result<String, String> {
+/// The ending of examples: an example is checked as the file that it stands for.
+const EXAMPLE_SUFFIX: &str = ".example";
+
+/// Why a file would not be accepted.
+#[derive(Debug, Error)]
+pub enum CheckError {
+    /// The file cannot be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file is no JSON.
+    #[error("{path}: not JSON: {source}")]
+    NotJson {
+        /// The file.
+        path: String,
+        /// Where and why.
+        source: serde_json::Error,
+    },
+    /// The file's keys or values are wrong.
+    #[error("{path}: {reason}")]
+    Invalid {
+        /// The file.
+        path: String,
+        /// The key, and what is wrong with it.
+        reason: String,
+    },
+    /// The file's syntax, or a single key of it, is wrong; the text names file, line and key.
+    #[error("{0}")]
+    Unparsable(String),
+    /// The daemon reads no file of that name.
+    #[error("{path}: no file of ours has that name")]
+    UnknownName {
+        /// The file.
+        path: String,
+    },
+}
+
+/// Checks the file at `path` as the one that its name says. What depends on the settings is checked at the start only.
+///
+/// # Errors
+/// What is wrong with the file.
+pub fn check_file(path: &str) -> Result<(), CheckError> {
     let name = Path::new(path).file_name().and_then(|name| name.to_str()).unwrap_or_default();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    // An example is checked as the file that it stands for.
-    match name.strip_suffix(".example").unwrap_or(name) {
-        "store.toml" => parsed::<store::Config>(path, &text)?.check().map_err(|e| format!("{path}: {e}"))?,
-        "consul.toml" => reads::<consul::Config>(path, &text)?,
-        "log.toml" => reads::<log::Config>(path, &text)?,
-        "trace.toml" => reads::<core::Trace>(path, &text)?,
-        "bodies.toml" => reads::<Bodies>(path, &text)?,
-        "mysql.toml" => reads::<Mysql>(path, &text)?,
-        name if name.ends_with(".json") => {
-            let value = serde_json::from_str(&text).map_err(|e| format!("{path}: not JSON: {e}"))?;
-            Config::read(&value).map_err(|e| format!("{path}: {e}"))?;
-        }
-        _ => return Err(format!("{path}: no file of ours has that name")),
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| CheckError::Unreadable { path: path.into(), source })?;
+    match name.strip_suffix(EXAMPLE_SUFFIX).unwrap_or(name) {
+        "store.toml" => check_store(path, &text),
+        "consul.toml" => parse::<consul::Config>(path, &text).map(drop),
+        "log.toml" => parse::<log::Config>(path, &text).map(drop),
+        "trace.toml" => parse::<core::Trace>(path, &text).map(drop),
+        "bodies.toml" => parse::<Bodies>(path, &text).map(drop),
+        "mysql.toml" => parse::<Mysql>(path, &text).map(drop),
+        name if name.ends_with(".json") => check_configuration(path, &text),
+        _ => Err(CheckError::UnknownName { path: path.into() }),
     }
-    // What hangs on the settings is checked at the start.
-    Ok("it can be read".into())
 }
 
-fn reads<T: DeserializeOwned>(path: &str, text: &str) -> Result<(), String> {
-    parsed::<T>(path, text).map(|_| ())
+fn parse<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, CheckError> {
+    parsed(path, text).map_err(|error| CheckError::Unparsable(error.to_string()))
+}
+
+fn check_store(path: &str, text: &str) -> Result<(), CheckError> {
+    let config: store::Config = parse(path, text)?;
+    config.check().map_err(|error| CheckError::Invalid { path: path.into(), reason: error.to_string() })
+}
+
+fn check_configuration(path: &str, text: &str) -> Result<(), CheckError> {
+    let value =
+        serde_json::from_str(text).map_err(|source| CheckError::NotJson { path: path.into(), source })?;
+    match Config::read(&value) {
+        Ok(_) => Ok(()),
+        Err(error) => Err(CheckError::Invalid { path: path.into(), reason: error.to_string() }),
+    }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! dahliaspoke: the coordinator before the query engines, round the decision module in the library.
+//! dahliaspoke: the coordinator before the query engines, around the decision module in the library.
 #![forbid(unsafe_code)]
 
 mod admin;
@@ -18,27 +18,91 @@
 mod store;
 mod upstream;
 
+use check::CheckError;
+use clap::{Parser, Subcommand};
+use config::Config;
+use daemon::Daemon;
+use log::LogError;
 use std::process::ExitCode;
+use thiserror::Error;
 
-const USAGE: &str =
-    "without words, starts as NODE_CONFIG says; `check FILE` checks a file of deploy/, or the configuration";
+/// How clap begins the text of a usage error.
+const USAGE_ERROR_PREFIX: &str = "error: ";
+
+/// The coordinator before the query engines. Without a command it starts as the file that `NODE_CONFIG` names says.
+#[derive(Debug, Parser)]
+#[command(name = "dahliaspoke")]
+struct CommandLine {
+    #[command(subcommand)]
+    command: Option<Command>,
+}
+
+#[derive(Debug, Subcommand)]
+enum Command {
+    /// Checks a file of `deploy/`, or the configuration, without a start.
+    Check {
+        /// The file; its name says what it must hold.
+        file: String,
+    },
+}
+
+/// Why the program fails.
+#[derive(Debug, Error)]
+enum MainError {
+    /// The log could not be opened.
+    #[error(transparent)]
+    Log(#[from] LogError),
+    /// The configuration could not be read.
+    #[error("{0}")]
+    Configuration(String),
+    /// The daemon could not start, or not go on.
+    #[error("{0}")]
+    Daemon(String),
+    /// The checked file would not be accepted.
+    #[error(transparent)]
+    Check(#[from] CheckError),
+}
 
 fn main() -> ExitCode {
     failpoints::configure();
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let end = match words.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
-        [] => log::init()
-            .map_err(|error| error.to_string())
-            .and_then(|()| config::Config::from_env())
-            .and_then(|config| daemon::Daemon::start(config)?.run()),
-        ["check", file] => check::file(file).map(|said| println!("{file}: {said}")),
-        _ => Err(USAGE.into()),
+    let command_line = match CommandLine::try_parse() {
+        Ok(command_line) => command_line,
+        Err(error) => return answer_unparsed(&error),
     };
-    match end {
+    let result = match command_line.command {
+        None => run(),
+        Some(Command::Check { file }) => check(&file),
+    };
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("dahliaspoke: {message}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(error),
+    }
+}
+
+/// Runs the daemon until it is told to shut down.
+fn run() -> Result<(), MainError> {
+    log::init()?;
+    let config = Config::from_env().map_err(|error| MainError::Configuration(error.to_string()))?;
+    Daemon::start(config).and_then(Daemon::run).map_err(MainError::Daemon)
+}
+
+fn check(file: &str) -> Result<(), MainError> {
+    check::check_file(file)?;
+    println!("{file}: it can be read");
+    Ok(())
+}
+
+/// Prints the help, where it was asked for; else the command line is wrong.
+fn answer_unparsed(error: &clap::Error) -> ExitCode {
+    if error.use_stderr() {
+        let text = error.to_string();
+        return fail(text.strip_prefix(USAGE_ERROR_PREFIX).unwrap_or(&text).trim_end());
     }
+    print!("{error}");
+    ExitCode::SUCCESS
+}
+
+fn fail(error: impl std::fmt::Display) -> ExitCode {
+    eprintln!("dahliaspoke: {error}");
+    ExitCode::FAILURE
 }
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The daemon's own words: `check FILE`, and what it says in JSON.
+//! The daemon's command line and log: `check FILE`, usage errors, a start that fails, JSON lines.
 
 mod daemon;
 use daemon::*;
@@ -62,3 +62,45 @@
         assert!(object["message"].is_string() && object["level"] == "info", "{line}");
     }
 }
+
+/// Runs the program to its end: its exit code, and what it writes to standard error.
+fn failure(arguments: &[&str], configuration: Option<&std::path::Path>) -> (Option<i32>, String) {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dahliaspoke"));
+    command
+        .args(arguments)
+        .env_remove("NODE_CONFIG")
+        .env_remove("NODE_CONSOLE")
+        .env_remove("NODE_INHERITED_FD");
+    if let Some(path) = configuration {
+        command.env("NODE_CONFIG", path);
+    }
+    let output = command.output().expect("the program starts");
+    (output.status.code(), String::from_utf8(output.stderr).expect("text"))
+}
+
+#[test]
+fn a_wrong_command_line_is_reported_and_fails() {
+    for arguments in [&["start"][..], &["check"], &["check", "a", "b"], &["--colour"], &[""]] {
+        let (code, text) = failure(arguments, None);
+        assert_eq!(code, Some(1), "{arguments:?}: {text}");
+        assert!(text.starts_with("dahliaspoke: ") && text.ends_with('\n'), "{arguments:?}: {text}");
+    }
+}
+
+#[test]
+fn a_start_that_fails_says_why_in_one_line() {
+    let missing = failure(&[], None);
+    assert_eq!(missing, (Some(1), "dahliaspoke: NODE_CONFIG: environment variable not found\n".into()));
+    let occupant = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let taken = occupant.local_addr().expect("bound");
+    let text = config(&[], "127.0.0.1:1".parse().expect("an address"));
+    let path = std::env::temp_dir().join(format!("dahliaspoke-start-{}.json", std::process::id()));
+    for key in ["listen", "console"] {
+        let other = text.replace(&format!("\"{key}\":\"127.0.0.1:0\""), &format!("\"{key}\":\"{taken}\""));
+        std::fs::write(&path, other).expect("written");
+        let (code, text) = failure(&[], Some(&path));
+        assert_eq!(code, Some(1), "{text}");
+        assert_eq!(text, format!("dahliaspoke: {key} {taken}: Address already in use (os error 98)\n"));
+    }
+    std::fs::remove_file(path).expect("it was there");
+}
