--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,86 +1,100 @@
-//! The operators' door: HTTP/1.1, one call a connection. It decodes calls and encodes answers; the daemon
-//! carries them out.
+//! The admin interface for operators: HTTP/1.1, one call a connection. It decodes calls and encodes responses; the daemon
+//! carries the calls out.
+
+mod command;
+mod response;
+
+pub use command::Command;
+pub use response::Response;
 
 use crate::limits::Limits;
 use crate::listener::http::codec::{self, Bad, Read};
 use crate::listener::server::{ClientConnection, Server, State};
 use crate::net::{BufferedStream, Connection, Flow, Poller, Time, Token};
-use dahliaspoke::policy::EngineId;
 use std::collections::VecDeque;
 use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// What an operator asks for.
+/// Status of a call that is not whole in time.
+const REQUEST_TIMEOUT: u16 = 408;
+/// Status of a call whose body is too large.
+const CONTENT_TOO_LARGE: u16 = 413;
+/// The number of a listener's route in requests; calls of operators become none.
+const NO_ROUTE: usize = 0;
+
+/// A call that waits for its response.
 #[derive(Debug)]
-pub enum Command {
-    Health,
-    Stats,
-    /// Leave the engine out.
-    Ban(EngineId),
-    /// It may serve again.
-    Lift(EngineId),
+pub struct Call {
+    /// The connection that it came by.
+    pub connection: Token,
+    /// What the operator wants.
+    pub command: Command,
 }
 
-/// What all callers have in common.
+/// What all connections of operators share.
 pub struct Shared {
     state: State,
-    commands: VecDeque<(Token, Command)>,
+    calls: VecDeque<Call>,
 }
 
 /// An operator's connection.
-pub struct Caller {
-    channel: BufferedStream,
+pub struct AdminConnection {
+    stream: BufferedStream,
     token: Token,
-    since: Time,
-    until: Time,
-    /// Its call is read; what still comes is passed over.
+    accepted_at: Time,
+    /// When it is closed, at the latest.
+    deadline: Time,
+    /// Its call is read; bytes behind it are passed over.
     called: bool,
 }
 
-pub type AdminInterface = Server<Caller>;
+/// The admin interface: a listener and its connections.
+pub type AdminInterface = Server<AdminConnection>;
 
 impl AdminInterface {
-    pub fn open(part: u8, socket: TcpListener, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
-        Self::new(part, socket, Shared { state: State::new(0, limits), commands: VecDeque::new() }, poller)
+    /// Opens it on a listening socket. `owner` is the owner number in tokens.
+    ///
+    /// # Errors
+    /// Where the system refuses to have the socket watched.
+    pub fn open(owner: u8, socket: TcpListener, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
+        let shared = Shared { state: State::new(NO_ROUTE, limits), calls: VecDeque::new() };
+        Self::new(owner, socket, shared, poller)
     }
 
-    /// The next call, and whose it is.
-    pub fn command(&mut self) -> Option<(Token, Command)> {
-        self.shared.commands.pop_front()
+    /// The next call, in order of arrival.
+    pub fn next_call(&mut self) -> Option<Call> {
+        self.shared.calls.pop_front()
     }
 
-    /// Answers a call: the status says yes or no.
-    pub fn tell(&mut self, now: Time, token: Token, status: u16, text: &str) {
-        self.reply(now, token, |caller, shared| caller.finish(now, status, text, shared));
+    /// Answers a call, if its connection is still there.
+    pub fn respond(&mut self, now: Time, connection: Token, response: &Response) {
+        self.reply(now, connection, |operator, shared| {
+            operator.finish(now, response.status(), &response.body(), shared)
+        });
     }
 }
 
-impl ClientConnection for Caller {
-    fn accepted(now: Time, channel: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
-        Some(Caller {
-            channel,
-            token,
-            since: now,
-            until: now + shared.state.limits.clients.request_timeout,
-            called: false,
-        })
+impl ClientConnection for AdminConnection {
+    fn accepted(now: Time, stream: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
+        let deadline = now + shared.state.limits.clients.request_timeout;
+        Some(AdminConnection { stream, token, accepted_at: now, deadline, called: false })
     }
 
     fn until(&self) -> Option<Time> {
-        Some(self.until)
+        Some(self.deadline)
     }
 
     fn overdue(&mut self, now: Time, shared: &mut Shared) -> Flow {
         if self.called {
             return Flow::Close;
         }
-        self.finish(now, 408, "", shared)
+        self.finish(now, REQUEST_TIMEOUT, "", shared)
     }
 
-    /// Those that stay silent, or do not take their answer, must not keep others out.
+    /// Operators that stay silent, or do not take their answer, must not keep others out.
     fn spare(&self) -> Option<(bool, Time)> {
-        Some((self.called && self.channel.queued() > 0, self.since))
+        Some((self.called && self.stream.queued() > 0, self.accepted_at))
     }
 
     fn state(shared: &mut Shared) -> &mut State {
@@ -92,32 +106,27 @@
     }
 }
 
-impl Connection for Caller {
+impl Connection for AdminConnection {
     type Shared = Shared;
 
     fn channel(&mut self) -> &mut BufferedStream {
-        &mut self.channel
+        &mut self.stream
     }
 
     fn readable(&mut self, now: Time, shared: &mut Shared) -> Flow {
         if self.called {
-            self.channel.input.clear();
+            self.stream.input.clear();
             return Flow::Open;
         }
-        let status = match codec::read(&self.channel.input, &shared.state.limits) {
-            Ok(Read::Partial { .. }) => return Flow::Open,
-            Ok(Read::Large { .. }) => 413,
-            Ok(Read::Whole(call, _)) => match command(&call.method, &call.path) {
-                Ok(command) => {
-                    self.called = true;
-                    shared.commands.push_back((self.token, command));
-                    return Flow::Open;
-                }
-                Err(Bad(status)) => status,
-            },
-            Err(Bad(status)) => status,
-        };
-        self.finish(now, status, "", shared)
+        match self.read_command(&shared.state.limits) {
+            Ok(None) => Flow::Open,
+            Ok(Some(command)) => {
+                self.called = true;
+                shared.calls.push_back(Call { connection: self.token, command });
+                Flow::Open
+            }
+            Err(Bad(status)) => self.finish(now, status, "", shared),
+        }
     }
 
     fn writable(&mut self, _: Time, _: &mut Shared) -> Flow {
@@ -127,30 +136,23 @@
     fn closed(&mut self, _: Time, _: &mut Shared) {}
 }
 
-impl Caller {
+impl AdminConnection {
+    /// The command in the input, once its call is here whole; else the status that rejects it.
+    fn read_command(&self, limits: &Limits) -> Result<Option<Command>, Bad> {
+        match codec::read(&self.stream.input, limits)? {
+            Read::Partial { .. } => Ok(None),
+            Read::Large { .. } => Err(Bad(CONTENT_TOO_LARGE)),
+            Read::Whole(call, _) => Command::decode(&call.method, &call.path).map(Some),
+        }
+    }
+
+    /// Answers, and closes the connection once the answer is written.
     fn finish(&mut self, now: Time, status: u16, text: &str, shared: &mut Shared) -> Flow {
         self.called = true;
-        self.channel.input = Vec::new();
-        self.channel.push(codec::text(status, text));
-        self.until = now + shared.state.limits.clients.linger_timeout;
-        shared.state.look(self.until, self.token);
+        self.stream.input = Vec::new();
+        self.stream.push(codec::text(status, text));
+        self.deadline = now + shared.state.limits.clients.linger_timeout;
+        shared.state.look(self.deadline, self.token);
         Flow::Finish
     }
 }
-
-fn command(method: &str, path: &str) -> Result<Command, Bad> {
-    let (wanted, command) = match path {
-        "/healthcheck" => ("GET", Command::Health),
-        "/stats" => ("GET", Command::Stats),
-        _ => match path.strip_prefix("/worker-groups/").and_then(|rest| rest.split_once('/')) {
-            Some((id, "maint")) => ("POST", Command::Ban(id.into())),
-            Some((id, "ready")) => ("POST", Command::Lift(id.into())),
-            _ => return Err(Bad(404)),
-        },
-    };
-    if method == wanted {
-        Ok(command)
-    } else {
-        Err(Bad(405))
-    }
-}
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The loop: waits for what is ready or due, lets each part of the daemon work, and carries news between
 //! them and the core.
 
-use crate::admin::{AdminInterface, Command};
+use crate::admin::{AdminInterface, Command, Response};
 use crate::body_store::{self, Bodies};
 use crate::config::{optional, Config};
 use crate::core::{Core, ListenerEvent, Route, Trace, Upstream};
@@ -624,12 +624,12 @@
         }
     }
 
-    /// Leaves an engine out, or calls it back: the status that says whether that was done.
-    fn maintain(&mut self, now: Time, id: EngineId, out: bool) -> (u16, String) {
+    /// Leaves an engine out, or calls it back.
+    fn maintain(&mut self, now: Time, id: EngineId, out: bool) -> Response {
         self.look(now);
         let was = self.bans.since(&id).is_some();
         if !was && self.endpoints.get(&id).is_none() && !self.gone.contains_key(&id) {
-            return (404, format!("no worker group {id}\n"));
+            return Response::UnknownEngine(id);
         }
         if out {
             self.bans.ban(now, &id);
@@ -639,21 +639,21 @@
         if was != out {
             self.banned(now, vec![id]);
         }
-        (200, "done\n".into())
+        Response::Done
     }
 
     /// Carries out what operators ask for.
     fn commands(&mut self, now: Time) {
-        while let Some((token, command)) = self.console.as_mut().and_then(AdminInterface::command) {
-            let (status, text) = match command {
-                Command::Health if self.life != Life::Serving => (503, "leaving\n".to_string()),
-                Command::Health => (200, "ok\n".to_string()),
-                Command::Stats => (200, self.stats(now)),
-                Command::Ban(id) => self.maintain(now, id, true),
-                Command::Lift(id) => self.maintain(now, id, false),
+        while let Some(call) = self.console.as_mut().and_then(AdminInterface::next_call) {
+            let response = match call.command {
+                Command::Health if self.life != Life::Serving => Response::ShuttingDown,
+                Command::Health => Response::Healthy,
+                Command::Statistics => Response::Statistics(self.stats(now)),
+                Command::StartMaintenance(id) => self.maintain(now, id, true),
+                Command::EndMaintenance(id) => self.maintain(now, id, false),
             };
             if let Some(console) = &mut self.console {
-                console.tell(now, token, status, &text);
+                console.respond(now, call.connection, &response);
             }
         }
     }
