--- /dev/null
+++ b/src/daemon/dispatch.rs
@@ -0,0 +1,55 @@
+//! Forwards events between the body store, the listeners, the core and the upstreams.
+
+use super::shutdown::ShutdownState;
+use super::Daemon;
+use crate::core::ListenerEvent;
+use crate::net::Time;
+use dahliaspoke_body_store::spool::Wake;
+
+impl Daemon {
+    /// Forwards events until no part has one.
+    pub(super) fn forward_events(&mut self, now: Time) {
+        while self.forward_next_event(now) {}
+    }
+
+    /// Forwards one event; false where there is none. Events of the body store come first: that a body is gone counts
+    /// before the outcome of its attempt.
+    fn forward_next_event(&mut self, now: Time) -> bool {
+        if let Some(event) = self.next_body_event() {
+            self.forward_body_event(now, &event);
+        } else if let Some(event) = self.handlers.routes.next_listener_event() {
+            self.forward_listener_event(now, event);
+        } else if let Some(event) = self.handlers.routes.next_upstream_event() {
+            self.core.news(now, event, &mut self.handlers.routes.for_core());
+        } else {
+            return false;
+        }
+        true
+    }
+
+    fn next_body_event(&mut self) -> Option<Wake> {
+        self.handlers.body_store.as_ref().and_then(|store| store.borrow_mut().take())
+    }
+
+    fn forward_body_event(&mut self, now: Time, event: &Wake) {
+        let routes = &mut self.handlers.routes;
+        match event {
+            Wake::Data(reader) => routes.wake_reader(now, *reader),
+            Wake::Spent(body) => self.core.spent(now, *body, &mut routes.for_core()),
+            Wake::Room(body) | Wake::Kept(body) | Wake::Passed(body) | Wake::Lost(body) => {
+                routes.wake_upload(now, *body, event);
+            }
+        }
+    }
+
+    fn forward_listener_event(&mut self, now: Time, mut event: ListenerEvent) {
+        if let ListenerEvent::Request(request) = &mut event {
+            // A client's time runs from when it sent the request, and that may have been before a suspension.
+            request.deadline -= now - self.suspend_detector.came(now);
+            if matches!(self.shutdown, ShutdownState::Flushing { .. }) {
+                request.deadline = now; // it is rejected at once
+            }
+        }
+        self.core.front_event(now, event, &mut self.handlers.routes.for_core());
+    }
+}
--- /dev/null
+++ b/src/daemon/endpoint_updates.rs
@@ -0,0 +1,128 @@
+//! Updates of the endpoint set: from discovery, from the store, and by the expiry of the lease.
+
+use super::Daemon;
+use crate::discovery::{endpoint_json, Endpoint, EndpointChanges, EndpointSet};
+use crate::net::Time;
+use crate::store;
+use dahliaspoke::policy::{EngineEntry, EngineId, Lifecycle, ListScope};
+use std::collections::HashMap;
+
+/// The endpoint set as this process was last notified of it.
+#[derive(Default)]
+pub struct KnownEndpoints {
+    current: EndpointSet,
+    /// Engines that have left the set, and when: one that restarts is not unknown meanwhile.
+    departed: HashMap<EngineId, Time>,
+    lease_expired: bool,
+}
+
+impl KnownEndpoints {
+    /// Applies changed endpoints. Departures are forgotten after `retention` (s).
+    fn apply(&mut self, now: Time, changes: &[Endpoint], retention: Time) {
+        self.current.change(changes.to_vec());
+        let gone = changes.iter().filter(|endpoint| endpoint.entry.lifecycle == Lifecycle::Gone);
+        self.departed.extend(gone.map(|endpoint| (endpoint.entry.id.clone(), now)));
+        self.departed.retain(|_, departed_at| now - *departed_at < retention);
+    }
+
+    /// The endpoint of an engine in the set.
+    pub fn get(&self, engine: &EngineId) -> Option<&Endpoint> {
+        self.current.get(engine)
+    }
+
+    /// All endpoints in the set, in order of their ids.
+    pub fn all(&self) -> Vec<Endpoint> {
+        self.current.all()
+    }
+
+    /// Whether no endpoint is known.
+    pub fn is_empty(&self) -> bool {
+        self.current.all().is_empty()
+    }
+
+    /// Whether an engine is in the set, or has left it lately.
+    pub fn is_known(&self, engine: &EngineId) -> bool {
+        self.current.get(engine).is_some() || self.departed.contains_key(engine)
+    }
+
+    /// Whether the set is too old to be believed.
+    pub fn is_lease_expired(&self) -> bool {
+        self.lease_expired
+    }
+}
+
+impl Daemon {
+    /// Applies what discovery has found.
+    pub(super) fn apply_discovered_changes(&mut self, now: Time) {
+        if let Some(changes) = self.handlers.discovery.take() {
+            self.apply_endpoint_changes(now, ListScope::Changes, changes);
+        }
+    }
+
+    /// Applies changes of the endpoint set.
+    pub(super) fn apply_endpoint_changes(&mut self, now: Time, scope: ListScope, changes: EndpointChanges) {
+        let EndpointChanges { told: notified, endpoints } = changes;
+        self.endpoints.apply(now, &endpoints, self.limits.discovery.departed_retention);
+        self.publish_endpoints(now);
+        self.distribute_endpoints(now, notified, scope, endpoints);
+    }
+
+    /// Writes the endpoint set to the store. A coordinator that knows of no endpoint has nothing to write: others may know
+    /// better.
+    fn publish_endpoints(&mut self, now: Time) {
+        if self.endpoints.is_empty() {
+            return;
+        }
+        if let Some(store) = &mut self.handlers.store {
+            store.lead_with(now, store::ENGINES, &endpoint_json::write(&self.endpoints.current));
+        }
+    }
+
+    /// Checks the lease on the endpoint set. Once it has expired, upstreams begin nothing, and all engines count as draining
+    /// here until discovery has confirmed a set.
+    pub(super) fn check_lease(&mut self, now: Time) {
+        let until = self.handlers.discovery.valid_until();
+        self.handlers.routes.set_lease_end(until);
+        let expired = until <= now;
+        if expired == std::mem::replace(&mut self.endpoints.lease_expired, expired) {
+            return;
+        }
+        let state = if expired { "is too old: nothing begins" } else { "counts again" };
+        tracing::info!(at = now, "the list of engines {state}");
+        self.distribute_endpoints(now, now, ListScope::Changes, self.endpoints.all());
+    }
+
+    /// Updates upstreams and core with these endpoints. `notified` is when the change counts as known.
+    pub(super) fn distribute_endpoints(
+        &mut self,
+        now: Time,
+        notified: Time,
+        scope: ListScope,
+        endpoints: Vec<Endpoint>,
+    ) {
+        let mut entries = Vec::with_capacity(endpoints.len());
+        for endpoint in endpoints {
+            entries.push(self.update_upstreams(now, notified, endpoint));
+        }
+        self.core.engines(now, scope, entries, &mut self.handlers.routes.for_core());
+    }
+
+    /// Updates the upstreams with an endpoint. One in maintenance drains, whatever discovery says, from when the maintenance
+    /// began. Returns the engine as the core is to know it.
+    fn update_upstreams(&mut self, now: Time, notified: Time, mut endpoint: Endpoint) -> EngineEntry {
+        let maintenance = self.maintenance.since(now, &endpoint.entry.id);
+        let maintenance = maintenance.filter(|_| endpoint.entry.lifecycle == Lifecycle::Ready);
+        if maintenance.is_some() {
+            endpoint.entry.lifecycle = Lifecycle::Draining;
+        }
+        // One that is gone is no longer in the set, but its attempts may be out.
+        self.handlers.routes.update_endpoint(now, maintenance.unwrap_or(notified), &endpoint);
+        let mut entry = endpoint.entry;
+        if entry.lifecycle != Lifecycle::Ready {
+            tracing::info!(at = now, "engine {} is {:?}", entry.id, entry.lifecycle);
+        } else if self.endpoints.lease_expired {
+            entry.lifecycle = Lifecycle::Draining;
+        }
+        entry
+    }
+}
--- /dev/null
+++ b/src/daemon/error.rs
@@ -0,0 +1,57 @@
+//! Why the daemon could not start, or could not go on.
+
+use std::fmt::Display;
+use std::io;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// A failure of the daemon's start or of its event loop. Each is told in one line, and the process exits.
+#[derive(Debug, Error)]
+pub enum DaemonError {
+    /// epoll failed.
+    #[error("epoll: {0}")]
+    Poll(#[source] io::Error),
+    /// A signal handler could not be installed.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// A listener for clients could not be opened.
+    #[error("listen {address}: {source}")]
+    Listen {
+        /// Where the configuration wants it.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The admin interface could not be opened.
+    #[error("console {address}: {source}")]
+    AdminInterface {
+        /// Where the configuration wants it.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The directory cannot be queried.
+    #[error("directory {address}: {source}")]
+    Directory {
+        /// The directory's address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// A file under `deploy/`, or a value of the store that stands in for the configuration, is wrong.
+    #[error("{0}")]
+    Configuration(String),
+    /// The body store could not be opened.
+    #[error("{0}")]
+    BodyStore(String),
+    /// The replicated store could not be opened.
+    #[error("{0}")]
+    Store(String),
+}
+
+impl DaemonError {
+    /// A wrong file or value, by the text of the module that read it.
+    pub fn configuration(error: impl Display) -> Self {
+        Self::Configuration(error.to_string())
+    }
+}
--- /dev/null
+++ b/src/daemon/event_loop.rs
@@ -0,0 +1,134 @@
+//! The event loop: waits for what is ready or due, lets the event handlers work, and applies what they received.
+
+use super::handlers::{self, Owner};
+use super::signals::Signal;
+use super::{Daemon, DaemonError};
+use crate::net::{Ready, Time};
+use std::time::Duration;
+
+/// Interval between two polls while discovery is waited for after a suspension and other descriptors are ready.
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(1);
+
+impl Daemon {
+    /// Runs until a graceful shutdown has ended.
+    ///
+    /// # Errors
+    /// Where epoll fails.
+    pub fn run(mut self) -> Result<(), DaemonError> {
+        let mut ready = Vec::new();
+        loop {
+            // The process may be suspended between any two lines; what it then knows is old, and what waits comes first.
+            if self.was_suspended(None) {
+                self.catch_up(&mut ready)?;
+                self.handle_ready(&mut ready);
+            }
+            let now = self.clock.now();
+            self.run_timers(now);
+            self.forward_events(now);
+            if self.may_exit(&mut ready)? {
+                tracing::info!("{}", self.counters());
+                return Ok(());
+            }
+            let deadline = self.next_deadline();
+            self.wait(deadline, &mut ready)?;
+            if self.was_suspended(Some(deadline)) {
+                self.catch_up(&mut ready)?;
+            }
+            self.handle_ready(&mut ready);
+        }
+    }
+
+    /// Waits until a descriptor is ready or the time has come.
+    fn wait(&self, until: Time, ready: &mut Vec<Ready>) -> Result<(), DaemonError> {
+        self.poller.wait(self.clock.now(), until, ready).map_err(DaemonError::Poll)
+    }
+
+    /// The earliest time at which something is due that no descriptor tells of. Every wait of the loop is computed here.
+    fn next_deadline(&mut self) -> Time {
+        let lease_end = self.handlers.discovery.valid_until();
+        let deadlines = [
+            self.core.next_deadline(),
+            self.shutdown.next_deadline(),
+            Some(self.maintenance.next_deadline()),
+            Some(lease_end).filter(|_| !self.endpoints.is_lease_expired()),
+            self.reload.next_deadline(),
+        ];
+        deadlines.into_iter().flatten().fold(self.handlers.next_deadline(), Time::min)
+    }
+
+    /// Does whatever is due by now.
+    fn run_timers(&mut self, now: Time) {
+        self.handlers.on_timer(now);
+        self.apply_received(now);
+        self.poll_maintenance(now);
+        self.retry_reload(now);
+        self.core.on_timer(now, &mut self.handlers.routes.for_core());
+        self.advance_shutdown(now);
+    }
+
+    /// Handles the descriptors that are ready, in order of their priorities.
+    fn handle_ready(&mut self, ready: &mut [Ready]) {
+        let now = self.clock.now();
+        ready.sort_by_key(|ready| handlers::priority(*ready));
+        for ready in ready {
+            self.handlers.on_ready(now, *ready);
+            self.apply_received(now);
+            self.forward_events(now);
+        }
+    }
+
+    /// Applies what the handlers have received for the daemon itself.
+    fn apply_received(&mut self, now: Time) {
+        while let Some(signal) = self.handlers.signals.next_signal() {
+            self.handle_signal(now, signal);
+        }
+        self.apply_discovered_changes(now);
+        self.check_lease(now);
+        self.apply_store_changes(now);
+        self.answer_commands(now);
+    }
+
+    fn handle_signal(&mut self, now: Time, signal: Signal) {
+        match signal {
+            Signal::Terminate | Signal::Interrupt => self.start_shutdown(now),
+            Signal::ReportCounters => tracing::info!("{}", self.counters()),
+            Signal::ReloadConfiguration => self.start_reload(now),
+        }
+    }
+
+    /// Whether the process did not run for a while, though the loop waited until `deadline` at the most.
+    fn was_suspended(&mut self, deadline: Option<Time>) -> bool {
+        let threshold = self.limits.event_loop.suspend_threshold;
+        self.suspend_detector.woke(self.clock.now(), deadline, threshold)
+    }
+
+    /// After a suspension engines may have drained or gone: queries the directory before anything is admitted or sent, for a
+    /// bounded time, since one that does not answer must not hold up all else. Leaves in `ready` what is ready then: a wait
+    /// that was broken off by the suspension has reported nothing.
+    fn catch_up(&mut self, ready: &mut Vec<Ready>) -> Result<(), DaemonError> {
+        let now = self.clock.now();
+        tracing::info!(at = now, "the process was suspended");
+        let until = now + self.limits.event_loop.catch_up_timeout;
+        self.handlers.discovery.ask(now);
+        loop {
+            let now = self.clock.now();
+            let waiting = self.handlers.discovery.waits() && now < until;
+            let wait_until = if waiting { until } else { now };
+            self.poller.wait(now, wait_until, ready).map_err(DaemonError::Poll)?;
+            if !waiting {
+                self.apply_received(now);
+                return Ok(());
+            }
+            self.receive_discovery(now, ready);
+        }
+    }
+
+    /// Lets discovery alone handle what is ready. All else stays ready, and the answer takes a moment.
+    fn receive_discovery(&mut self, now: Time, ready: &[Ready]) {
+        let discovery = Owner::Discovery.number();
+        match ready.iter().find(|ready| ready.token.owner == discovery) {
+            Some(answer) => self.handlers.discovery.on_ready(now, *answer),
+            None => std::thread::sleep(CATCH_UP_POLL_INTERVAL),
+        }
+    }
+}
--- /dev/null
+++ b/src/daemon/routes.rs
@@ -0,0 +1,121 @@
+//! The routes of this deployment, and what applies to all of their listeners or to all of their upstreams.
+
+use crate::core::{ListenerEvent, Route, Upstream, UpstreamEvent};
+use crate::discovery::Endpoint;
+use crate::listener::http::HttpListener;
+use crate::listener::mysql::MysqlListener;
+use crate::net::Time;
+use crate::upstream::mysql::MysqlUpstream;
+use crate::upstream::resp::RespUpstream;
+use dahliaspoke_body_store::plan::BodyId;
+use dahliaspoke_body_store::spool::Wake;
+
+/// The number of the HTTP route in requests.
+pub const HTTP_ROUTE: usize = 0;
+/// The number of the `MySQL` route in requests.
+pub const MYSQL_ROUTE: usize = 1;
+
+/// The `MySQL` listener and its upstream.
+pub struct MysqlRoute {
+    /// Accepts clients.
+    pub listener: MysqlListener,
+    /// Runs their attempts.
+    pub upstream: MysqlUpstream,
+}
+
+/// Listeners and the upstreams that run their requests.
+pub struct Routes {
+    /// The platform's listener.
+    pub http: HttpListener,
+    /// The platform's upstream.
+    pub resp: RespUpstream,
+    /// The second route, where the deployment has one.
+    pub mysql: Option<MysqlRoute>,
+}
+
+impl Routes {
+    /// All routes for the core, each at the position of its number.
+    pub fn for_core(&mut self) -> Vec<Route<'_>> {
+        let mut routes = vec![Route { front: &mut self.http, link: &mut self.resp }];
+        routes.extend(
+            self.mysql
+                .as_mut()
+                .map(|MysqlRoute { listener, upstream }| Route { front: listener, link: upstream }),
+        );
+        routes
+    }
+
+    /// The next event of a listener, in order of the routes.
+    pub fn next_listener_event(&mut self) -> Option<ListenerEvent> {
+        let mysql = &mut self.mysql;
+        self.http.take().or_else(|| mysql.as_mut().and_then(|route| route.listener.take()))
+    }
+
+    /// The next event of an upstream, in order of the routes.
+    pub fn next_upstream_event(&mut self) -> Option<UpstreamEvent> {
+        let mysql = &mut self.mysql;
+        self.resp.take().or_else(|| mysql.as_mut().and_then(|route| route.upstream.take()))
+    }
+
+    /// A reader of a body may find bytes: lets the upstream that has it go on.
+    pub fn wake_reader(&mut self, now: Time, reader: u64) {
+        self.resp.wake(now, reader);
+        if let Some(mysql) = &mut self.mysql {
+            mysql.upstream.wake(now, reader);
+        }
+    }
+
+    /// The state of a body has changed: lets the listener that receives it go on.
+    pub fn wake_upload(&mut self, now: Time, body: BodyId, wake: &Wake) {
+        self.http.wake(now, body, wake);
+        if let Some(mysql) = &mut self.mysql {
+            mysql.listener.wake(now, body, wake);
+        }
+    }
+
+    /// No upload begins after this time.
+    pub fn accept_uploads_until(&mut self, until: Time) {
+        self.http.last_upload(until);
+        if let Some(mysql) = &mut self.mysql {
+            mysql.listener.last_upload(until);
+        }
+    }
+
+    /// No attempt begins after this time, when the lease on the endpoint set expires.
+    pub fn set_lease_end(&mut self, until: Time) {
+        self.resp.valid_until(until);
+        if let Some(mysql) = &mut self.mysql {
+            mysql.upstream.valid_until(until);
+        }
+    }
+
+    /// Updates one engine at the upstreams. `notified` is when the change counts as known.
+    pub fn update_endpoint(&mut self, now: Time, notified: Time, endpoint: &Endpoint) {
+        let Endpoint { entry, address } = endpoint;
+        self.resp.engine(now, notified, &entry.id, entry.lifecycle, *address);
+        if let Some(mysql) = &mut self.mysql {
+            let ip = address.map(|address| address.ip());
+            mysql.upstream.engine(notified, &entry.id, entry.lifecycle, ip);
+        }
+    }
+
+    /// Whether every answer is written, and no body is coming in.
+    pub fn is_idle(&mut self) -> bool {
+        self.http.idle() && self.mysql.as_mut().is_none_or(|mysql| mysql.listener.idle())
+    }
+
+    /// Whether no client is connected.
+    pub fn is_empty(&self) -> bool {
+        self.http.is_empty() && self.mysql.as_ref().is_none_or(|mysql| mysql.listener.is_empty())
+    }
+
+    /// Attempts that were written whole to engines.
+    pub fn attempts_written(&self) -> u64 {
+        self.resp.written() + self.mysql.as_ref().map_or(0, |mysql| mysql.upstream.written())
+    }
+
+    /// Requests that could not be decoded.
+    pub fn malformed_requests(&mut self) -> u64 {
+        self.http.bad() + self.mysql.as_mut().map_or(0, |mysql| mysql.listener.bad())
+    }
+}
--- /dev/null
+++ b/src/daemon/startup.rs
@@ -0,0 +1,268 @@
+//! Start-up: builds every part of the daemon, each step from the parts before it.
+//!
+//! The order matters: the store comes before whatever the configuration decides, since its settings and endpoints stand in
+//! for the configuration's; listeners of clients come before discovery, which may register the address.
+
+use super::endpoint_updates::KnownEndpoints;
+use super::handlers::{Handlers, Owner};
+use super::maintenance::Maintenance;
+use super::reload::ReloadState;
+use super::routes::{MysqlRoute, Routes, HTTP_ROUTE, MYSQL_ROUTE};
+use super::shutdown::ShutdownState;
+use super::signals::Signals;
+use super::{Daemon, DaemonError};
+use crate::admin::AdminInterface;
+use crate::body_store::{self, Bodies};
+use crate::config::{optional, Config};
+use crate::core::{Core, Trace};
+use crate::discovery::consul::{self, ConsulDiscovery};
+use crate::discovery::dns::DnsDiscovery;
+use crate::discovery::{Discovery, Endpoint, EndpointChanges};
+use crate::limits::Limits;
+use crate::listener::http::{HttpListener, Names};
+use crate::listener::mysql::MysqlListener;
+use crate::mysql::{self, config::Mysql};
+use crate::net::{inherited, Clock, Poller, SuspendDetector, Time, Token};
+use crate::store::{self, Store};
+use crate::upstream::mysql::MysqlUpstream;
+use crate::upstream::resp::RespUpstream;
+use dahliaspoke::policy::{ListScope, Settings};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// What every event handler is built from.
+struct Resources {
+    now: Time,
+    poller: Rc<Poller>,
+    limits: Rc<Limits>,
+    /// Large request bodies, where the deployment keeps them.
+    body_store: Option<body_store::Shared>,
+}
+
+/// The HTTP listener, and where it listens: the configuration may leave the port to the system.
+struct OpenHttpListener {
+    listener: HttpListener,
+    address: SocketAddr,
+}
+
+/// All event handlers, and where clients connect by HTTP.
+struct OpenHandlers {
+    handlers: Handlers,
+    address: SocketAddr,
+}
+
+impl Resources {
+    /// Opens the body store, and then what all handlers share.
+    fn open(now: Time, config: &mut Config) -> Result<Self, DaemonError> {
+        let body_store = open_body_store(config)?;
+        let poller = Poller::new().map_err(DaemonError::Poll)?;
+        Ok(Self { now, poller: Rc::new(poller), limits: Rc::new(config.limits.clone()), body_store })
+    }
+
+    fn open_handlers(&self, config: &mut Config) -> Result<OpenHandlers, DaemonError> {
+        let signals = Signals::open(&self.poller).map_err(DaemonError::Signals)?;
+        let store = self.open_store(config)?;
+        let OpenHttpListener { listener: http, address } = self.open_http_listener(config)?;
+        let discovery = self.open_discovery(config, address)?;
+        let mysql = self.open_mysql_route(config)?;
+        let admin = self.open_admin_interface(config)?;
+        self.watch_body_store().map_err(DaemonError::Poll)?;
+        let routes = Routes { http, resp: self.open_resp_upstream(), mysql };
+        let body_store = self.body_store.clone();
+        Ok(OpenHandlers {
+            handlers: Handlers { signals, discovery, routes, body_store, store, admin },
+            address,
+        })
+    }
+
+    /// The store's settings and endpoints stand in for the configuration's from here on.
+    fn open_store(&self, config: &mut Config) -> Result<Option<Store>, DaemonError> {
+        let Some(file) = optional(store::FILE).map_err(DaemonError::configuration)? else { return Ok(None) };
+        let (poller, limits) = (self.poller.clone(), self.limits.clone());
+        let store = Store::open(Owner::Store.number(), self.now, file, &config.name, poller, limits)
+            .map_err(|error| DaemonError::Store(error.to_string()))?;
+        config
+            .take_stored(store.get(store::SETTINGS), store.get(store::ENGINES))
+            .map_err(DaemonError::configuration)?;
+        if let Some(address) = store.address() {
+            tracing::info!("{} stores on {address}", config.name);
+        }
+        Ok(Some(store))
+    }
+
+    fn open_http_listener(&self, config: &Config) -> Result<OpenHttpListener, DaemonError> {
+        let listen_error = |source| DaemonError::Listen { address: config.listen, source };
+        let socket = config.inherited.map_or_else(|| TcpListener::bind(config.listen), inherited);
+        let listener = HttpListener::open(
+            Owner::HttpListener.number(),
+            HTTP_ROUTE,
+            socket.map_err(listen_error)?,
+            request_names(&config.settings),
+            self.body_store.clone(),
+            self.poller.clone(),
+            self.limits.clone(),
+        );
+        let listener = listener.map_err(listen_error)?;
+        let address = listener.address().map_err(listen_error)?;
+        Ok(OpenHttpListener { listener, address })
+    }
+
+    /// Consul where the deployment has its file, else DNS. `address` is where this coordinator's clients connect.
+    fn open_discovery(
+        &self,
+        config: &Config,
+        address: SocketAddr,
+    ) -> Result<Box<dyn Discovery>, DaemonError> {
+        match optional(consul::FILE).map_err(DaemonError::configuration)? {
+            None => Ok(Box::new(self.open_dns(config)?)),
+            Some(file) => Ok(Box::new(self.open_consul(config, file, address))),
+        }
+    }
+
+    fn open_dns(&self, config: &Config) -> Result<DnsDiscovery, DaemonError> {
+        let directory = config.names;
+        let discovery = DnsDiscovery::new(
+            Owner::Discovery.number(),
+            self.now,
+            directory,
+            config.known.clone(),
+            config.seed,
+            self.poller.clone(),
+            self.limits.clone(),
+        );
+        discovery.map_err(|source| DaemonError::Directory { address: directory, source })
+    }
+
+    fn open_consul(&self, config: &Config, file: consul::Config, address: SocketAddr) -> ConsulDiscovery {
+        ConsulDiscovery::new(
+            Owner::Discovery.number(),
+            self.now,
+            file,
+            (config.name.clone(), address),
+            config.known.1.clone(),
+            self.poller.clone(),
+            self.limits.clone(),
+        )
+    }
+
+    fn open_mysql_route(&self, config: &Config) -> Result<Option<MysqlRoute>, DaemonError> {
+        let file = Mysql::from_file(&config.settings).map_err(DaemonError::configuration)?;
+        let Some(file) = file.map(Rc::new) else { return Ok(None) };
+        let listen_error = |source| DaemonError::Listen { address: file.listen, source };
+        let upstream = MysqlUpstream::new(
+            Owner::MysqlUpstream.number(),
+            file.clone(),
+            self.body_store.clone(),
+            self.poller.clone(),
+            self.limits.clone(),
+        );
+        let listener = MysqlListener::open(
+            Owner::MysqlListener.number(),
+            MYSQL_ROUTE,
+            file.clone(),
+            &config.settings,
+            self.body_store.clone(),
+            self.poller.clone(),
+            self.limits.clone(),
+        );
+        let listener = listener.map_err(listen_error)?;
+        let address = listener.address().map_err(listen_error)?;
+        tracing::info!("{} speaks MySQL on {address}", config.name);
+        Ok(Some(MysqlRoute { listener, upstream }))
+    }
+
+    fn open_admin_interface(&self, config: &Config) -> Result<Option<AdminInterface>, DaemonError> {
+        let Some(address) = config.console else { return Ok(None) };
+        let admin_error = |source| DaemonError::AdminInterface { address, source };
+        let socket = TcpListener::bind(address).map_err(admin_error)?;
+        let (poller, limits) = (self.poller.clone(), self.limits.clone());
+        let admin = AdminInterface::open(Owner::AdminInterface.number(), socket, poller, limits);
+        let admin = admin.map_err(admin_error)?;
+        let address = admin.address().map_err(admin_error)?;
+        tracing::info!("{} hears operators on {address}", config.name);
+        Ok(Some(admin))
+    }
+
+    /// Has the poller watch the descriptor by which the body store's I/O threads wake the loop.
+    fn watch_body_store(&self) -> io::Result<()> {
+        let Some(body_store) = &self.body_store else { return Ok(()) };
+        self.poller.add(body_store.borrow().bell(), Token::new(Owner::BodyStore.number(), 0, 0), false)
+    }
+
+    fn open_resp_upstream(&self) -> RespUpstream {
+        let (body_store, poller) = (self.body_store.clone(), self.poller.clone());
+        RespUpstream::new(Owner::RespUpstream.number(), body_store, poller, self.limits.clone())
+    }
+}
+
+/// Opens the body store, where the deployment has its file, and sets the limits that follow from it.
+fn open_body_store(config: &mut Config) -> Result<Option<body_store::Shared>, DaemonError> {
+    let file = Bodies::from_file(&config.settings).map_err(DaemonError::configuration)?;
+    let Some(file) = file else { return Ok(None) };
+    file.limit(&config.settings, &mut config.limits);
+    let opened = file.open(&config.settings).map_err(|error| DaemonError::BodyStore(error.to_string()))?;
+    Ok(Some(opened))
+}
+
+fn class_names(settings: &Settings) -> Vec<Arc<str>> {
+    settings.classes.iter().map(|class| class.name.as_str().into()).collect()
+}
+
+/// What requests may name.
+fn request_names(settings: &Settings) -> Names {
+    let tenants = settings.tenants.iter().map(|tenant| tenant.name.as_str().into()).collect();
+    Names { classes: class_names(settings), tenants }
+}
+
+/// Divides the descriptors among the listeners that this deployment has.
+fn divide_limits(config: &mut Config) {
+    let exists = |file: &str| Path::new(file).exists();
+    config.limits.share_out(exists(mysql::config::FILE), exists(store::FILE));
+}
+
+impl Daemon {
+    /// Starts the daemon as its configuration and the files under `deploy/` say. Clients are accepted from here on, and
+    /// served once it runs.
+    ///
+    /// # Errors
+    /// Where a file is wrong, or the system refuses an address or a descriptor.
+    pub fn start(mut config: Config) -> Result<Self, DaemonError> {
+        let clock = Clock::new();
+        let now = clock.now();
+        divide_limits(&mut config);
+        let trace = Trace::from_file().map_err(DaemonError::configuration)?;
+        let resources = Resources::open(now, &mut config)?;
+        let OpenHandlers { handlers, address } = resources.open_handlers(&mut config)?;
+        let Resources { poller, limits, body_store, .. } = resources;
+        let class_names = class_names(&config.settings);
+        let core = Core::new(config.settings, config.seed, body_store.is_some(), trace);
+        let mut daemon = Self {
+            clock,
+            suspend_detector: SuspendDetector::new(now),
+            poller,
+            limits,
+            core,
+            class_names,
+            handlers,
+            endpoints: KnownEndpoints::default(),
+            maintenance: Maintenance::open(now),
+            reload: ReloadState::Idle,
+            in_pairs: config.inherited.is_some(),
+            shutdown: ShutdownState::Serving,
+        };
+        daemon.install_store_check();
+        daemon.apply_first_endpoints(now, config.known.1.all());
+        tracing::info!("{} listens on {address}", config.name);
+        Ok(daemon)
+    }
+
+    /// Applies the endpoints of the configuration. A process that this one takes over from kept to its part of what
+    /// warming-up engines bear, and so does this one from here on. After a crash nothing is known of that.
+    fn apply_first_endpoints(&mut self, now: Time, endpoints: Vec<Endpoint>) {
+        let scope = if self.in_pairs { ListScope::Complete } else { ListScope::Restored };
+        self.apply_endpoint_changes(now, scope, EndpointChanges { told: now, endpoints });
+    }
+}
--- /dev/null
+++ b/src/daemon/statistics.rs
@@ -0,0 +1,72 @@
+//! Statistics for operators, and the counters that SIGUSR1 and the exit write to the log.
+
+use super::Daemon;
+use crate::body_store;
+use crate::discovery::Endpoint;
+use crate::net::Time;
+use dahliaspoke::policy::Lifecycle;
+use std::fmt::{Display, Write};
+
+/// Statistics as text: a line `app.NAME=VALUE` each.
+#[derive(Default)]
+struct StatisticsText(String);
+
+impl StatisticsText {
+    fn add(&mut self, name: impl Display, value: u64) {
+        let _ = writeln!(self.0, "app.{name}={value}"); // a string takes everything
+    }
+}
+
+impl Daemon {
+    /// The statistics for operators.
+    pub(super) fn statistics(&self, now: Time) -> String {
+        let mut text = StatisticsText::default();
+        self.add_answers(&mut text);
+        self.add_bodies(&mut text);
+        if let Some(store) = &self.handlers.store {
+            store.figures(now, |name, value| text.add(name, value));
+        }
+        text.add("upstream_requests", self.handlers.routes.attempts_written());
+        text.add("pending", self.core.open() as u64);
+        self.add_endpoints(&mut text);
+        text.0
+    }
+
+    /// Answers by class.
+    fn add_answers(&self, text: &mut StatisticsText) {
+        for (class, answers) in self.class_names.iter().zip(&self.core.counters.answers) {
+            text.add(format_args!("completed.{class}"), answers.served);
+            text.add(format_args!("rejected.{class}"), answers.refused);
+            text.add(format_args!("failed.{class}"), answers.failed);
+        }
+    }
+
+    /// Large bodies by class.
+    fn add_bodies(&self, text: &mut StatisticsText) {
+        let Some(bodies) = &self.handlers.body_store else { return };
+        for (class, figures) in self.class_names.iter().zip(bodies.borrow().figures()) {
+            body_store::figures(class, figures, |name, value| text.add(name, value));
+        }
+    }
+
+    fn add_endpoints(&self, text: &mut StatisticsText) {
+        let endpoints = self.endpoints.all();
+        let available = endpoints.iter().filter(|endpoint| self.is_available(endpoint)).count();
+        text.add("members", endpoints.len() as u64);
+        text.add("members_unavailable", (endpoints.len() - available) as u64);
+    }
+
+    /// Whether attempts may go to an endpoint.
+    fn is_available(&self, endpoint: &Endpoint) -> bool {
+        let entry = &endpoint.entry;
+        entry.lifecycle == Lifecycle::Ready
+            && !self.maintenance.contains(&entry.id)
+            && !self.core.avoids(&entry.id)
+    }
+
+    /// The counters in one line.
+    pub(super) fn counters(&mut self) -> String {
+        self.core.counters.bad = self.handlers.routes.malformed_requests();
+        format!("counters {} lists_bad={}", self.core.counters, self.handlers.discovery.bad())
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,7 +21,7 @@
 use check::CheckError;
 use clap::{Parser, Subcommand};
 use config::Config;
-use daemon::Daemon;
+use daemon::{Daemon, DaemonError};
 use log::LogError;
 use std::process::ExitCode;
 use thiserror::Error;
@@ -56,8 +56,8 @@
     #[error("{0}")]
     Configuration(String),
     /// The daemon could not start, or not go on.
-    #[error("{0}")]
-    Daemon(String),
+    #[error(transparent)]
+    Daemon(#[from] DaemonError),
     /// The checked file would not be accepted.
     #[error(transparent)]
     Check(#[from] CheckError),
@@ -83,7 +83,7 @@
 fn run() -> Result<(), MainError> {
     log::init()?;
     let config = Config::from_env().map_err(|error| MainError::Configuration(error.to_string()))?;
-    Daemon::start(config).and_then(Daemon::run).map_err(MainError::Daemon)
+    Ok(Daemon::start(config)?.run()?)
 }
 
 fn check(file: &str) -> Result<(), MainError> {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -8,7 +8,6 @@
 const MAX_WIDTH: usize = 140;
 /// Files that are longer still, with the lines that they may hold. Entries go, none comes.
 const LONGER: &[(&str, usize)] = &[
-    ("src/daemon.rs", 775),
     ("src/core/mod.rs", 610),
     ("src/limits.rs", 418),
     ("src/endpoints/tracker.rs", 422),
