--- /dev/null
+++ b/tests/core_state.rs
@@ -0,0 +1,140 @@
+//! The state that the core keeps of requests, and the classes that it derives.
+
+#[path = "../src/core/derived_classes.rs"]
+mod derived_classes;
+#[path = "../src/core/request.rs"]
+#[allow(dead_code)]
+mod request;
+#[path = "../src/core/request_table.rs"]
+#[allow(dead_code)]
+mod request_table;
+
+mod net {
+    pub type Time = f64;
+}
+
+use dahliaspoke::policy::{Idempotency, RequestId, Settings};
+use dahliaspoke::settings::{object, parse_settings};
+use derived_classes::DerivedClasses;
+use request::{QueryPayload, Request};
+use request_table::{AttemptId, RequestState, RequestStatus, RequestTable};
+use serde_json::json;
+
+fn request(id: &str, class: usize) -> Request {
+    Request {
+        route: 0,
+        id: id.into(),
+        class,
+        tenant: None,
+        order_key: None,
+        deadline: 3.0,
+        estimated_work: None,
+        estimated_memory: None,
+        table_group: -1,
+        uploading: false,
+        payload: QueryPayload::default(),
+    }
+}
+
+/// A table with one request, and the request's id.
+fn table() -> (RequestTable, RequestId) {
+    let mut table = RequestTable::default();
+    let id = RequestId::from("r1");
+    table.insert(id.clone(), RequestState::new(request("r1", 0)));
+    (table, id)
+}
+
+fn attempt(id: &RequestId, number: u32) -> AttemptId {
+    AttemptId { request: id.clone(), number }
+}
+
+#[test]
+fn a_request_is_closed_once() {
+    let (mut table, id) = table();
+    assert!(table.is_open(&id));
+    assert_eq!(table.open(), 1);
+    assert!(table.close(&id, RequestStatus::Answered).is_some());
+    assert!(table.close(&id, RequestStatus::Withdrawn).is_none());
+    assert!(!table.is_open(&id));
+    assert_eq!(table.open(), 0);
+    assert!(table.close(&"r2".into(), RequestStatus::Answered).is_none(), "not known");
+}
+
+#[test]
+fn an_attempt_ends_once() {
+    let (mut table, id) = table();
+    assert!(!table.end_attempt(&attempt(&id, 0)), "not there yet");
+    assert_eq!(table.get_mut(&id).expect("there").add_running_attempt(), 0);
+    assert_eq!(table.get_mut(&id).expect("there").add_ended_attempt(), 1);
+    assert!(table.is_running(&attempt(&id, 0)));
+    assert!(!table.is_running(&attempt(&id, 1)));
+    assert!(!table.end_attempt(&attempt(&id, 1)));
+    assert!(table.end_attempt(&attempt(&id, 0)));
+    assert!(!table.end_attempt(&attempt(&id, 0)));
+    assert!(!table.is_running(&attempt(&id, 0)));
+}
+
+#[test]
+fn a_request_is_removed_once_it_is_closed_and_its_attempts_have_ended() {
+    let (mut table, id) = table();
+    table.get_mut(&id).expect("there").add_running_attempt();
+    table.remove_finished(&id);
+    assert!(table.get(&id).is_some(), "open");
+    table.close(&id, RequestStatus::Answered);
+    table.remove_finished(&id);
+    assert!(table.get(&id).is_some(), "an attempt runs");
+    table.end_attempt(&attempt(&id, 0));
+    table.remove_finished(&id);
+    assert!(table.get(&id).is_none());
+}
+
+#[test]
+fn a_priority_changes_for_attempts_that_run_with_another() {
+    let (mut table, id) = table();
+    let request = table.get_mut(&id).expect("there");
+    request.add_running_attempt();
+    request.add_ended_attempt();
+    assert!(request.set_terms(Some(64.0), 1).is_empty(), "as before");
+    assert_eq!(request.set_terms(Some(64.0), 3), [0]);
+    request.add_running_attempt();
+    assert!(request.set_terms(None, 3).is_empty());
+    assert_eq!(request.set_terms(None, 2), [0, 2]);
+    assert_eq!((request.memory, request.priority), (None, 2));
+}
+
+fn settings() -> Settings {
+    let value = json!({"classes": [
+        {"name": "always", "effect": "repeatable"},
+        {"name": "keyed", "effect": "by_key"},
+        {"name": "never", "effect": "once"},
+    ]});
+    parse_settings(object(&value, "settings").expect("an object")).expect("right")
+}
+
+/// For each class: the class of a request with a key, without one, and with an unbuffered body.
+fn derived(may_have_unbuffered: bool) -> (Settings, Vec<[usize; 3]>) {
+    let mut settings = settings();
+    let classes = DerivedClasses::append_to(&mut settings, may_have_unbuffered);
+    let class_of = |class: usize| {
+        let without_key = request("r1", class);
+        let mut with_key = request("r1", class);
+        with_key.payload.idempotency_key = Some("key".into());
+        let unbuffered = Request { uploading: true, ..with_key.clone() };
+        [with_key, without_key, unbuffered].map(|request| classes.class_of(&request))
+    };
+    let of_each = (0..3).map(class_of).collect();
+    (settings, of_each)
+}
+
+#[test]
+fn requests_that_must_not_run_twice_have_a_class_that_says_so() {
+    let (with_unbuffered, classes) = derived(true);
+    assert_eq!(classes, [[0, 0, 3], [1, 4, 4], [2, 2, 2]]);
+    let names: Vec<&str> = with_unbuffered.classes.iter().map(|class| class.name.as_str()).collect();
+    assert_eq!(names, ["always", "keyed", "never", "always", "keyed"]);
+    assert!(with_unbuffered.classes[3..].iter().all(|class| class.idempotency == Idempotency::Never));
+
+    let (buffered, classes) = derived(false);
+    assert_eq!(classes, [[0, 0, 0], [1, 3, 3], [2, 2, 2]]);
+    assert_eq!(buffered.classes.len(), 4);
+}
