--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -14,6 +14,7 @@
 
 /// What the loop counts over all engines.
 pub struct ControlLoop {
+    /// When the period ends (seconds); `None`: the loop has not started.
     next_update_at: Option<f64>,
     /// Work that a busy thread held when bounds were last set (ms).
     work_per_thread: f64,
@@ -21,7 +22,9 @@
     peak_backlog: f64,
     /// Cost that was recently served (ms per second).
     served_rate: f64,
+    /// This coordinator's traffic over an equal part of all (ratio, at least 1).
     traffic_share: f64,
+    /// Whether a request found no engine with capacity since the period began.
     rejected: bool,
 }
 
--- a/src/policy/cost_model.rs
+++ b/src/policy/cost_model.rs
@@ -39,7 +39,7 @@
 /// Least mean that parts and shares are computed of (ms, or ms per second): avoids division by zero.
 const MIN_MEAN: f64 = 1e-9;
 /// Least service time that counts (seconds), where work is reported.
-const MIN_SERVICE_TIME_S: f64 = 0.001;
+const MIN_REPORTED_SERVICE_TIME_S: f64 = 0.001;
 
 /// What is learned of one class.
 #[derive(Default)]
@@ -76,7 +76,7 @@
 
 /// The service time of work as an outcome reports it (seconds).
 pub fn reported_service_time(class: &ClassSettings, work: f64) -> f64 {
-    service_time(class, work).max(MIN_SERVICE_TIME_S)
+    service_time(class, work).max(MIN_REPORTED_SERVICE_TIME_S)
 }
 
 /// Latency objective of a request with this service time (seconds).
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,6 +5,21 @@
 //! A PI controller moves each bound every second so that the mean delay-to-deadline ratio (DDR) of finished
 //! requests stays at a set-point. The modules state the exceptions, each where it is made.
 //!
+//! | module | job |
+//! | --- | --- |
+//! | `settings`, `event`, `action`, `status` | the public types |
+//! | `dispatch` | takes queries, sends attempts, gives final answers |
+//! | `load_balancing`, `admission` | which engine a request goes to, and which has capacity |
+//! | `send_guard`, `retry` | the rules on attempts, and the retry budget |
+//! | `attempt_plan`, `deadline` | timeout, priority and memory of an attempt; slack factors and DDR |
+//! | `outcomes`, `progress` | what follows from the end and from the progress of an attempt |
+//! | `ordering`, `quota` | requests of one key in order; quotas of tenants |
+//! | `control_loop`, `pi_controller`, `bounds` | how the bounds move, and where they start |
+//! | `slow_start`, `outlier` | engines that warm up, and engines that do worse than their peers |
+//! | `cost_model`, `estimators` | what queries cost, as learned; running statistics |
+//! | `engine_state`, `request_state` | the state of engines and of requests |
+//! | [`subsetting`] | which engines a coordinator prefers to keep connections to |
+//!
 //! [`Event`]s come in with the time, [`Action`]s go out. Nothing here does I/O, reads a clock or starts a
 //! thread.
 
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -11,7 +11,9 @@
 /// Requests of one key in the order of arrival; the first may run.
 #[derive(Default)]
 pub struct OrderQueue {
-    queue: VecDeque<RequestNumber>,
+    /// Requests of the key that are not forgotten yet.
+    requests: VecDeque<RequestNumber>,
+    /// Until when no further request may begin (seconds).
     paused_until: f64,
 }
 
@@ -19,12 +21,12 @@
     /// Whether a request may run now: it is the first of its key, and the key is not paused. A pause does not
     /// stop the retries of a request that has begun.
     pub fn admits(&self, now: f64, number: RequestNumber, has_begun: bool) -> bool {
-        self.queue.front() == Some(&number) && (now >= self.paused_until || has_begun)
+        self.requests.front() == Some(&number) && (now >= self.paused_until || has_begun)
     }
 
     /// How many requests are ahead of one.
     pub fn ahead_of(&self, number: RequestNumber) -> usize {
-        self.queue.iter().take_while(|other| **other != number).count()
+        self.requests.iter().take_while(|other| **other != number).count()
     }
 }
 
@@ -43,7 +45,7 @@
 
     /// Appends a request to the queue of its key.
     pub fn enqueue(&mut self, key: Arc<str>, number: RequestNumber) {
-        self.by_key.entry(key).or_default().queue.push_back(number);
+        self.by_key.entry(key).or_default().requests.push_back(number);
     }
 
     /// The queue that a request stands in, if its class runs in order.
@@ -61,13 +63,13 @@
     /// Takes a request out of the queue of its key.
     pub fn remove(&mut self, request: &Request, number: RequestNumber) {
         if let Some(queue) = request.query.key.as_ref().and_then(|key| self.by_key.get_mut(key)) {
-            queue.queue.retain(|other| *other != number); // empty queues go with `drop_idle`
+            queue.requests.retain(|other| *other != number); // empty queues go with `drop_idle`
         }
     }
 
     /// Forgets keys without requests whose pause is over.
     pub fn drop_idle(&mut self, now: f64) {
-        self.by_key.retain(|_, queue| !queue.queue.is_empty() || now < queue.paused_until);
+        self.by_key.retain(|_, queue| !queue.requests.is_empty() || now < queue.paused_until);
     }
 
     /// Notes that a request waits for its key.
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -15,8 +15,10 @@
 const ABANDONED_WORK_DELAYS: f64 = 2.0;
 /// Weight of an outcome in the recent utilization of cores (share): some seven outcomes.
 const UTILIZATION_WEIGHT: f64 = 0.15;
+/// Ticks of pause of an order key beyond the settle time: events of one tick come in any order.
+const SETTLE_TICKS: f64 = 2.0;
 /// Least service time that delays are compared with (seconds).
-const MIN_SERVICE_TIME_S: f64 = 1e-4;
+const MIN_COMPARED_SERVICE_TIME_S: f64 = 1e-4;
 
 /// An outcome with the attempt's delay and what it is compared with.
 struct MeasuredOutcome {
@@ -101,7 +103,7 @@
         request.finished |= ended.finished;
         ended.work = ended.work.filter(|work| *work <= max_rate * request.query.time_left);
         if matches!(ended.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            let pause = self.settings.order_settle + 2.0 * self.settings.tick;
+            let pause = self.settings.order_settle + SETTLE_TICKS * self.settings.tick;
             self.order.pause(request, now + pause);
         }
         Some(delay)
@@ -149,7 +151,7 @@
                     engine.abandoned.push(AbandonedWork { until, cost: in_flight.cost });
                 }
             }
-            _ => engine.health.last_heard_at = now,
+            _ => engine.health.last_received_at = now,
         }
         // An engine that refuses connections probably restarts, which discovery may tell late (rule 4).
         if ended.outcome == Outcome::Unreachable {
@@ -163,7 +165,7 @@
     fn measure(&self, now: f64, request: &Request, ended: &AttemptEnd, delay: f64) -> MeasuredOutcome {
         let class = request.query.class;
         let class_settings = &self.settings.classes[class];
-        let estimated = service_time(class_settings, request.cost).max(MIN_SERVICE_TIME_S);
+        let estimated = service_time(class_settings, request.cost).max(MIN_COMPARED_SERVICE_TIME_S);
         let usual = self.costs.usual_service_time(&self.settings, class);
         // The deadline goes by the reported cost where there is one: estimates scatter.
         let known = ended.work.map_or(estimated, |work| reported_service_time(class_settings, work));
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -22,7 +22,7 @@
     /// Whether the engine is ejected.
     pub ejected: bool,
     /// When something was last received from the engine (seconds).
-    pub last_heard_at: f64,
+    pub last_received_at: f64,
     /// How many times slower than its peers it was, by its outcomes (ratio).
     slowdown: f64,
     /// When the last outcome counted in `slowdown` (seconds).
@@ -32,7 +32,7 @@
 impl EngineHealth {
     /// An engine of which nothing is known yet.
     pub fn new(now: f64) -> Self {
-        Self { ejected: false, last_heard_at: now, slowdown: 1.0, evaluated_at: now }
+        Self { ejected: false, last_received_at: now, slowdown: 1.0, evaluated_at: now }
     }
 
     /// How many times slower than its peers the engine was, without fading (ratio).
@@ -45,7 +45,7 @@
     pub fn outlier_score<'a>(&self, now: f64, in_flight: impl Iterator<Item = &'a InFlightAttempt>) -> f64 {
         let faded = 1.0 + (self.slowdown - 1.0) * (-(now - self.evaluated_at) / HEALTH_FADE_S).exp();
         let overdue = |attempt: &InFlightAttempt| {
-            (now - attempt.sent_at.max(self.last_heard_at)) / attempt.expected_delay
+            (now - attempt.sent_at.max(self.last_received_at)) / attempt.expected_delay
         };
         in_flight.map(overdue).fold(faded.max(1.0), f64::max)
     }
--- a/src/policy/pi_controller.rs
+++ b/src/policy/pi_controller.rs
@@ -6,7 +6,7 @@
 //! made.
 
 /// Mean DDR that the controller aims at (ratio), as in the paper.
-pub const SET_POINT: f64 = 0.9;
+const SET_POINT: f64 = 0.9;
 /// Proportional gain (mean-cost queries per unit of error): the paper bounds hundreds of items, this a few.
 const PROPORTIONAL_GAIN: f64 = 0.2;
 /// Integral gain relative to the proportional gain; low for the same reason.
@@ -69,8 +69,11 @@
     warm_up_factor: f64,
     /// Increment of the bound (units).
     increment: f64,
+    /// Sum of the DDRs of the period (each at most `MAX_DDR`).
     ddr_sum: f64,
+    /// How many requests counted in `ddr_sum`.
     ddr_count: u32,
+    /// Requests served in the period.
     served: u32,
 }
 
--- a/src/policy/progress.rs
+++ b/src/policy/progress.rs
@@ -57,7 +57,7 @@
             return;
         }
         if let Some(engine) = self.engines.get_mut(&request.attempts[attempt as usize].engine) {
-            engine.health.last_heard_at = now;
+            engine.health.last_received_at = now;
         }
         let options = self.retry_options(now, number, report);
         if progress == Progress::WaitsForLoad {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -4,7 +4,9 @@
 
 /// A token bucket.
 struct TokenBucket {
+    /// Requests left of the quota; below 0 when it is exceeded.
     tokens: f64,
+    /// When the bucket was last refilled (seconds).
     updated_at: f64,
 }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -5,6 +5,7 @@
 
 /// An attempt beyond its request's first.
 struct Retry {
+    /// When it was sent (seconds).
     sent_at: f64,
     key: AttemptKey,
 }
