--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,7 +8,6 @@
 
 mod actions;
 mod attempt;
-mod compat; // until the callers are typed
 mod counters;
 mod derived_classes;
 mod fixed_settings;
