--- a/src/daemon/statistics.rs
+++ b/src/daemon/statistics.rs
@@ -20,40 +20,40 @@
 impl Daemon {
     /// The statistics for operators.
     pub(super) fn statistics(&self, now: Time) -> String {
-        let mut text = StatisticsText::default();
-        self.add_answers(&mut text);
-        self.add_bodies(&mut text);
+        let mut out = StatisticsText::default();
+        self.add_answers(&mut out);
+        self.add_bodies(&mut out);
         if let Some(store) = &self.handlers.store {
-            store.figures(now, |name, value| text.add(name, value));
+            store.figures(now, |name, value| out.add(name, value));
         }
-        text.add("upstream_requests", self.handlers.routes.attempts_written());
-        text.add("pending", self.core.open() as u64);
-        self.add_endpoints(&mut text);
-        text.0
+        out.add("upstream_requests", self.handlers.routes.attempts_written());
+        out.add("pending", self.core.open() as u64);
+        self.add_endpoints(&mut out);
+        out.0
     }
 
     /// Answers by class.
-    fn add_answers(&self, text: &mut StatisticsText) {
+    fn add_answers(&self, out: &mut StatisticsText) {
         for (class, answers) in self.class_names.iter().zip(&self.core.counters.answers) {
-            text.add(format_args!("completed.{class}"), answers.served);
-            text.add(format_args!("rejected.{class}"), answers.refused);
-            text.add(format_args!("failed.{class}"), answers.failed);
+            out.add(format_args!("completed.{class}"), answers.served);
+            out.add(format_args!("rejected.{class}"), answers.refused);
+            out.add(format_args!("failed.{class}"), answers.failed);
         }
     }
 
     /// Large bodies by class.
-    fn add_bodies(&self, text: &mut StatisticsText) {
+    fn add_bodies(&self, out: &mut StatisticsText) {
         let Some(bodies) = &self.handlers.body_store else { return };
         for (class, figures) in self.class_names.iter().zip(bodies.borrow().figures()) {
-            body_store::figures(class, figures, |name, value| text.add(name, value));
+            body_store::figures(class, figures, |name, value| out.add(name, value));
         }
     }
 
-    fn add_endpoints(&self, text: &mut StatisticsText) {
+    fn add_endpoints(&self, out: &mut StatisticsText) {
         let endpoints = self.endpoints.all();
         let available = endpoints.iter().filter(|endpoint| self.is_available(endpoint)).count();
-        text.add("members", endpoints.len() as u64);
-        text.add("members_unavailable", (endpoints.len() - available) as u64);
+        out.add("members", endpoints.len() as u64);
+        out.add("members_unavailable", (endpoints.len() - available) as u64);
     }
 
     /// Whether attempts may go to an endpoint.
