--- /dev/null
+++ b/tests/stored_formats.rs
@@ -0,0 +1,71 @@
+//! Files that a released program has written are read as they are.
+
+mod daemon;
+
+use daemon::{config_told, Daemon, PATIENCE};
+use dahliaspoke_test_harness::queries::Engines;
+use dahliaspoke_test_harness::until;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+/// The maintenance set, with engine e1 in it since a time (Unix seconds) in the past.
+const MAINTENANCE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/stored/maintenance.json");
+
+/// Requests that are sent while e1 must receive none.
+const REQUESTS: u64 = 40;
+
+/// Sends one HTTP request and returns the response up to the connection's end.
+fn exchange(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).expect("connected");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.write_all(request.as_bytes()).expect("sent");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    response
+}
+
+fn administer(daemon: &Daemon, call: &str) -> String {
+    exchange(
+        daemon.console.expect("an admin interface"),
+        &format!("{call} HTTP/1.1\r\nContent-Length: 0\r\n\r\n"),
+    )
+}
+
+/// Runs a query and returns the status line of its response.
+fn look_up(daemon: &Daemon, id: u64) -> String {
+    let request = format!(
+        "POST /invoke/lookup HTTP/1.1\r\nX-Job-Id: {id:016x}\r\nX-Allow-Ms: 3000\r\nX-Size-Ms: 2\r\nConnection: close\r\nContent-Length: 8\r\n\r\nSELECT 1"
+    );
+    let response = exchange(daemon.http.expect("an HTTP listener"), &request);
+    response.lines().next().unwrap_or_default().to_string()
+}
+
+/// The maintenance file in the folder that the program runs in.
+fn maintenance_file(daemon: &Daemon) -> String {
+    let path = format!("/proc/{}/cwd/maintenance.json", daemon.child.id());
+    std::fs::read_to_string(path).expect("the file")
+}
+
+#[test]
+fn released_maintenance_file_is_read_and_emptied() {
+    let (in_maintenance, in_service) = (Engines::start(1), Engines::start(1));
+    let engines = [("e1", in_maintenance.list[0].1), ("e2", in_service.list[0].1)];
+    let copy_file = format!("cp '{MAINTENANCE}' \"$TMPDIR/maintenance.json\" &&");
+    let daemon = Daemon::start_with(&config_told(&engines), &[], &copy_file);
+
+    let stats = administer(&daemon, "GET /stats");
+    assert!(stats.contains("app.members=2\n"), "{stats}");
+    assert!(stats.contains("app.members_unavailable=1\n"), "{stats}");
+    for id in 0..REQUESTS {
+        assert!(look_up(&daemon, id).contains(" 200 "));
+    }
+    assert_eq!(in_maintenance.ids().len(), 0, "e1 is in maintenance");
+    assert_eq!(in_service.ids().len() as u64, REQUESTS);
+    assert_eq!(maintenance_file(&daemon), std::fs::read_to_string(MAINTENANCE).expect("the data file"));
+
+    let ready = administer(&daemon, "POST /worker-groups/e1/ready");
+    assert!(ready.starts_with("HTTP/1.1 200 "), "{ready}");
+    until("the file is emptied", || (maintenance_file(&daemon) == "{}").then_some(()));
+    let stats = administer(&daemon, "GET /stats");
+    assert!(stats.contains("app.members_unavailable=0\n"), "{stats}");
+}
