--- a/src/discovery/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -129,7 +129,7 @@
     }
 
     fn valid_until(&self) -> Time {
-        self.lease.ends()
+        self.lease.expires_at()
     }
 
     /// Takes this coordinator out of the catalogue.
@@ -198,7 +198,7 @@
                     // An index that goes back starts from nothing; one of 0 would not block.
                     self.index = if index < self.index { 0 } else { index.max(1) };
                     self.failed = false;
-                    let told = self.lease.confirmed();
+                    let told = self.lease.confirmed_at();
                     self.lease.confirm(asked);
                     let endpoints = self.endpoints.replace(endpoints);
                     let changes = EndpointChanges { told, endpoints: Vec::new() };
--- a/src/discovery/dns/mod.rs
+++ b/src/discovery/dns/mod.rs
@@ -8,7 +8,7 @@
 use super::{Discovery, EndpointChanges, EndpointSet};
 use crate::limits::Limits;
 use crate::net::{Backoff, EventHandler, Poller, Ready, Time, Token};
-use dahliaspoke::endpoints::tracker::{EndpointList, EndpointTracker, ListVerdict};
+use dahliaspoke::endpoints::tracker::{EndpointList, EndpointTracker, ListOutcome, ListVerdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use socket::Sockets;
@@ -89,7 +89,7 @@
         Ok(Self {
             sockets,
             poller,
-            roster: EndpointTracker::new(now, limits.engines.drain_grace, number, endpoints),
+            roster: EndpointTracker::new(now, limits.engines.drain_grace, number, &endpoints),
             limits,
             ids: Pcg64Mcg::seed_from_u64(seed),
             questions: VecDeque::new(),
@@ -116,7 +116,7 @@
         }
         tracing::info!(at = now, part = "directory", "asks {to} from here on");
         self.questions.clear(); // what the former one would have said
-        self.roster.forget_numbering();
+        self.roster.reset_numbering();
         self.hearing = Hearing::Heard(now);
         self.at = now;
     }
@@ -181,8 +181,8 @@
         let number = list.number;
         let held = self.roster.number();
         // What the list tells anew came after the last time that it was confirmed, and may have been told since.
-        let told = self.roster.lease().confirmed();
-        let (verdict, endpoints) = self.roster.answer(now, asked, list);
+        let told = self.roster.lease().confirmed_at();
+        let ListOutcome { verdict, changes: endpoints } = self.roster.apply_response(now, asked, list);
         if verdict != ListVerdict::Confirmed {
             let age = now - asked;
             tracing::info!(
@@ -206,11 +206,11 @@
     }
 
     fn hold(&mut self, now: Time, endpoints: EndpointSet) {
-        self.roster.hold(now, endpoints);
+        self.roster.reset_to(now, &endpoints);
     }
 
     fn valid_until(&self) -> Time {
-        self.roster.lease().ends()
+        self.roster.lease().expires_at()
     }
 
     fn move_to(&mut self, now: Time, names: SocketAddr) {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -6,7 +6,7 @@
 pub mod maintenance;
 
 use crate::net::{EventHandler, Time};
-pub use dahliaspoke::endpoints::tracker::{Endpoint, EndpointSet};
+pub use dahliaspoke::endpoints::{Endpoint, EndpointSet};
 use std::net::SocketAddr;
 
 /// What has changed in the list.
--- a/src/endpoints/lease.rs
+++ b/src/endpoints/lease.rs
@@ -1,45 +1,47 @@
-//! How long a list of engines may be believed.
+//! How long the endpoint set may be believed.
 //!
-//! The directory tells what was true when it answered, and that is not before it was asked. A list that was true at
-//! some time says nothing of what came after, so it is held under a lease that runs from the latest question whose
-//! answer confirmed it. Times are seconds on the caller's monotonic clock; nothing here reads one.
+//! A response reports what was true when the directory sent it, which is not before the query was sent. What changes later
+//! is in no response so far, so the set is held under a lease that runs from the latest query whose response confirmed it.
+//! Times are seconds on the caller's monotonic clock.
 
-/// What the directory has to tell counts as told so long (s) after it happened, whether it arrived or not (the
-/// protocol's figures).
-pub const TOLD_AFTER: f64 = 7.0;
+/// A change of the endpoint set counts as notified at most so long (s) after it happened, also where no response has
+/// arrived (protocol, "Figures").
+pub const MAX_NOTIFICATION_DELAY: f64 = 7.0;
 
-/// Taken off a lease (s): a byte that is written at its last moment has still to reach the engine.
-const MARGIN: f64 = 0.25;
+/// Taken off a lease (s), for the way of the last byte that is written under it to the engine.
+const SAFETY_MARGIN: f64 = 0.25;
 
-/// The span for which a list is believed, and since when.
+/// For how long the endpoint set is believed, and from when that counts.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    span: f64,
-    confirmed: f64,
+    duration: f64,
+    confirmed_at: f64,
 }
 
 impl Lease {
-    /// A lease on a list that is true at `now`. An engine may be sent to for `grace` seconds after its drain counts as
-    /// told.
+    /// A lease on an endpoint set that is true at `now`. New attempts may begin at a draining engine for `drain_grace`
+    /// seconds after its drain counts as notified.
     #[must_use]
-    pub fn new(now: f64, grace: f64) -> Self {
-        Self { span: (TOLD_AFTER + grace - MARGIN).max(0.0), confirmed: now }
+    pub fn new(now: f64, drain_grace: f64) -> Self {
+        let duration = (MAX_NOTIFICATION_DELAY + drain_grace - SAFETY_MARGIN).max(0.0);
+        Self { duration, confirmed_at: now }
     }
 
-    /// The list was true when this question was asked. Answers come in any order: an older question changes nothing.
-    pub fn confirm(&mut self, asked: f64) {
-        self.confirmed = self.confirmed.max(asked);
+    /// The endpoint set was true when this query was sent. Responses may arrive in any order: an earlier query than the
+    /// latest that confirmed the set changes nothing.
+    pub fn confirm(&mut self, queried_at: f64) {
+        self.confirmed_at = self.confirmed_at.max(queried_at);
     }
 
-    /// When the list was last known to be true. Whatever changed did so later, and may have been told since.
+    /// When the endpoint set was last known to be true. Whatever has changed since changed after that time.
     #[must_use]
-    pub fn confirmed(&self) -> f64 {
-        self.confirmed
+    pub fn confirmed_at(&self) -> f64 {
+        self.confirmed_at
     }
 
-    /// Nothing may begin on the word of this list from then on.
+    /// When the lease ends: no attempt may begin from then on.
     #[must_use]
-    pub fn ends(&self) -> f64 {
-        self.confirmed + self.span
+    pub fn expires_at(&self) -> f64 {
+        self.confirmed_at + self.duration
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -11,7 +11,6 @@
     ("src/daemon.rs", 775),
     ("src/core/mod.rs", 610),
     ("src/limits.rs", 418),
-    ("src/endpoints/tracker.rs", 422),
     ("src/listener/http/mod.rs", 421),
     ("src/listener/mysql/large.rs", 545),
     ("src/listener/mysql/mod.rs", 696),
