--- a/src/discovery/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -282,7 +282,7 @@
         kind: word(meta, "kind", "")?.into(),
         cell: number("cell")? as i64,
         lifecycle: if drains { Lifecycle::Draining } else { Lifecycle::Ready },
-        started: super::started(number("started_ms")?),
+        started: super::start_time(number("started_ms")?),
     };
     Ok(Endpoint { entry, address: Some(SocketAddr::new(ip, port as u16)) })
 }
--- /dev/null
+++ b/src/discovery/dns/codec/error.rs
@@ -0,0 +1,61 @@
+//! Why a datagram is no usable response.
+
+use thiserror::Error;
+
+/// Why a message cannot be decoded as a response to the query.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum DecodeError {
+    /// The message ends inside a field.
+    #[error("the message ends inside a field")]
+    UnexpectedEnd,
+    /// The header's QR bit is not set.
+    #[error("the message is not a response")]
+    NotAResponse,
+    /// The header's TC bit is set.
+    #[error("the response is truncated")]
+    Truncated,
+    /// The header has a response code other than 0.
+    #[error("the response reports failure {code}")]
+    Failure {
+        /// The header's RCODE.
+        code: u16,
+    },
+    /// The question section is not that of the query.
+    #[error("the response answers another question")]
+    OtherQuestion,
+    /// A label has a length that RFC 1035 reserves.
+    #[error("a label of a reserved type")]
+    ReservedLabel,
+    /// A name follows more compression pointers than one can need.
+    #[error("too many compression pointers in a name")]
+    TooManyPointers,
+    /// A name is longer than RFC 1035 allows.
+    #[error("a name is too long")]
+    NameTooLong,
+    /// A label or a text is not UTF-8.
+    #[error("a text is not UTF-8")]
+    NotUtf8,
+    /// The data of a record go beyond the length that the record gives, or beyond the message.
+    #[error("a record goes beyond its length")]
+    RecordOverrun,
+    /// No SOA record gives the number of the list.
+    #[error("the response has no SOA record")]
+    NoSerial,
+    /// An SRV record has a target without a first label.
+    #[error("a target has no id")]
+    NoId,
+    /// No A or AAAA record has the address of a target.
+    #[error("no address of {target}")]
+    NoAddress {
+        /// The target, as the SRV record names it.
+        target: String,
+    },
+    /// The TXT record of a target has a value that must be a number and is none.
+    #[error("{key} of {target} is not a number")]
+    NotANumber {
+        /// The target, as the SRV record names it.
+        target: String,
+        /// The key in the TXT record.
+        key: &'static str,
+    },
+}
--- a/src/discovery/dns/mod.rs
+++ b/src/discovery/dns/mod.rs
@@ -1,201 +1,176 @@
-//! The directory: the list of engines by DNS over UDP, polled.
+//! The directory: the endpoint list by DNS over UDP, polled.
 //!
-//! What an answer may change is decided in [`EndpointTracker`]; here are the questions, their sockets and their times.
-
-mod message;
-mod socket;
+//! What a response may change is decided in [`EndpointTracker`]. Here are the queries and their times:
+//!
+//! - `codec`: the messages;
+//! - `sockets`: the sockets in use;
+//! - `pending`: queries that may still be answered;
+//! - `responsiveness`: whether responses arrive;
+//! - `relocation`: a directory that is to be queried at another address.
+
+mod codec;
+mod pending;
+mod relocation;
+mod responsiveness;
+mod sockets;
 
 use super::{Discovery, EndpointChanges, EndpointSet};
 use crate::limits::Limits;
-use crate::net::{Backoff, EventHandler, Poller, Ready, Time, Token};
-use dahliaspoke::endpoints::tracker::{EndpointList, EndpointTracker, ListOutcome, ListVerdict};
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use socket::Sockets;
-use std::collections::VecDeque;
+use crate::net::{EventHandler, Poller, Ready, Time, Token};
+use dahliaspoke::endpoints::tracker::{EndpointList, ListOutcome, ListVerdict};
+use dahliaspoke::endpoints::EndpointTracker;
+use pending::PendingQueries;
+use relocation::Relocation;
+use responsiveness::Responsiveness;
+use sockets::DirectorySockets;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-const NAME: &str = "_back._tcp.pool.lan";
-
-/// Without an answer for so long (s) the directory is silent: it is said so, and asked from another port.
-const SILENT: Time = 1.0;
-
-/// Pauses (s) between two ports: an answer that is late still finds the one that it was asked from.
-const RENEW_PAUSES: (Time, Time) = (1.0, 8.0);
-
-/// Datagrams that are read at one turn of the loop, so that a flood does not hold it up.
-const DATAGRAMS: usize = 16;
-
-/// Pauses (s) between tries to open a socket to a directory that has moved.
-const MOVE_PAUSES: (Time, Time) = (0.05, 1.0);
-
-/// A question that no answer has come to.
-struct Question {
-    id: u16,
-    asked: Time,
+/// The name whose SRV records are the endpoint list (protocol, "The directory").
+const SERVICE: &str = "_back._tcp.pool.lan";
+
+/// Datagrams that are read at one turn of the event loop, so that a flood does not hold it up.
+const MAX_DATAGRAMS_PER_TURN: usize = 16;
+
+/// Names this module in the log.
+const LOG_PART: &str = "directory";
+
+/// What [`DnsDiscovery`] starts from.
+pub struct DnsConfig {
+    /// Number of the event handler in tokens.
+    pub owner: u8,
+    /// Where the directory is queried.
+    pub directory: SocketAddr,
+    /// Number of the last event in `endpoints`.
+    pub list_number: u32,
+    /// The endpoints that the configuration holds.
+    pub endpoints: EndpointSet,
+    /// Seed of the ids of queries.
+    pub seed: u64,
 }
 
-/// A directory that is to be asked and that no socket could be opened to yet.
-struct Move {
-    to: SocketAddr,
-    at: Time,
-    pauses: Backoff,
-}
-
-/// Whether answers come.
-enum Hearing {
-    /// The last one came then.
-    Heard(Time),
-    /// None has come since; another port is tried at `renew`.
-    Silent { since: Time, renew: Time, pauses: Backoff },
-}
-
-/// Asks for the whole list again and again; a lost datagram costs one pause.
+/// Queries the directory for the whole list at an interval; a lost datagram costs one interval.
 pub struct DnsDiscovery {
-    sockets: Sockets,
+    sockets: DirectorySockets,
     poller: Rc<Poller>,
     limits: Rc<Limits>,
-    roster: EndpointTracker,
-    /// Ids cannot be guessed: an answer to another life of this process, or a forged one, has none that is waited for.
-    ids: Pcg64Mcg,
-    /// Questions that no answer has come to, the latest last.
-    questions: VecDeque<Question>,
-    /// The id of the latest one.
-    latest: u16,
-    /// When it is asked next.
-    at: Time,
-    hearing: Hearing,
-    moving: Option<Move>,
+    tracker: EndpointTracker,
+    pending: PendingQueries,
+    next_query: Time,
+    responsiveness: Responsiveness,
+    relocation: Option<Relocation>,
     changes: Option<EndpointChanges>,
-    bad: u64,
+    unusable_responses: u64,
 }
 
 impl DnsDiscovery {
-    /// Starts from the list that the configuration holds, and its number.
+    /// Starts from the list of the configuration. For the daemon until it builds a [`DnsConfig`] itself.
+    ///
+    /// # Errors
+    /// Where no socket can be opened.
     pub fn new(
-        part: u8,
+        owner: u8,
         now: Time,
-        names: SocketAddr,
-        (number, endpoints): (u32, EndpointSet),
+        directory: SocketAddr,
+        (list_number, endpoints): (u32, EndpointSet),
         seed: u64,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> io::Result<Self> {
-        let sockets = Sockets::open(Token::new(part, 0, 0), names, &poller)?;
-        let local = sockets.local()?;
-        tracing::info!(at = now, part = "directory", "asks {names} from {local}, holds list {number}");
+        Self::open(now, DnsConfig { owner, directory, list_number, endpoints, seed }, poller, limits)
+    }
+
+    /// Starts from the list of the configuration; the first query is due at `now`.
+    ///
+    /// # Errors
+    /// Where no socket can be opened.
+    pub fn open(now: Time, config: DnsConfig, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
+        let DnsConfig { owner, directory, list_number, endpoints, seed } = config;
+        let sockets = DirectorySockets::open(Token::new(owner, 0, 0), directory, &poller)?;
+        let local = sockets.local_address()?;
+        tracing::info!(
+            at = now,
+            part = LOG_PART,
+            "queries {directory} from {local}, starts with list {list_number}"
+        );
         Ok(Self {
             sockets,
             poller,
-            roster: EndpointTracker::new(now, limits.engines.drain_grace, number, &endpoints),
+            tracker: EndpointTracker::new(now, limits.engines.drain_grace, list_number, &endpoints),
+            pending: PendingQueries::new(seed, limits.discovery.max_outstanding_queries),
             limits,
-            ids: Pcg64Mcg::seed_from_u64(seed),
-            questions: VecDeque::new(),
-            latest: 0,
-            at: now,
-            hearing: Hearing::Heard(now),
-            moving: None,
+            next_query: now,
+            responsiveness: Responsiveness::new(now),
+            relocation: None,
             changes: None,
-            bad: 0,
+            unusable_responses: 0,
         })
     }
 
-    /// Turns to the directory that is wanted, or tries again later.
-    fn turn(&mut self, now: Time) {
-        let Some(mut moving) = self.moving.take() else { return };
-        let to = moving.to;
-        if let Err(error) = self.sockets.turn_to(to, &self.poller) {
-            if moving.pauses.is_first() {
-                tracing::info!(at = now, part = "directory", "cannot ask {to} yet: {error}");
+    /// Attempts the move to another directory, if one is wanted; it is retried later where it fails.
+    fn attempt_relocation(&mut self, now: Time) {
+        let Some(mut relocation) = self.relocation.take() else { return };
+        let directory = relocation.directory;
+        if let Err(error) = self.sockets.connect_to(directory, &self.poller) {
+            if relocation.is_first_attempt() {
+                tracing::info!(at = now, part = LOG_PART, "cannot query {directory} yet: {error}");
             }
-            moving.at = now + moving.pauses.next_pause();
-            self.moving = Some(moving);
+            relocation.retry_later(now);
+            self.relocation = Some(relocation);
             return;
         }
-        tracing::info!(at = now, part = "directory", "asks {to} from here on");
-        self.questions.clear(); // what the former one would have said
-        self.roster.reset_numbering();
-        self.hearing = Hearing::Heard(now);
-        self.at = now;
+        tracing::info!(at = now, part = LOG_PART, "queries {directory} from now on");
+        self.pending.clear(); // they were sent to the directory before
+        self.tracker.reset_numbering();
+        self.responsiveness = Responsiveness::new(now);
+        self.next_query = now;
     }
 
-    /// Notices that no answer comes.
-    fn listen(&mut self, now: Time) {
-        if let Hearing::Heard(since) = self.hearing {
-            if now - since <= SILENT {
-                return;
-            }
-            tracing::info!(at = now, part = "directory", "has not answered since {since:.3}");
-            let pauses = Backoff::new(RENEW_PAUSES.0, RENEW_PAUSES.1);
-            self.hearing = Hearing::Silent { since, renew: now, pauses };
-        }
-        if let Hearing::Silent { renew, pauses, .. } = &mut self.hearing {
-            if now >= *renew {
-                *renew = now + pauses.next_pause();
-                let renewed = self.sockets.renew(&self.poller).is_ok();
-                tracing::info!(at = now, part = "directory", renewed, "asks from another port");
-            }
+    fn send_query(&mut self, now: Time) {
+        if self.responsiveness.should_change_port(now) {
+            let renewed = self.sockets.change_port(&self.poller).is_ok();
+            tracing::info!(at = now, part = LOG_PART, renewed, "queries from another port");
         }
+        let id = self.pending.add(now);
+        // A query that cannot be sent is as good as lost: the next one follows.
+        let _ = self.sockets.send(&codec::encode_query(id, SERVICE));
     }
 
-    fn ask_once(&mut self, now: Time) {
-        let mut id = self.ids.next_u32() as u16;
-        while self.questions.iter().any(|question| question.id == id) {
-            id = id.wrapping_add(1);
-        }
-        if self.questions.len() == self.limits.discovery.max_outstanding_queries {
-            self.questions.pop_front();
-        }
-        self.latest = id;
-        self.questions.push_back(Question { id, asked: now });
-        // A question that cannot be sent is as good as lost: the next one follows.
-        let _ = self.sockets.send(&message::query(id, NAME));
-    }
-
-    /// Takes a datagram.
-    fn datagram(&mut self, now: Time, bytes: &[u8]) {
-        let answer = match message::read(bytes, NAME) {
-            Ok(answer) => answer,
-            Err(message::Malformed) => return self.unusable(now, "cannot be read", bytes.len()),
+    fn receive_datagram(&mut self, now: Time, datagram: &[u8]) {
+        let Ok(response) = codec::decode_response(datagram, SERVICE) else {
+            return self.reject_datagram(now, "cannot be read", datagram.len());
         };
-        // What nobody asked for may be older than it says, or another's.
-        let Some(place) = self.questions.iter().position(|question| question.id == answer.id) else {
-            return self.unusable(now, "answers no question", bytes.len());
+        // A response to no query may be older than it seems, or another's.
+        let Some(queried_at) = self.pending.remove(response.id) else {
+            return self.reject_datagram(now, "matches no pending query", datagram.len());
         };
-        let Some(Question { asked, .. }) = self.questions.remove(place) else { return };
-        if let Hearing::Silent { since, .. } = self.hearing {
-            tracing::info!(at = now, part = "directory", "answers again, silent since {since:.3}");
-        }
-        self.hearing = Hearing::Heard(now);
-        self.take_list(now, asked, EndpointList { number: answer.serial, endpoints: answer.endpoints });
+        self.responsiveness.on_response(now);
+        let list = EndpointList { number: response.serial, endpoints: response.endpoints };
+        self.apply_list(now, queried_at, list);
     }
 
-    fn unusable(&mut self, now: Time, why: &str, length: usize) {
-        self.bad += 1;
-        tracing::info!(at = now, part = "directory", "an answer of {length} bytes {why}");
+    fn reject_datagram(&mut self, now: Time, why: &str, length: usize) {
+        self.unusable_responses += 1;
+        tracing::info!(at = now, part = LOG_PART, "an answer of {length} bytes {why}");
     }
 
-    fn take_list(&mut self, now: Time, asked: Time, list: EndpointList) {
+    fn apply_list(&mut self, now: Time, queried_at: Time, list: EndpointList) {
         let number = list.number;
-        let held = self.roster.number();
-        // What the list tells anew came after the last time that it was confirmed, and may have been told since.
-        let told = self.roster.lease().confirmed_at();
-        let ListOutcome { verdict, changes: endpoints } = self.roster.apply_response(now, asked, list);
+        let current = self.tracker.number();
+        // What the list changes happened after the last confirmation, and may count as notified from then on.
+        let confirmed_at = self.tracker.lease().confirmed_at();
+        let ListOutcome { verdict, changes } = self.tracker.apply_response(now, queried_at, list);
         if verdict != ListVerdict::Confirmed {
-            let age = now - asked;
+            let age = now - queried_at;
             tracing::info!(
                 at = now,
-                part = "directory",
-                "list {number}, {held:?} held, asked for {age:.3} s ago: {verdict:?}"
+                part = LOG_PART,
+                "list {number}, current list {current:?}, queried {age:.3} s ago: {verdict:?}"
             );
         }
-        if !endpoints.is_empty() {
-            self.changes
-                .get_or_insert_with(|| EndpointChanges { told, endpoints: Vec::new() })
-                .endpoints
-                .extend(endpoints);
+        if !changes.is_empty() {
+            EndpointChanges::add(&mut self.changes, confirmed_at, changes);
         }
     }
 }
@@ -206,57 +181,55 @@
     }
 
     fn hold(&mut self, now: Time, endpoints: EndpointSet) {
-        self.roster.reset_to(now, &endpoints);
+        self.tracker.reset_to(now, &endpoints);
     }
 
     fn valid_until(&self) -> Time {
-        self.roster.lease().expires_at()
+        self.tracker.lease().expires_at()
     }
 
-    fn move_to(&mut self, now: Time, names: SocketAddr) {
-        self.moving = Some(Move { to: names, at: now, pauses: Backoff::new(MOVE_PAUSES.0, MOVE_PAUSES.1) });
-        self.turn(now);
+    fn move_to(&mut self, now: Time, directory: SocketAddr) {
+        self.relocation = Some(Relocation::new(now, directory));
+        self.attempt_relocation(now);
     }
 
     fn ask(&mut self, now: Time) {
-        self.at = now;
+        self.next_query = now;
         self.on_timer(now);
     }
 
     fn waits(&self) -> bool {
-        self.questions.back().is_some_and(|question| question.id == self.latest)
+        self.pending.awaits_latest()
     }
 
     fn bad(&self) -> u64 {
-        self.bad
+        self.unusable_responses
     }
 }
 
 impl EventHandler for DnsDiscovery {
     fn next_deadline(&mut self) -> Option<Time> {
-        let moving = self.moving.as_ref().map_or(Time::INFINITY, |moving| moving.at);
-        Some(self.at.min(moving))
+        let next_attempt =
+            self.relocation.as_ref().map_or(Time::INFINITY, |relocation| relocation.next_attempt);
+        Some(self.next_query.min(next_attempt))
     }
 
-    /// Asks, when it is time to.
     fn on_timer(&mut self, now: Time) {
-        if self.moving.as_ref().is_some_and(|moving| moving.at <= now) {
-            self.turn(now);
+        if self.relocation.as_ref().is_some_and(|relocation| relocation.next_attempt <= now) {
+            self.attempt_relocation(now);
         }
-        if now < self.at {
+        if now < self.next_query {
             return;
         }
-        self.at = now + self.limits.discovery.poll_interval;
-        self.listen(now);
-        self.ask_once(now);
+        self.next_query = now + self.limits.discovery.poll_interval;
+        self.send_query(now);
     }
 
-    /// Reads what has come.
     fn on_ready(&mut self, now: Time, _: Ready) {
         let mut buffer = vec![0; self.limits.discovery.max_datagram_bytes];
-        for _ in 0..DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some(length) = self.sockets.receive(&mut buffer) else { return };
-            self.datagram(now, &buffer[..length]);
+            self.receive_datagram(now, &buffer[..length]);
         }
     }
 }
--- /dev/null
+++ b/src/discovery/dns/responsiveness.rs
@@ -0,0 +1,51 @@
+//! Whether the directory responds.
+
+use super::LOG_PART;
+use crate::net::{Backoff, Time};
+
+/// Without a response for so long (s) the directory counts as silent.
+const SILENT_AFTER: Time = 1.0;
+
+/// First and longest delay (s) between two changes of the port: a late response still arrives on the one before.
+const PORT_CHANGE_DELAYS: (Time, Time) = (1.0, 8.0);
+
+/// Whether responses arrive, and since when.
+pub enum Responsiveness {
+    /// The latest response arrived then.
+    Responsive { last_response: Time },
+    /// No response has arrived since `since`.
+    Silent { since: Time, next_port_change: Time, delays: Backoff },
+}
+
+impl Responsiveness {
+    /// The directory counts as responsive at `now`.
+    pub fn new(now: Time) -> Self {
+        Self::Responsive { last_response: now }
+    }
+
+    /// A response has arrived.
+    pub fn on_response(&mut self, now: Time) {
+        if let Self::Silent { since, .. } = self {
+            tracing::info!(at = now, part = LOG_PART, "answers again, silent since {since:.3}");
+        }
+        *self = Self::new(now);
+    }
+
+    /// Notices a silence. Whether the next query is to be sent from another port.
+    pub fn should_change_port(&mut self, now: Time) -> bool {
+        if let Self::Responsive { last_response: since } = *self {
+            if now - since <= SILENT_AFTER {
+                return false;
+            }
+            tracing::info!(at = now, part = LOG_PART, "has not answered since {since:.3}");
+            let delays = Backoff::new(PORT_CHANGE_DELAYS.0, PORT_CHANGE_DELAYS.1);
+            *self = Self::Silent { since, next_port_change: now, delays };
+        }
+        let Self::Silent { next_port_change, delays, .. } = self else { return false };
+        if now < *next_port_change {
+            return false;
+        }
+        *next_port_change = now + delays.next_pause();
+        true
+    }
+}
--- a/src/discovery/endpoint_json.rs
+++ b/src/discovery/endpoint_json.rs
@@ -1,6 +1,6 @@
 //! The events that the configuration holds at the start.
 
-use super::{started, Endpoint, EndpointSet};
+use super::{start_time, Endpoint, EndpointSet};
 use dahliaspoke::policy::{EngineEntry, Lifecycle};
 use dahliaspoke::settings::{field, flag, list, num, object, part, word, Res};
 use serde_json::{json, Map, Value};
@@ -64,7 +64,7 @@
         kind: word(map, "kind", "")?.into(),
         cell: num(map, "cell", 0.0)? as i64,
         lifecycle,
-        started: started(num(map, "started_ms", 0.0)?),
+        started: start_time(num(map, "started_ms", 0.0)?),
     };
     Ok(Endpoint { entry, address })
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,4 +1,9 @@
-//! Which engines there are. A source of membership tells the core of changes and the links of addresses.
+//! Which engines there are: sources of the endpoint set.
+//!
+//! - [`dns`]: the directory, polled by DNS over UDP;
+//! - [`consul`]: Consul's health API, by blocking queries;
+//! - [`endpoint_json`]: the endpoints that the configuration and the store hold;
+//! - [`maintenance`]: engines that operators have taken out of service, whatever the source reports.
 
 pub mod consul;
 pub mod dns;
@@ -9,44 +14,59 @@
 pub use dahliaspoke::endpoints::{Endpoint, EndpointSet};
 use std::net::SocketAddr;
 
-/// What has changed in the list.
+/// What has changed in the endpoint set.
 pub struct EndpointChanges {
-    /// Since when it may count as told.
+    /// From when the changes count as notified: when the set before them was last confirmed.
     pub told: Time,
+    /// Endpoints that are new or have changed; those that left are gone.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Where news of the engines comes from.
+impl EndpointChanges {
+    /// Adds changes to those that are not collected yet. Together they count as notified from the earlier time, which is
+    /// that of the first.
+    fn add(pending: &mut Option<Self>, notified_at: Time, endpoints: Vec<Endpoint>) {
+        let changes = pending.get_or_insert(Self { told: notified_at, endpoints: Vec::new() });
+        changes.endpoints.extend(endpoints);
+    }
+}
+
+/// A source of the endpoint set. The daemon's event loop calls it, as any [`EventHandler`], when a timer is due or one of
+/// its descriptors is ready, and collects what came of that with the methods here. None of them waits.
 pub trait Discovery: EventHandler {
-    /// What has changed since this was last asked.
+    /// The changes since the last call, if there are any. Called after each timer and each event of the source.
     fn take(&mut self) -> Option<EndpointChanges>;
 
-    /// Holds this list from here on.
+    /// Replaces the endpoint set by that of the store. Called where the source knows no endpoint and the store does;
+    /// the source compares with it from then on, and reports nothing of it as changed.
     fn hold(&mut self, now: Time, endpoints: EndpointSet);
 
-    /// Until when the list may be believed: after that nothing may begin on its word.
+    /// When the lease on the endpoint set ends: no attempt may begin from then on. Called after each turn of the event
+    /// loop.
     fn valid_until(&self) -> Time;
 
-    /// The directory is wanted at another address from here on, where the directory is the source. It is tried until
-    /// it can be asked there.
+    /// The directory is at another address from now on; a move that fails is retried until it is done. Called when SIGHUP
+    /// has read a configuration. Sources other than the directory ignore it.
     fn move_to(&mut self, _now: Time, _names: SocketAddr) {}
 
-    /// Asks at once, where an answer comes at once: the program slept, and what it holds is old.
+    /// Sends a query at once, where a response arrives at once. Called when the process was suspended and the endpoint
+    /// set may be out of date.
     fn ask(&mut self, _now: Time) {}
 
-    /// Whether an answer to the latest question is still to come.
+    /// Whether the latest query has no response yet. Called after [`Self::ask`], until it has or the time for that is
+    /// over.
     fn waits(&self) -> bool {
         false
     }
 
-    /// The program is about to end.
+    /// Removes what the source has registered of this coordinator. Called once, when the program begins to shut down.
     fn leave(&mut self, _now: Time) {}
 
-    /// Answers that could not be used.
+    /// Responses that could not be used, since the start. Called for the counters.
     fn bad(&self) -> u64;
 }
 
-/// A start time as lists tell it, in Unix milliseconds; 0 is long ago.
-fn started(ms: f64) -> Option<f64> {
-    Some(ms / 1000.0).filter(|s| *s > 0.0)
+/// The start time (Unix seconds) that lists give in Unix milliseconds, where 0 is long ago.
+fn start_time(unix_ms: f64) -> Option<f64> {
+    Some(unix_ms / 1000.0).filter(|seconds| *seconds > 0.0)
 }
--- a/tests/faulty_directory/mod.rs
+++ b/tests/faulty_directory/mod.rs
@@ -1,4 +1,4 @@
-//! A directory on loopback whose answers a test spoils: silent, late, truncated, repeated, numbered anew.
+//! A directory on loopback whose responses a test makes faulty: silent, late, truncated, repeated, renumbered.
 #![allow(dead_code)]
 
 use dahliaspoke_simulator::standin::{list_answer, Told};
@@ -6,39 +6,40 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The header's flag of an answer that was cut (RFC 1035, 4.1.1), in its third byte.
+/// The header's TC flag (RFC 1035, 4.1.1), in its third byte.
 const TRUNCATED: u8 = 0x02;
-/// How long the directory waits for a question before it looks for answers that are due.
+/// How long the directory waits for a query before it sends responses that are due.
 const TICK: Duration = Duration::from_millis(2);
 
-/// What the directory does with questions from now on.
+/// How the directory responds to queries.
 #[derive(Clone, Default)]
 pub struct Behaviour {
     /// Number of the last event.
     pub serial: u32,
+    /// The engines that it lists.
     pub list: Vec<Told>,
-    /// Questions are taken and not answered.
+    /// Queries are received and not answered.
     pub silent: bool,
-    /// Only questions of the socket that asked first are not answered.
-    pub deaf_to_first: bool,
-    /// Answers are marked as cut.
+    /// Only queries from the socket that queried first are not answered.
+    pub ignores_first_socket: bool,
+    /// Responses are marked as truncated.
     pub truncated: bool,
-    /// Answers leave so much later than they were made.
+    /// From the making of a response to its sending.
     pub delay: Duration,
-    /// Datagrams that are sent ahead of every answer.
+    /// Datagrams that are sent ahead of every response.
     pub ahead: Vec<Vec<u8>>,
-    /// The same, under the id of the question that is answered.
-    pub ahead_as_answer: Vec<Vec<u8>>,
+    /// The same, under the id of the query that is answered.
+    pub ahead_as_response: Vec<Vec<u8>>,
 }
 
-/// What happened so far.
+/// What it has received and sent so far.
 #[derive(Default)]
 struct Record {
-    answers: Vec<Vec<u8>>,
-    askers: Vec<SocketAddr>,
+    responses: Vec<Vec<u8>>,
+    clients: Vec<SocketAddr>,
 }
 
-/// A directory that answers as it was told last.
+/// A directory that responds as its latest behaviour says.
 pub struct FaultyDirectory {
     pub address: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
@@ -50,61 +51,62 @@
 }
 
 impl FaultyDirectory {
+    /// Starts it on a free port.
     pub fn start(behaviour: Behaviour) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("bound");
         let behaviour = Arc::new(Mutex::new(behaviour));
         let record = Arc::new(Mutex::new(Record::default()));
         let (shared, recorded) = (behaviour.clone(), record.clone());
-        std::thread::spawn(move || answer_questions(&socket, &shared, &recorded));
+        std::thread::spawn(move || answer_queries(&socket, &shared, &recorded));
         Self { address, behaviour, record }
     }
 
-    /// Changes what it does from the next question on.
+    /// Changes its behaviour from the next query on.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut lock(&self.behaviour));
     }
 
-    /// Every answer that it has sent, as it went out.
-    pub fn answers(&self) -> Vec<Vec<u8>> {
-        lock(&self.record).answers.clone()
+    /// Every response that it has sent.
+    pub fn responses(&self) -> Vec<Vec<u8>> {
+        lock(&self.record).responses.clone()
     }
 
-    /// Sockets that have asked, each once, in the order of their first question.
-    pub fn askers(&self) -> Vec<SocketAddr> {
-        lock(&self.record).askers.clone()
+    /// Sockets that have sent queries, each once, in the order of their first query.
+    pub fn clients(&self) -> Vec<SocketAddr> {
+        lock(&self.record).clients.clone()
     }
 }
 
-fn answer_questions(socket: &UdpSocket, behaviour: &Mutex<Behaviour>, record: &Mutex<Record>) {
+fn answer_queries(socket: &UdpSocket, behaviour: &Mutex<Behaviour>, record: &Mutex<Record>) {
     socket.set_read_timeout(Some(TICK)).expect("set");
-    let mut under_way: Vec<(Instant, SocketAddr, Vec<u8>)> = Vec::new();
+    let mut in_flight: Vec<(Instant, SocketAddr, Vec<u8>)> = Vec::new();
     let mut buffer = [0; 512];
     loop {
-        if let Ok((length, asker)) = socket.recv_from(&mut buffer) {
+        if let Ok((length, client)) = socket.recv_from(&mut buffer) {
             let now = lock(behaviour).clone();
             let mut record = lock(record);
-            if !record.askers.contains(&asker) {
-                record.askers.push(asker);
+            if !record.clients.contains(&client) {
+                record.clients.push(client);
             }
-            let deaf = now.silent || now.deaf_to_first && record.askers[0] == asker;
-            let answer = list_answer(&buffer[..length], now.serial, &now.list).filter(|_| !deaf);
+            let is_ignored = now.silent || now.ignores_first_socket && record.clients[0] == client;
+            let answer = list_answer(&buffer[..length], now.serial, &now.list).filter(|_| !is_ignored);
             if let Some(mut answer) = answer {
                 if now.truncated {
                     answer[2] |= TRUNCATED;
                 }
-                let as_answer = now.ahead_as_answer.iter().map(|old| [&buffer[..2], &old[2..]].concat());
+                let as_response = now.ahead_as_response.iter().map(|old| [&buffer[..2], &old[2..]].concat());
                 let due = Instant::now() + now.delay;
-                let ahead = now.ahead.iter().cloned().chain(as_answer);
-                under_way.extend(ahead.map(|datagram| (due, asker, datagram)));
-                record.answers.push(answer.clone());
-                under_way.push((due, asker, answer));
+                let ahead = now.ahead.iter().cloned().chain(as_response);
+                in_flight.extend(ahead.map(|datagram| (due, client, datagram)));
+                record.responses.push(answer.clone());
+                in_flight.push((due, client, answer));
             }
         }
-        let (due, later) = under_way.into_iter().partition(|(due, ..)| *due <= Instant::now());
-        under_way = later;
-        for (_, asker, datagram) in Vec::from_iter::<Vec<_>>(due) {
-            let _ = socket.send_to(&datagram, asker); // whoever asked may have gone
+        let (due, later) = in_flight.into_iter().partition(|(due, ..)| *due <= Instant::now());
+        in_flight = later;
+        for (_, client, datagram) in Vec::from_iter::<Vec<_>>(due) {
+            let _ = socket.send_to(&datagram, client); // the client may have gone
         }
     }
 }
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -1,5 +1,5 @@
-//! What the directory says of an engine is good for a time, and only in answer to a question of this process: nothing
-//! begins at an engine that may have drained.
+//! What the directory reports of an engine holds for the time of the lease, and only in response to a query of this process:
+//! no attempt begins at an engine that may have drained.
 
 mod daemon;
 mod faulty_directory;
@@ -15,13 +15,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Two engines, the directory that tells of them, and a coordinator between them and a client.
+/// Two engines, the directory that lists them, and a coordinator between them and a client.
 struct Site {
     stays: Engines,
     drains: Engines,
     directory: FaultyDirectory,
     daemon: Daemon,
-    asked: Cell<u64>,
+    requests: Cell<u64>,
 }
 
 /// Position in the directory's list of the engine that drains.
@@ -31,21 +31,21 @@
     fn start() -> Self {
         let (stays, drains) = (Engines::start(1), Engines::start(1));
         let known = [("stays", stays.list[0].1), ("drains", drains.list[0].1)];
-        let list = known.iter().map(|(id, address)| Self::told(id, *address)).collect();
+        let list = known.iter().map(|(id, address)| Self::listed(id, *address)).collect();
         let directory = FaultyDirectory::start(Behaviour { serial: 1, list, ..Behaviour::default() });
         let daemon = Daemon::start(&config(&known, directory.address), &[], None);
-        Self { stays, drains, directory, daemon, asked: Cell::new(0) }
+        Self { stays, drains, directory, daemon, requests: Cell::new(0) }
     }
 
-    fn told(id: &str, address: SocketAddr) -> Told {
+    fn listed(id: &str, address: SocketAddr) -> Told {
         Told { id: id.into(), zone: "hall-a".into(), address, drains: false, started_ms: 0 }
     }
 
-    /// The status that a new look-up is answered with.
-    fn ask(&self) -> String {
-        self.asked.set(self.asked.get() + 1);
-        let id = self.asked.get();
-        let mut client = TcpStream::connect(self.daemon.http.expect("a door")).expect("connected");
+    /// Sends a new query and returns the status of its response.
+    fn request(&self) -> String {
+        self.requests.set(self.requests.get() + 1);
+        let id = self.requests.get();
+        let mut client = TcpStream::connect(self.daemon.http.expect("an HTTP listener")).expect("connected");
         client.set_read_timeout(Some(daemon::PATIENCE)).expect("set");
         let call = format!(
             "POST /invoke/lookup HTTP/1.1\r\nX-Job-Id: {id:016x}\r\nX-Allow-Ms: 3000\r\nX-Size-Ms: 2\r\nContent-Length: 8\r\n\r\nSELECT 1"
@@ -56,21 +56,21 @@
         String::from_utf8_lossy(&head[9..]).into_owned()
     }
 
-    /// Asks until the engine that is to drain has served something new.
+    /// Sends queries until the engine that is to drain has served a new one.
     fn until_served_by_drains(&self) {
         let before = self.drains.ids().len();
         until("the engine serves", || {
-            self.ask();
+            self.request();
             (self.drains.ids().len() > before).then_some(())
         });
     }
 
-    /// Asks until the draining engine gets nothing any more and the other one serves: so many in a row.
+    /// Sends queries until the draining engine receives none and the other one serves all of so many in a row.
     fn until_drained(&self) {
         const IN_A_ROW: u32 = 40;
         let (mut had, mut row) = (self.drains.ids().len(), 0);
         until("nothing begins at the engine that drains", || {
-            let served = self.ask() == "200";
+            let served = self.request() == "200";
             let has = self.drains.ids().len();
             row = if served && has == had { row + 1 } else { 0 };
             had = has;
@@ -87,37 +87,37 @@
     }
 }
 
-/// The directory falls silent, and an engine drains meanwhile. Once what it said last may no longer be true, requests are
-/// refused and nothing begins anywhere; with its first answer they are served again, and not by that engine.
+/// The directory falls silent, and an engine drains meanwhile. After the lease requests are rejected and no attempt begins;
+/// with the directory's first response they are served again, and not by that engine.
 #[test]
-fn nothing_begins_on_a_list_that_is_too_old() {
+fn no_attempt_begins_after_the_lease_has_expired() {
     let site = Site::start();
     site.until_served_by_drains();
     site.directory.change(|now| now.silent = true);
     site.drain();
-    until("a request is refused", || (site.ask() == "503").then_some(()));
+    until("a request is refused", || (site.request() == "503").then_some(()));
     let before = site.drains.ids();
     for _ in 0..50 {
-        assert_eq!(site.ask(), "503", "the list is still too old");
+        assert_eq!(site.request(), "503", "the list is still too old");
     }
     assert_eq!(site.drains.ids(), before);
     site.directory.change(|now| now.silent = false);
-    until("it serves again", || (site.ask() == "200").then_some(()));
+    until("it serves again", || (site.request() == "200").then_some(()));
     for _ in 0..50 {
-        assert_eq!(site.ask(), "200");
+        assert_eq!(site.request(), "200");
     }
     assert_eq!(site.drains.ids(), before, "something began at an engine that drains");
     assert!(site.stays.ids().len() >= 50, "the other one serves");
 }
 
-/// A coordinator is killed and started again; answers to its former life come late, on the path that the new one has, ahead
-/// of those to its own questions. They carry higher numbers and an older list.
+/// A coordinator is killed and started again; responses to its former incarnation arrive late, on the path of the new one and
+/// ahead of those to its own queries. They have higher numbers and an older list.
 #[test]
-fn answers_to_an_earlier_life_do_not_freeze_the_list() {
+fn responses_to_an_earlier_incarnation_do_not_freeze_the_list() {
     let mut site = Site::start();
     site.directory.change(|now| now.serial = 9);
-    until("it has asked some times", || (site.directory.answers().len() > 40).then_some(()));
-    let former = site.directory.answers();
+    until("it has sent some queries", || (site.directory.responses().len() > 40).then_some(()));
+    let former = site.directory.responses();
     site.directory.change(|now| {
         now.serial = 1;
         now.ahead = former;
@@ -128,69 +128,69 @@
     site.until_drained();
 }
 
-/// A directory that was started anew numbers its lists from the beginning.
+/// A directory that restarts numbers its lists from the beginning.
 #[test]
-fn numbers_that_begin_again_do_not_freeze_the_list() {
+fn restarted_numbering_does_not_freeze_the_list() {
     let site = Site::start();
     site.directory.change(|now| now.serial = 9);
     site.until_served_by_drains();
-    let heard = site.directory.answers().len();
-    until("the high number was heard", || (site.directory.answers().len() > heard + 3).then_some(()));
+    let received = site.directory.responses().len();
+    until("the high number was received", || (site.directory.responses().len() > received + 3).then_some(()));
     site.directory.change(|now| now.serial = 1);
     site.drain();
     site.until_drained();
 }
 
-/// The same where the directory itself answers the questions of the new life with an old list, under the number that it had
-/// in the life before: it is held for a moment, until the answers proper outvote it.
+/// The same where the directory itself answers the queries of the new incarnation with an old list, under the number that the
+/// list had for the one before: it is accepted for a moment, until the true responses outvote it.
 #[test]
-fn an_answer_that_brings_a_false_number_is_outvoted() {
+fn response_with_a_false_number_is_outvoted() {
     let mut site = Site::start();
     site.directory.change(|now| now.serial = 9);
-    until("a list of number 9 went out", || (site.directory.answers().len() > 5).then_some(()));
-    let high = site.directory.answers().pop().expect("some went out");
+    until("a list of number 9 went out", || (site.directory.responses().len() > 5).then_some(()));
+    let high = site.directory.responses().pop().expect("some went out");
     site.directory.change(|now| {
         now.serial = 1;
-        now.ahead_as_answer = vec![high];
+        now.ahead_as_response = vec![high];
     });
     site.daemon = site.daemon.again();
     site.until_served_by_drains();
-    site.directory.change(|now| now.ahead_as_answer.clear());
+    site.directory.change(|now| now.ahead_as_response.clear());
     site.drain();
     site.until_drained();
 }
 
-/// What is marked as cut says nothing, and does not keep the list alive either.
+/// A response that is marked as truncated reports nothing, and does not renew the lease either.
 #[test]
-fn truncated_answers_keep_no_list_alive() {
+fn truncated_responses_do_not_renew_the_lease() {
     let site = Site::start();
     site.until_served_by_drains();
     site.directory.change(|now| now.truncated = true);
     site.drain();
-    until("a request is refused", || (site.ask() == "503").then_some(()));
+    until("a request is refused", || (site.request() == "503").then_some(()));
     let before = site.drains.ids();
     site.directory.change(|now| now.truncated = false);
-    until("it serves again", || (site.ask() == "200").then_some(()));
+    until("it serves again", || (site.request() == "200").then_some(()));
     assert_eq!(site.drains.ids(), before, "something began at an engine that drains");
 }
 
-/// Something on the path has forgotten the port that asks: another one is tried, and nothing is refused meanwhile.
+/// Something on the path has forgotten the port that queries come from: another one is tried.
 #[test]
-fn a_port_that_hears_nothing_is_given_up() {
+fn unresponsive_directory_is_queried_from_another_port() {
     let site = Site::start();
     site.until_served_by_drains();
-    site.directory.change(|now| now.deaf_to_first = true);
+    site.directory.change(|now| now.ignores_first_socket = true);
     site.drain();
-    until("it asks from another port", || (site.directory.askers().len() > 1).then_some(()));
+    until("it queries from another port", || (site.directory.clients().len() > 1).then_some(()));
     site.until_drained();
 }
 
 impl Site {
-    /// A further directory that tells of the same engines, of which one drains, under a low number. The configuration names
-    /// it from here on.
+    /// A further directory that lists the same engines, of which one drains, under a low number, and a configuration that
+    /// names it.
     fn next_directory(&self) -> (FaultyDirectory, String) {
         let known = [("stays", self.stays.list[0].1), ("drains", self.drains.list[0].1)];
-        let list = known.iter().map(|(id, address)| Self::told(id, *address)).collect();
+        let list = known.iter().map(|(id, address)| Self::listed(id, *address)).collect();
         let next = FaultyDirectory::start(Behaviour { serial: 1, list, ..Behaviour::default() });
         next.change(|now| now.list[DRAINS].drains = true);
         let config = config(&known, next.address);
@@ -198,9 +198,9 @@
     }
 }
 
-/// SIGHUP moves the directory to one whose numbers begin again, and the old one is gone.
+/// SIGHUP moves to a directory whose numbers begin again, and the old one is silent.
 #[test]
-fn a_directory_that_has_moved_is_followed_whatever_its_numbers() {
+fn moved_directory_is_followed_whatever_its_numbers() {
     let site = Site::start();
     site.directory.change(|now| now.serial = 9);
     site.until_served_by_drains();
@@ -211,9 +211,9 @@
     site.until_drained();
 }
 
-/// The configuration is half written as SIGHUP comes: it is read again, without another signal.
+/// The configuration is half written when SIGHUP arrives: it is read again, without another signal.
 #[test]
-fn a_half_written_configuration_is_read_again() {
+fn half_written_configuration_is_read_again() {
     let site = Site::start();
     site.until_served_by_drains();
     let (_next, config) = site.next_directory();
@@ -225,9 +225,9 @@
     site.until_drained();
 }
 
-/// No descriptor is free as SIGHUP comes: the move is made all the same, and the latest one counts.
+/// No descriptor is free when SIGHUP arrives: the move is retried until done, and the latest one counts.
 #[test]
-fn a_move_without_descriptors_is_made_later() {
+fn directory_move_without_descriptors_is_retried() {
     let site = Site::start();
     site.until_served_by_drains();
     let (former, spent) = site.next_directory();
