--- /dev/null
+++ b/src/discovery/consul/error.rs
@@ -0,0 +1,75 @@
+//! Why a request to the agent has failed.
+
+use std::net::AddrParseError;
+use std::num::ParseFloatError;
+use thiserror::Error;
+
+/// Why the bytes that the agent sent are no HTTP response.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum HttpError {
+    /// The head does not end within its limit.
+    #[error("the head is too long")]
+    HeadTooLong,
+    /// The body is longer than its limit.
+    #[error("the body is too long")]
+    BodyTooLong,
+    /// The head is not UTF-8.
+    #[error("the head is not UTF-8")]
+    HeadNotUtf8,
+    /// The first line has no HTTP/1.1 version and status.
+    #[error("the status line is malformed")]
+    StatusLine,
+    /// `Content-Length` is not a number.
+    #[error("the length of the body is malformed")]
+    ContentLength,
+    /// A chunk has no length, or does not end where its length says.
+    #[error("a chunk is malformed")]
+    Chunk,
+    /// The connection ended before the response did.
+    #[error("the connection was closed before the end of the response")]
+    ClosedEarly,
+}
+
+/// Why a response of the agent cannot be used. The text is that of the log.
+#[derive(Debug, Error)]
+pub enum ConsulError {
+    /// There is no HTTP response.
+    #[error("malformed")]
+    Http(#[from] HttpError),
+    /// The status is not 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// The body is not JSON.
+    #[error("not JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The body is not a list of services.
+    #[error("the answer is not a list")]
+    NotAList,
+    /// The head has no index for the next query.
+    #[error("no X-Consul-Index")]
+    NoIndex,
+    /// A field has another type than expected; the text names it.
+    #[error("{0}")]
+    Field(String),
+    /// The address of a service is not an IP address.
+    #[error("address of {id}: {source}")]
+    Address {
+        /// The service's id.
+        id: String,
+        /// What is wrong with the address.
+        source: AddrParseError,
+    },
+    /// A service lacks its id, or has no port from 1 to 65535.
+    #[error("a service has no id or no port")]
+    NoIdOrPort,
+    /// A value in the service's metadata must be a number.
+    #[error("{key} of {id}: {source}")]
+    Metadata {
+        /// The key in the metadata.
+        key: &'static str,
+        /// The service's id.
+        id: String,
+        /// What is wrong with the number.
+        source: ParseFloatError,
+    },
+}
--- /dev/null
+++ b/src/discovery/consul/health.rs
@@ -0,0 +1,103 @@
+//! Consul's health API: the instances of a service, with their checks.
+
+use super::error::ConsulError;
+use super::http::Response;
+use crate::discovery::{start_time, Endpoint};
+use crate::net::Time;
+use dahliaspoke::policy::{EngineEntry, Lifecycle};
+use dahliaspoke::settings::{field, list, num, object, part, word};
+use serde_json::{Map, Value};
+use std::fmt::Display;
+use std::net::SocketAddr;
+
+/// The status of a check that fails, and of one that maintenance sets.
+const CRITICAL: &str = "critical";
+
+/// Keys in the metadata of an engine's service.
+const KEY_ZONE: &str = "zone";
+const KEY_KIND: &str = "kind";
+const KEY_CELL: &str = "cell";
+/// Start of the process in Unix milliseconds; 0 is long ago.
+const KEY_STARTED: &str = "started_ms";
+
+/// The instances of a service.
+pub struct HealthList {
+    /// The version from which the next blocking query waits.
+    pub index: u64,
+    /// Every instance of the service.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// The path of a blocking query for a service: it is answered when the service differs from version `index`, or after
+/// `wait` seconds.
+pub fn query_path(service: &str, index: u64, wait: Time) -> String {
+    format!("/v1/health/service/{service}?index={index}&wait={wait}s")
+}
+
+/// Decodes the response to such a query.
+///
+/// # Errors
+/// Where it is not of the form that Consul's API documents, or has no index.
+pub fn decode(response: &Response) -> Result<HealthList, ConsulError> {
+    let body: Value = serde_json::from_slice(&response.body)?;
+    let entries = body.as_array().ok_or(ConsulError::NotAList)?;
+    let endpoints = entries.iter().map(decode_endpoint).collect::<Result<_, _>>()?;
+    let index = response.index.ok_or(ConsulError::NoIndex)?;
+    Ok(HealthList { index, endpoints })
+}
+
+fn decode_endpoint(entry: &Value) -> Result<Endpoint, ConsulError> {
+    let none = Map::new();
+    let entry = object(entry, "an entry").map_err(wrong_field)?;
+    let node = part(entry, "Node", &none).map_err(wrong_field)?;
+    let service = part(entry, "Service", &none).map_err(wrong_field)?;
+    let metadata = part(service, "Meta", &none).map_err(wrong_field)?;
+    let id = word(service, "ID", "").map_err(wrong_field)?;
+    let address = decode_address(node, service, id)?;
+    let is_draining = has_critical_check(entry)?;
+    let text = |key| word(metadata, key, "").map_err(wrong_field);
+    let entry = EngineEntry {
+        id: id.into(),
+        zone: text(KEY_ZONE)?.into(),
+        kind: text(KEY_KIND)?.into(),
+        cell: decode_number(metadata, KEY_CELL, id)? as i64,
+        lifecycle: if is_draining { Lifecycle::Draining } else { Lifecycle::Ready },
+        started: start_time(decode_number(metadata, KEY_STARTED, id)?),
+    };
+    Ok(Endpoint { entry, address: Some(address) })
+}
+
+/// Where a service listens; one without an address of its own is at that of its node.
+fn decode_address(
+    node: &Map<String, Value>,
+    service: &Map<String, Value>,
+    id: &str,
+) -> Result<SocketAddr, ConsulError> {
+    let own = word(service, "Address", "").map_err(wrong_field)?;
+    let ip = if own.is_empty() { word(node, "Address", "").map_err(wrong_field)? } else { own };
+    let ip = ip.parse().map_err(|source| ConsulError::Address { id: id.into(), source })?;
+    let port = num(service, "Port", 0.0).map_err(wrong_field)?;
+    if id.is_empty() || !(1.0..65536.0).contains(&port) {
+        return Err(ConsulError::NoIdOrPort);
+    }
+    Ok(SocketAddr::new(ip, port as u16))
+}
+
+/// Maintenance and failed checks are critical: no new attempt begins there, and those that run may end.
+fn has_critical_check(entry: &Map<String, Value>) -> Result<bool, ConsulError> {
+    Ok(list(entry, "Checks").map_err(wrong_field)?.iter().any(is_critical))
+}
+
+fn is_critical(check: &Value) -> bool {
+    check.as_object().and_then(|check| field(check, "Status")).is_some_and(|status| status == CRITICAL)
+}
+
+/// A number in the metadata, where all values are texts; 0 where it is absent.
+fn decode_number(metadata: &Map<String, Value>, key: &'static str, id: &str) -> Result<f64, ConsulError> {
+    let text = word(metadata, key, "0").map_err(wrong_field)?;
+    text.parse().map_err(|source| ConsulError::Metadata { key, id: id.into(), source })
+}
+
+fn wrong_field(error: impl Display) -> ConsulError {
+    ConsulError::Field(error.to_string())
+}
--- a/src/discovery/consul/http.rs
+++ b/src/discovery/consul/http.rs
@@ -1,84 +1,119 @@
-//! The client's side of HTTP/1.1, as much as Consul's API needs.
+//! The client's side of HTTP/1.1, as far as Consul's API needs it: one request on a connection, and its response.
 
+use super::error::HttpError;
 use crate::limits::Limits;
 
-/// The bytes are no answer, or one that is too large.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Malformed;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// An answer.
+/// Digits of a status.
+const STATUS_LENGTH: usize = 3;
+
+/// Bytes in which the length of a chunk and its line end must stand.
+const MAX_CHUNK_LINE: usize = 16;
+
+/// A response of the agent.
 #[derive(Debug)]
-pub struct Reply {
+pub struct Response {
+    /// The HTTP status.
     pub status: u16,
-    /// `X-ConsulDiscovery-Index`.
+    /// `X-Consul-Index`: the version of what was queried.
     pub index: Option<u64>,
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
-/// A call, encoded.
-pub fn call(method: &str, path: &str, host: &str, body: &str) -> Vec<u8> {
+/// What the head of a response says.
+struct Head {
+    status: u16,
+    index: Option<u64>,
+    content_length: usize,
+    is_chunked: bool,
+}
+
+/// Encodes a request.
+pub fn encode_request(method: &str, path: &str, host: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// The answer at the start of the input and the bytes it took, once all of it is here.
-pub fn read(input: &[u8], limits: &Limits) -> Result<Option<(Reply, usize)>, Malformed> {
-    let searched = &input[..input.len().min(limits.http.max_head_bytes)];
-    let Some(end) = searched.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if input.len() >= limits.http.max_head_bytes { Err(Malformed) } else { Ok(None) };
+/// Decodes the response at the start of the input; none where it is not complete.
+///
+/// # Errors
+/// Where the input is no HTTP/1.1 response, or one over the limits.
+pub fn decode_response(input: &[u8], limits: &Limits) -> Result<Option<Response>, HttpError> {
+    let max_head = limits.http.max_head_bytes;
+    let Some(end) = find(&input[..input.len().min(max_head)], HEAD_END) else {
+        return if input.len() >= max_head { Err(HttpError::HeadTooLong) } else { Ok(None) };
     };
-    let head = std::str::from_utf8(&input[..end]).map_err(|_| Malformed)?;
+    let head = std::str::from_utf8(&input[..end]).map_err(|_| HttpError::HeadNotUtf8)?;
+    let Head { status, index, content_length, is_chunked } = decode_head(head)?;
+    let rest = &input[end + HEAD_END.len()..];
+    let max_body = limits.discovery.max_consul_answer_bytes;
+    let body = if is_chunked {
+        decode_chunked_body(rest, max_body)?
+    } else {
+        decode_plain_body(rest, content_length, max_body)?
+    };
+    Ok(body.map(|body| Response { status, index, body }))
+}
+
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
+}
+
+fn decode_head(head: &str) -> Result<Head, HttpError> {
     let mut lines = head.split("\r\n");
-    let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 ")).ok_or(Malformed)?;
-    let status = first.get(..3).and_then(|s| s.parse().ok()).ok_or(Malformed)?;
-    let (mut index, mut length, mut chunked) = (None, 0, false);
+    let status_line = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 "));
+    let status = status_line.and_then(|line| line.get(..STATUS_LENGTH)?.parse().ok());
+    let status = status.ok_or(HttpError::StatusLine)?;
+    let mut decoded = Head { status, index: None, content_length: 0, is_chunked: false };
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         let value = value.trim();
         match name.to_ascii_lowercase().as_str() {
-            "x-consul-index" => index = value.parse().ok(),
-            "content-length" => length = value.parse().map_err(|_| Malformed)?,
-            "transfer-encoding" => chunked = value.eq_ignore_ascii_case("chunked"),
+            "x-consul-index" => decoded.index = value.parse().ok(),
+            "content-length" => {
+                decoded.content_length = value.parse().map_err(|_| HttpError::ContentLength)?;
+            }
+            "transfer-encoding" => decoded.is_chunked = value.eq_ignore_ascii_case("chunked"),
             _ => {}
         }
     }
-    let rest = &input[end + 4..];
-    let body = if chunked {
-        chunks(rest, limits.discovery.max_consul_answer_bytes)?
-    } else {
-        plain(rest, length, limits.discovery.max_consul_answer_bytes)?
-    };
-    Ok(body.map(|(body, taken)| (Reply { status, index, body }, end + 4 + taken)))
+    Ok(decoded)
 }
 
-type Body = Option<(Vec<u8>, usize)>;
-
-fn plain(rest: &[u8], length: usize, most: usize) -> Result<Body, Malformed> {
-    if length > most {
-        return Err(Malformed);
+fn decode_plain_body(rest: &[u8], length: usize, max_length: usize) -> Result<Option<Vec<u8>>, HttpError> {
+    if length > max_length {
+        return Err(HttpError::BodyTooLong);
     }
-    Ok(rest.get(..length).map(|body| (body.to_vec(), length)))
+    Ok(rest.get(..length).map(<[u8]>::to_vec))
 }
 
-/// A body in chunks, each behind its length in hex; an empty one ends it.
-fn chunks(rest: &[u8], most: usize) -> Result<Body, Malformed> {
-    let (mut body, mut at) = (Vec::new(), 0);
+/// Decodes a body in chunks, each after its length in hexadecimal digits; an empty one ends it.
+fn decode_chunked_body(rest: &[u8], max_length: usize) -> Result<Option<Vec<u8>>, HttpError> {
+    let mut body = Vec::new();
+    let mut position = 0;
     loop {
-        let line = &rest[at..rest.len().min(at + 16)];
-        let Some(end) = line.windows(2).position(|w| w == b"\r\n") else {
-            return if line.len() == 16 { Err(Malformed) } else { Ok(None) };
+        let line = &rest[position..rest.len().min(position + MAX_CHUNK_LINE)];
+        let Some(end) = find(line, LINE_END) else {
+            return if line.len() == MAX_CHUNK_LINE { Err(HttpError::Chunk) } else { Ok(None) };
         };
-        let digits = std::str::from_utf8(&line[..end]).map_err(|_| Malformed)?;
-        let length = usize::from_str_radix(digits, 16).map_err(|_| Malformed)?;
-        if body.len() + length > most {
-            return Err(Malformed);
+        let length = decode_chunk_length(&line[..end])?;
+        if body.len() + length > max_length {
+            return Err(HttpError::BodyTooLong);
         }
-        at += end + 2;
-        let Some(chunk) = rest.get(at..at + length + 2) else { return Ok(None) };
-        let Some(chunk) = chunk.strip_suffix(b"\r\n") else { return Err(Malformed) };
-        body.extend_from_slice(chunk);
-        at += length + 2;
+        position += end + LINE_END.len();
+        let next = position + length + LINE_END.len();
+        let Some(chunk) = rest.get(position..next) else { return Ok(None) };
+        body.extend_from_slice(chunk.strip_suffix(LINE_END).ok_or(HttpError::Chunk)?);
+        position = next;
         if length == 0 {
-            return Ok(Some((body, at)));
+            return Ok(Some(body));
         }
     }
 }
+
+fn decode_chunk_length(digits: &[u8]) -> Result<usize, HttpError> {
+    let digits = std::str::from_utf8(digits).map_err(|_| HttpError::Chunk)?;
+    usize::from_str_radix(digits, 16).map_err(|_| HttpError::Chunk)
+}
--- a/src/discovery/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -1,26 +1,42 @@
-//! The list of engines from Consul's health API, by blocking queries, and this coordinator's own entry in
-//! its catalogue. Replaces the directory where `deploy/consul.toml` is.
+//! The endpoint set from Consul's health API, by blocking queries, and this coordinator's own entry in Consul's catalogue.
+//! It takes the place of the directory where `deploy/consul.toml` exists.
+//!
+//! - `http`: the codec of requests and responses;
+//! - `connection`: a connection to the agent;
+//! - `watch`: the queries for the service of the engines;
+//! - `health`: what their responses contain;
+//! - `catalog`: the registration of this coordinator.
 
+mod catalog;
+mod connection;
+mod error;
+mod health;
 mod http;
+mod watch;
 
-use super::{Discovery, Endpoint, EndpointChanges, EndpointSet};
+use super::{Discovery, EndpointChanges, EndpointSet};
 use crate::limits::Limits;
-use crate::net::{
-    BufferedStream, Connection, ConnectionSlab, EventHandler, Flow, Poller, Ready, Time, Token,
-};
-use dahliaspoke::endpoints::lease::Lease;
-use dahliaspoke::policy::{EngineEntry, Lifecycle};
-use dahliaspoke::settings::{field, list, num, object, part, word, Res};
-use http::Malformed;
+use crate::net::{BufferedStream, ConnectionSlab, EventHandler, Flow, Poller, Ready, Time, Token};
+use catalog::CatalogNode;
+use connection::{AgentConnection, Reply, Shared};
+use dahliaspoke::endpoints::Lease;
+use error::{ConsulError, HttpError};
+use health::HealthList;
+use http::Response;
 use serde::Deserialize;
-use serde_json::{json, Map, Value};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use watch::Watch;
 
-/// Where the file is, from the folder that the daemon is started in.
+/// Path of the configuration file, from the folder that the daemon is started in.
 pub const FILE: &str = "deploy/consul.toml";
 
-/// The file's content.
+/// Names this module in the log.
+const LOG_PART: &str = "consul";
+
+const STATUS_OK: u16 = 200;
+
+/// The content of [`FILE`].
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
@@ -32,91 +48,162 @@
     pub register: Option<String>,
 }
 
-/// Calls and answers of one connection to the agent.
-pub struct Shared {
-    limits: Rc<Limits>,
-    replies: Vec<(Token, Result<http::Reply, Malformed>)>,
-}
-
-/// A connection to the agent with one call on it.
-struct Line {
-    channel: BufferedStream,
-    token: Token,
-    answered: bool,
-}
-
-/// Where the watch on the service stands.
-enum Watch {
-    /// Asked at the first time; the answer is due by the second.
-    Waits { token: Token, asked: Time, due: Time },
-    /// Failed or answered; asked again then.
-    Rests(Time),
+/// What [`ConsulDiscovery`] starts from.
+pub struct ConsulConfig {
+    /// Number of the event handler in tokens.
+    pub owner: u8,
+    /// The content of the configuration file.
+    pub file: Config,
+    /// This coordinator's name.
+    pub name: String,
+    /// Where this coordinator listens for clients.
+    pub address: SocketAddr,
+    /// The endpoints that the configuration holds.
+    pub endpoints: EndpointSet,
 }
 
+/// Watches the service of the engines, and registers this coordinator.
 pub struct ConsulDiscovery {
     config: Config,
-    /// This coordinator's name and address in the catalogue.
-    own: (String, SocketAddr),
-    table: ConnectionSlab<Line>,
+    node: CatalogNode,
+    connections: ConnectionSlab<AgentConnection>,
     shared: Shared,
     watch: Watch,
+    /// Version of `endpoints` in Consul; 0 where the next query is not to be held.
     index: u64,
-    /// The last call failed: the next one is not held, so that its answer renews the lease at once.
-    failed: bool,
+    /// The latest query failed: the agent may not hold the next one, so that its response renews the lease at once.
+    has_failed: bool,
     endpoints: EndpointSet,
-    registered: bool,
+    is_registered: bool,
     lease: Lease,
-    /// What has changed and was not told yet.
     changes: Option<EndpointChanges>,
-    bad: u64,
+    failed_requests: u64,
 }
 
 impl ConsulDiscovery {
+    /// Starts from the endpoints of the configuration. For the daemon until it builds a [`ConsulConfig`] itself.
     pub fn new(
-        part: u8,
+        owner: u8,
         now: Time,
-        config: Config,
-        own: (String, SocketAddr),
+        file: Config,
+        (name, address): (String, SocketAddr),
         endpoints: EndpointSet,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> Self {
+        Self::open(now, ConsulConfig { owner, file, name, address, endpoints }, poller, limits)
+    }
+
+    /// Starts from the endpoints of the configuration; the first query is due at once.
+    pub fn open(now: Time, config: ConsulConfig, poller: Rc<Poller>, limits: Rc<Limits>) -> Self {
+        let ConsulConfig { owner, file, name, address, endpoints } = config;
         Self {
-            config,
-            own,
-            table: ConnectionSlab::new(part, poller),
+            config: file,
+            node: CatalogNode { name, address },
+            connections: ConnectionSlab::new(owner, poller),
             lease: Lease::new(now, limits.engines.drain_grace),
             shared: Shared { limits, replies: Vec::new() },
-            watch: Watch::Rests(0.0),
+            watch: Watch::Idle { until: 0.0 },
             index: 0,
-            failed: false,
+            has_failed: false,
             endpoints,
-            registered: false,
+            is_registered: false,
             changes: None,
-            bad: 0,
+            failed_requests: 0,
         }
     }
 
-    /// Enters this coordinator in the catalogue, passing.
+    /// Registers this coordinator, where the configuration names a service for it.
     fn register(&mut self, now: Time) {
         let Some(service) = &self.config.register else { return };
-        let (name, address) = &self.own;
-        let ip = address.ip().to_string();
-        let id = format!("{service}-{name}");
-        let check = json!({"Node": name, "CheckID": format!("service:{id}"), "Name": "serving",
-            "Status": "passing", "ServiceID": id});
-        let body = json!({"Node": name, "Address": ip, "SkipNodeUpdate": false, "Check": check,
-            "Service": {"ID": id, "Service": service, "Address": ip, "Port": address.port()}});
-        self.registered = self.call(now, "PUT", "/v1/catalog/register", &body.to_string()).is_some();
+        let body = self.node.registration(service);
+        self.is_registered = self.send_request(now, "PUT", catalog::REGISTER_PATH, &body).is_some();
     }
 
-    fn call(&mut self, now: Time, method: &str, path: &str, body: &str) -> Option<Token> {
-        let mut channel = BufferedStream::connect(self.config.agent).ok()?;
-        channel.push(http::call(method, path, &self.config.agent.to_string(), body));
-        let token = self.table.add(|token| Some(Line { channel, token, answered: false })).ok()??;
-        self.table.settle(now, token, Flow::Open, &mut self.shared);
+    /// Sends a request on a connection of its own; none where there is no descriptor for it.
+    fn send_request(&mut self, now: Time, method: &str, path: &str, body: &str) -> Option<Token> {
+        let agent = self.config.agent;
+        let mut stream = BufferedStream::connect(agent).ok()?;
+        stream.push(http::encode_request(method, path, &agent.to_string(), body));
+        let token = self.connections.add(|token| Some(AgentConnection::new(stream, token))).ok()??;
+        self.connections.settle(now, token, Flow::Open, &mut self.shared);
         Some(token)
     }
+
+    /// Gives up a query whose response is overdue.
+    fn give_up_pending_query(&mut self, now: Time) {
+        let Watch::Pending { token, .. } = self.watch else { return };
+        self.connections.close(now, token, &mut self.shared);
+        // The connection was closed here: that says nothing of the entry in the catalogue.
+        self.shared.replies.retain(|reply| reply.token != token);
+        self.failed_requests += 1;
+        self.has_failed = true;
+    }
+
+    fn send_query(&mut self, now: Time) {
+        let wait = self.shared.limits.discovery.consul_wait;
+        let index = if self.has_failed { 0 } else { self.index };
+        let path = health::query_path(&self.config.service, index, wait);
+        self.watch = match self.send_request(now, "GET", &path, "") {
+            Some(token) => Watch::sent(now, token, wait),
+            None => self.retry_later(now),
+        };
+    }
+
+    fn retry_later(&self, now: Time) -> Watch {
+        Watch::Idle { until: now + self.shared.limits.discovery.consul_retry_delay }
+    }
+
+    fn handle_reply(&mut self, now: Time, reply: Reply) {
+        let queried_at = self.watch.sent_at(reply.token);
+        match (check_status(reply.response), queried_at) {
+            (Ok(response), Some(queried_at)) => match health::decode(&response) {
+                Ok(list) => self.apply_list(now, queried_at, list),
+                Err(error) => self.on_query_failed(now, &error),
+            },
+            (Ok(_), None) => {} // of the catalogue
+            (Err(error), Some(_)) => self.on_query_failed(now, &error),
+            (Err(error), None) => self.on_registration_failed(now, &error),
+        }
+    }
+
+    fn apply_list(&mut self, now: Time, queried_at: Time, HealthList { index, endpoints }: HealthList) {
+        // An index that goes back starts from nothing; one of 0 would not block.
+        self.index = if index < self.index { 0 } else { index.max(1) };
+        self.has_failed = false;
+        let confirmed_at = self.lease.confirmed_at();
+        self.lease.confirm(queried_at);
+        let changes = self.endpoints.replace(endpoints);
+        EndpointChanges::add(&mut self.changes, confirmed_at, changes);
+        self.watch = Watch::Idle { until: now };
+    }
+
+    /// The endpoint set stays: an agent that fails says nothing of the engines.
+    fn on_query_failed(&mut self, now: Time, error: &ConsulError) {
+        self.count_failure(now, error);
+        self.has_failed = true;
+        self.watch = self.retry_later(now);
+    }
+
+    /// The registration is retried with the next query.
+    fn on_registration_failed(&mut self, now: Time, error: &ConsulError) {
+        self.count_failure(now, error);
+        self.is_registered = false;
+    }
+
+    fn count_failure(&mut self, now: Time, error: &ConsulError) {
+        tracing::info!(at = now, part = LOG_PART, "{error}");
+        self.failed_requests += 1;
+    }
+}
+
+fn check_status(response: Result<Response, HttpError>) -> Result<Response, ConsulError> {
+    let response = response?;
+    if response.status == STATUS_OK {
+        Ok(response)
+    } else {
+        Err(ConsulError::Status(response.status))
+    }
 }
 
 impl Discovery for ConsulDiscovery {
@@ -132,157 +219,38 @@
         self.lease.expires_at()
     }
 
-    /// Takes this coordinator out of the catalogue.
     fn leave(&mut self, now: Time) {
-        let Some(service) = self.config.register.clone().filter(|_| self.registered) else { return };
-        let name = &self.own.0;
-        let body = json!({"Node": name, "ServiceID": format!("{service}-{name}")});
-        self.call(now, "PUT", "/v1/catalog/deregister", &body.to_string());
+        let Some(service) = self.config.register.as_ref().filter(|_| self.is_registered) else { return };
+        let body = self.node.deregistration(service);
+        self.send_request(now, "PUT", catalog::DEREGISTER_PATH, &body);
     }
 
     fn bad(&self) -> u64 {
-        self.bad
+        self.failed_requests
     }
 }
 
 impl EventHandler for ConsulDiscovery {
     fn next_deadline(&mut self) -> Option<Time> {
-        match self.watch {
-            Watch::Waits { due: until, .. } | Watch::Rests(until) => Some(until),
-        }
+        Some(self.watch.next_deadline())
     }
 
-    /// Asks, when it is time to. An agent that holds a blocking query too long is asked anew.
+    /// Sends the next query where it is due, in place of one that the agent holds for too long.
     fn on_timer(&mut self, now: Time) {
-        if self.next_deadline().is_some_and(|at| now < at) {
+        if now < self.watch.next_deadline() {
             return;
         }
-        if let Watch::Waits { token, .. } = self.watch {
-            self.table.close(now, token, &mut self.shared);
-            // Its end is our doing: it says nothing of the entry in the catalogue.
-            self.shared.replies.retain(|(of, _)| *of != token);
-            self.bad += 1;
-            self.failed = true;
-        }
-        if !self.registered {
+        self.give_up_pending_query(now);
+        if !self.is_registered {
             self.register(now);
         }
-        let wait = self.shared.limits.discovery.consul_wait;
-        let index = if self.failed { 0 } else { self.index };
-        let path = format!("/v1/health/service/{}?index={index}&wait={wait}s", self.config.service);
-        self.watch = match self.call(now, "GET", &path, "") {
-            // The agent adds up to a sixteenth to the wait.
-            Some(token) => Watch::Waits { token, asked: now, due: now + wait * 1.25 },
-            None => Watch::Rests(now + self.shared.limits.discovery.consul_retry_delay),
-        };
+        self.send_query(now);
     }
 
-    /// Reads what has come.
     fn on_ready(&mut self, now: Time, ready: Ready) {
-        self.table.on_ready(now, ready, &mut self.shared);
-        for (token, reply) in std::mem::take(&mut self.shared.replies) {
-            let watched = match self.watch {
-                Watch::Waits { token: waits, asked, .. } if waits == token => Some(asked),
-                _ => None,
-            };
-            let list = reply.map_err(|Malformed| "malformed".to_string()).and_then(|reply| {
-                if reply.status != 200 {
-                    return Err(format!("status {}", reply.status));
-                }
-                watched
-                    .map(|asked| read(&reply).map(|(index, endpoints)| (asked, index, endpoints)))
-                    .transpose()
-            });
-            match list {
-                Ok(Some((asked, index, endpoints))) => {
-                    // An index that goes back starts from nothing; one of 0 would not block.
-                    self.index = if index < self.index { 0 } else { index.max(1) };
-                    self.failed = false;
-                    let told = self.lease.confirmed_at();
-                    self.lease.confirm(asked);
-                    let endpoints = self.endpoints.replace(endpoints);
-                    let changes = EndpointChanges { told, endpoints: Vec::new() };
-                    self.changes.get_or_insert(changes).endpoints.extend(endpoints);
-                    self.watch = Watch::Rests(now);
-                }
-                Ok(None) => {}
-                Err(why) => {
-                    tracing::info!(at = now, part = "consul", "{why}");
-                    self.bad += 1;
-                    // What is held stays: an agent that fails says nothing of the engines.
-                    let rest = Watch::Rests(now + self.shared.limits.discovery.consul_retry_delay);
-                    if watched.is_some() {
-                        self.failed = true;
-                        self.watch = rest;
-                    } else {
-                        self.registered = false; // tried again with the next watch
-                    }
-                }
-            }
+        self.connections.on_ready(now, ready, &mut self.shared);
+        for reply in std::mem::take(&mut self.shared.replies) {
+            self.handle_reply(now, reply);
         }
     }
 }
-
-impl Connection for Line {
-    type Shared = Shared;
-
-    fn channel(&mut self) -> &mut BufferedStream {
-        &mut self.channel
-    }
-
-    fn readable(&mut self, _: Time, shared: &mut Shared) -> Flow {
-        match http::read(&self.channel.input, &shared.limits) {
-            Ok(None) => return Flow::Open,
-            Ok(Some((reply, _))) => shared.replies.push((self.token, Ok(reply))),
-            Err(malformed) => shared.replies.push((self.token, Err(malformed))),
-        }
-        self.answered = true;
-        Flow::Close
-    }
-
-    fn writable(&mut self, _: Time, _: &mut Shared) -> Flow {
-        Flow::Open
-    }
-
-    fn closed(&mut self, _: Time, shared: &mut Shared) {
-        if !self.answered {
-            shared.replies.push((self.token, Err(Malformed)));
-        }
-    }
-}
-
-/// The index and the engines in an answer of the health API.
-fn read(reply: &http::Reply) -> Res<(u64, Vec<Endpoint>)> {
-    let value: Value = serde_json::from_slice(&reply.body).map_err(|e| format!("not JSON: {e}"))?;
-    let entries = value.as_array().ok_or("the answer is not a list")?;
-    let endpoints = entries.iter().map(|entry| endpoint(object(entry, "an entry")?)).collect::<Res<_>>()?;
-    Ok((reply.index.ok_or("no X-Consul-Index")?, endpoints))
-}
-
-fn endpoint(entry: &Map<String, Value>) -> Res<Endpoint> {
-    let none = Map::new();
-    let (node, service) = (part(entry, "Node", &none)?, part(entry, "Service", &none)?);
-    let meta = part(service, "Meta", &none)?;
-    let id = word(service, "ID", "")?;
-    // A service without an address of its own is at its node's.
-    let told = word(service, "Address", "")?;
-    let ip = if told.is_empty() { word(node, "Address", "")? } else { told };
-    let ip = ip.parse().map_err(|e| format!("address of {id}: {e}"))?;
-    let port = num(service, "Port", 0.0)?;
-    if id.is_empty() || !(1.0..65536.0).contains(&port) {
-        return Err("a service has no id or no port".into());
-    }
-    // Maintenance and failed checks are critical: nothing new goes there, and what runs may end.
-    let critical = |check: &Value| field(check.as_object()?, "Status").map(|s| s == "critical");
-    let drains = list(entry, "Checks")?.iter().any(|check| critical(check) == Some(true));
-    let number = |key: &str| word(meta, key, "0")?.parse::<f64>().map_err(|e| format!("{key} of {id}: {e}"));
-    let entry = EngineEntry {
-        id: id.into(),
-        zone: word(meta, "zone", "")?.into(),
-        kind: word(meta, "kind", "")?.into(),
-        cell: number("cell")? as i64,
-        lifecycle: if drains { Lifecycle::Draining } else { Lifecycle::Ready },
-        started: super::start_time(number("started_ms")?),
-    };
-    Ok(Endpoint { entry, address: Some(SocketAddr::new(ip, port as u16)) })
-}
--- a/src/discovery/dns/relocation.rs
+++ b/src/discovery/dns/relocation.rs
@@ -3,8 +3,10 @@
 use crate::net::{Backoff, Time};
 use std::net::SocketAddr;
 
-/// First and longest delay (s) between two attempts to open a socket.
-const RETRY_DELAYS: (Time, Time) = (0.05, 1.0);
+/// Delay (s) after the first failed attempt to open a socket; it doubles with each further one.
+const FIRST_RETRY_DELAY: Time = 0.05;
+/// The longest delay (s) between two attempts.
+const MAX_RETRY_DELAY: Time = 1.0;
 
 /// A move to another directory, until it is done.
 pub struct Relocation {
@@ -18,7 +20,7 @@
 impl Relocation {
     /// A move that is attempted at `now`.
     pub fn new(now: Time, directory: SocketAddr) -> Self {
-        Self { directory, next_attempt: now, delays: Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1) }
+        Self { directory, next_attempt: now, delays: Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY) }
     }
 
     /// Whether no attempt has failed so far.
--- a/src/discovery/dns/responsiveness.rs
+++ b/src/discovery/dns/responsiveness.rs
@@ -6,8 +6,11 @@
 /// Without a response for so long (s) the directory counts as silent.
 const SILENT_AFTER: Time = 1.0;
 
-/// First and longest delay (s) between two changes of the port: a late response still arrives on the one before.
-const PORT_CHANGE_DELAYS: (Time, Time) = (1.0, 8.0);
+/// Delay (s) after the first change of the port, for late responses to arrive on the one before; it doubles with each
+/// further change.
+const FIRST_PORT_CHANGE_DELAY: Time = 1.0;
+/// The longest delay (s) between two changes of the port.
+const MAX_PORT_CHANGE_DELAY: Time = 8.0;
 
 /// Whether responses arrive, and since when.
 pub enum Responsiveness {
@@ -38,7 +41,7 @@
                 return false;
             }
             tracing::info!(at = now, part = LOG_PART, "has not answered since {since:.3}");
-            let delays = Backoff::new(PORT_CHANGE_DELAYS.0, PORT_CHANGE_DELAYS.1);
+            let delays = Backoff::new(FIRST_PORT_CHANGE_DELAY, MAX_PORT_CHANGE_DELAY);
             *self = Self::Silent { since, next_port_change: now, delays };
         }
         let Self::Silent { next_port_change, delays, .. } = self else { return false };
--- a/src/discovery/maintenance.rs
+++ b/src/discovery/maintenance.rs
@@ -1,70 +1,84 @@
-//! Engines that operators have left out, whatever a list says of them. They stand in a file beside the
-//! program, so that the processes of an upgrade hold to the same.
+//! Engines that operators have taken out of service, whatever a list reports of them. They are stored in a file of the
+//! folder for temporary files, so that both processes of an upgrade know them.
 
 use crate::net::Time;
 use crate::shared_file::SharedFile;
 use dahliaspoke::policy::EngineId;
+use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::PathBuf;
 
-/// In the folder for temporary files.
-const FILE: &str = "maintenance.json";
+/// The environment variable that names the folder for temporary files.
+const FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// By engine, since when.
-type Since = BTreeMap<EngineId, Time>;
+/// Name of the file: a JSON object with the engines' ids and since when each is in maintenance (s).
+const FILE_NAME: &str = "maintenance.json";
 
+/// Since when (s) each engine is in maintenance.
+type StartTimes = BTreeMap<EngineId, Time>;
+
+/// The engines in maintenance.
 pub struct MaintenanceSet {
-    /// Absent where the platform names no folder: then they last as long as the process.
+    /// Absent where the platform names no folder: the set then ends with the process.
     file: Option<SharedFile>,
-    since: Since,
+    start_times: StartTimes,
 }
 
 impl MaintenanceSet {
-    /// With what an earlier process has left.
+    /// Opens the file, and begins with what an earlier process has stored there.
     pub fn open() -> Self {
-        let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-        let (file, held) = folder.map(|folder| SharedFile::open(folder.join(FILE))).unzip();
-        Self { file, since: held.flatten().and_then(|bytes| read(&bytes)).unwrap_or_default() }
+        let folder = std::env::var_os(FOLDER_VARIABLE).map(PathBuf::from);
+        let (file, content) = folder.map(|folder| SharedFile::open(folder.join(FILE_NAME))).unzip();
+        let start_times = content.flatten().and_then(|content| decode(&content)).unwrap_or_default();
+        Self { file, start_times }
     }
 
+    /// Since when (s) an engine is in maintenance; none where it is not.
     pub fn since(&self, engine: &EngineId) -> Option<Time> {
-        self.since.get(engine).copied()
+        self.start_times.get(engine).copied()
     }
 
-    /// Takes what another process has changed; returns the engines of which that is news. Fails where the
-    /// file could not be written: then the next process will not know.
+    /// Applies what another process has stored since, and returns the engines that have entered or left maintenance by
+    /// that. Content that cannot be decoded is ignored.
+    ///
+    /// # Errors
+    /// Where this process could not write the file: a later process will not know of its changes.
     pub fn look(&mut self) -> io::Result<Vec<EngineId>> {
-        let found = self.file.as_mut().map_or(Ok(None), SharedFile::look)?;
-        // What cannot be read says nothing.
-        let Some(new) = found.and_then(|bytes| read(&bytes)) else { return Ok(Vec::new()) };
-        let differs = |id: &&EngineId| self.since.contains_key(*id) != new.contains_key(*id);
-        let news = self.since.keys().chain(new.keys()).filter(differs).cloned().collect();
-        self.since = new;
-        Ok(news)
+        let content = self.file.as_mut().map_or(Ok(None), SharedFile::look)?;
+        let Some(stored) = content.and_then(|content| decode(&content)) else { return Ok(Vec::new()) };
+        let has_changed = |id: &&EngineId| self.start_times.contains_key(*id) != stored.contains_key(*id);
+        let changed = self.start_times.keys().chain(stored.keys()).filter(has_changed).cloned().collect();
+        self.start_times = stored;
+        Ok(changed)
     }
 
-    /// Leaves an engine out from now on. It counts from the first time that this was asked for.
+    /// Takes an engine out of service at `now`. One that is in maintenance already stays so since its earlier time.
     pub fn ban(&mut self, now: Time, engine: &EngineId) {
-        self.since.entry(engine.clone()).or_insert(now);
-        self.keep();
+        self.start_times.entry(engine.clone()).or_insert(now);
+        self.store();
     }
 
-    /// It may serve again, however often it was left out.
+    /// Returns an engine to service, however often it was taken out.
     pub fn lift(&mut self, engine: &EngineId) {
-        self.since.remove(engine);
-        self.keep();
+        self.start_times.remove(engine);
+        self.store();
     }
 
-    fn keep(&mut self) {
-        let Some(file) = &mut self.file else { return };
-        let plain: serde_json::Map<_, _> =
-            self.since.iter().map(|(id, since)| (id.to_string(), (*since).into())).collect();
-        file.replace(serde_json::Value::Object(plain).to_string().into_bytes());
+    fn store(&mut self) {
+        if let Some(file) = &mut self.file {
+            file.replace(encode(&self.start_times));
+        }
     }
 }
 
-fn read(bytes: &[u8]) -> Option<Since> {
-    let plain = serde_json::from_slice::<BTreeMap<String, Time>>(bytes).ok()?;
-    Some(plain.into_iter().map(|(id, since)| (id.into(), since)).collect())
+fn encode(start_times: &StartTimes) -> Vec<u8> {
+    let object: Map<String, Value> =
+        start_times.iter().map(|(id, since)| (id.to_string(), (*since).into())).collect();
+    Value::Object(object).to_string().into_bytes()
+}
+
+fn decode(content: &[u8]) -> Option<StartTimes> {
+    let object = serde_json::from_slice::<BTreeMap<String, Time>>(content).ok()?;
+    Some(object.into_iter().map(|(id, since)| (id.into(), since)).collect())
 }
