--- a/src/endpoints/state.rs
+++ b/src/endpoints/state.rs
@@ -16,7 +16,7 @@
 //! Times are seconds on the caller's monotonic clock.
 
 use super::set::{Endpoint, EndpointSet};
-use crate::policy::{EngineEntry, Lifecycle};
+use crate::policy::Lifecycle;
 
 /// Lists in a row that must report an engine as ready that was not in the endpoint set.
 pub const CONFIRMATIONS_TO_JOIN: u32 = 2;
@@ -75,7 +75,8 @@
     Unknown,
     /// New attempts may begin at it.
     Ready(Endpoint),
-    /// Its attempts may end, and no new one begins. A departure that it drains after is remembered further.
+    /// Its attempts may end, and no new one begins. Where it had left before that, the departure still decides whether it
+    /// may return.
     Draining { endpoint: Endpoint, since: f64, departure: Option<Departure> },
     /// It has left the endpoint set.
     Departed(Departure),
@@ -153,7 +154,7 @@
             return Classification::accepted(listed);
         }
         match &self.state {
-            EndpointState::Unknown => match self.candidacy(list, Some(CONFIRMATIONS_TO_JOIN)) {
+            EndpointState::Unknown => match self.candidacy_or_new(list, Some(CONFIRMATIONS_TO_JOIN)) {
                 None => Classification::accepted(listed),
                 candidacy => Classification::absent(candidacy),
             },
@@ -188,14 +189,14 @@
         }
         endpoint.entry.lifecycle = Lifecycle::Draining;
         let required = list.is_change(listed).then_some(CONFIRMATIONS_TO_RETURN);
-        Classification { endpoint: Some(endpoint), candidacy: self.candidacy(list, required) }
+        Classification { endpoint: Some(endpoint), candidacy: self.candidacy_or_new(list, required) }
     }
 
     /// An engine that has departed is listed as ready.
     fn classify_return(&self, listed: &Endpoint, list: ListContext, departure: &Departure) -> Classification {
         let has_restarted = listed.started_after(departure.started);
         let required = if has_restarted { CONFIRMATIONS_TO_JOIN } else { CONFIRMATIONS_TO_RETURN };
-        let candidacy = self.candidacy(list, list.is_change(listed).then_some(required));
+        let candidacy = self.candidacy_or_new(list, list.is_change(listed).then_some(required));
         if has_restarted && (candidacy.is_none() || self.endpoint().is_some()) {
             return Classification::accepted(listed);
         }
@@ -204,7 +205,7 @@
 
     /// The candidacy under way, or a new one that takes `required` confirmations. The first list of a numbering, and one
     /// that finds no endpoints, make none.
-    fn candidacy(&self, list: ListContext, required: Option<u32>) -> Option<Candidacy> {
+    fn candidacy_or_new(&self, list: ListContext, required: Option<u32>) -> Option<Candidacy> {
         if list.numbering == Numbering::New {
             return None;
         }
@@ -220,30 +221,37 @@
         is_gone && self.endpoint() != next
     }
 
-    /// Applies what a list made of the engine; nothing changes where it is in the endpoint set as that already.
-    pub fn apply(&mut self, now: f64, Classification { endpoint: next, candidacy }: Classification) {
-        self.candidacy = candidacy;
-        let current = self.endpoint();
-        if current == next.as_ref() {
-            return;
+    /// Applies what a list made of the engine. Where the endpoint stays the same, so does the state.
+    pub fn apply(&mut self, now: f64, classification: Classification) {
+        self.candidacy = classification.candidacy;
+        if self.endpoint() != classification.endpoint.as_ref() {
+            self.state = self.next_state(now, classification.endpoint);
         }
-        let is_unconfirmed = current.is_some_and(Endpoint::is_ready);
-        let left = |of: &EngineEntry| Departure { started: of.started, at: now, is_unconfirmed };
-        self.state = match next.ok_or(current) {
-            Ok(endpoint) => match endpoint.entry.lifecycle {
-                Lifecycle::Ready => EndpointState::Ready(endpoint),
-                Lifecycle::Draining => {
-                    EndpointState::Draining { endpoint, since: now, departure: self.departure().copied() }
-                }
-                Lifecycle::Gone => {
-                    let departure = Some(left(&endpoint.entry));
-                    EndpointState::ListedAsGone { endpoint, departure }
-                }
-            },
-            Err(current) => {
-                current.map_or(EndpointState::Unknown, |was| EndpointState::Departed(left(&was.entry)))
-            }
+    }
+
+    /// The state that begins at `now` with this endpoint, or without one.
+    fn next_state(&self, now: f64, next: Option<Endpoint>) -> EndpointState {
+        let Some(endpoint) = next else {
+            let last = self.endpoint();
+            return last
+                .map_or(EndpointState::Unknown, |last| EndpointState::Departed(self.depart(now, last)));
         };
+        match endpoint.entry.lifecycle {
+            Lifecycle::Ready => EndpointState::Ready(endpoint),
+            Lifecycle::Draining => {
+                EndpointState::Draining { endpoint, since: now, departure: self.departure().copied() }
+            }
+            Lifecycle::Gone => {
+                let departure = Some(self.depart(now, &endpoint));
+                EndpointState::ListedAsGone { endpoint, departure }
+            }
+        }
+    }
+
+    /// The departure at `now` of the process that `last` describes.
+    fn depart(&self, now: f64, last: &Endpoint) -> Departure {
+        let was_ready = self.endpoint().is_some_and(Endpoint::is_ready);
+        Departure { started: last.entry.started, at: now, is_unconfirmed: was_ready }
     }
 
     /// A further accepted list agrees with what is known. A candidate with all of its confirmations is ready, as
--- a/src/endpoints/tracked.rs
+++ b/src/endpoints/tracked.rs
@@ -68,8 +68,7 @@
     }
 
     fn transition(&mut self, now: f64, id: EngineId, classification: Classification) {
-        let departs = self.engines.get(&id).is_some_and(|engine| engine.departs_with(&classification));
-        if departs {
+        if self.engines.entry(id.clone()).or_default().departs_with(&classification) {
             self.limit_departures();
         }
         self.engines.entry(id).or_default().apply(now, classification);
