--- a/crates/raft/src/disk/mod.rs
+++ b/crates/raft/src/disk/mod.rs
@@ -3,7 +3,8 @@
 //! A segment begins with a checkpoint, which is all that counts, and goes on with the write batches since. Once it is long,
 //! the next one is begun and the old one removed. Nothing is reported to be on disk before the sync that covers it.
 //!
-//! A record says how much of its segment was synced before it was written: see [`recovery`].
+//! A record says how much of its segment was synced before it was written. A corrupt record before such a point is damage,
+//! and the member does not start; one behind all of them is a write that was cut off, and is dropped.
 
 mod error;
 mod folder;
