--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -260,11 +260,15 @@
 
     /// Delivers all that one has sent to another, and syncs what that writes.
     fn deliver(&mut self, from: usize, to: usize) {
+        self.deliver_unsynced(from, to);
+        self.sync(to);
+    }
+
+    fn deliver_unsynced(&mut self, from: usize, to: usize) {
         let sent: Vec<Message> = self.world.net.iter().cloned().collect();
         for message in sent.into_iter().filter(|m| (m.from, m.to) == (from as Id + 1, to as Id + 1)) {
             self.apply(Step::Deliver(message));
         }
-        self.sync(to);
     }
 
     fn sync(&mut self, at: usize) {
@@ -313,3 +317,23 @@
     assert_eq!(figure_8(None), None);
     assert_eq!(figure_8(Some(PlantedFault::CommitOlderTerm)), Some("a leader lacks an entry that counts"));
 }
+
+/// A follower loses an entry that its leader has committed on its acknowledgement, and elects one that never had it.
+fn unsynced_acknowledgement(planted_fault: Option<PlantedFault>) -> Option<&'static str> {
+    let bounds = Bounds { term: 9, planted_fault, ..BOUNDS };
+    let world = bounds.init_states().remove(0);
+    let mut scenario = Scenario { bounds, world };
+    scenario.elect(0, 2, &[1]);
+    scenario.deliver_unsynced(0, 1);
+    scenario.apply(Step::Crash(1));
+    scenario.deliver(1, 0);
+    scenario.elect(2, 3, &[1]);
+    scenario.world.violation
+}
+
+#[test]
+fn an_acknowledgement_of_an_unsynced_entry_is_caught() {
+    assert_eq!(unsynced_acknowledgement(None), None);
+    let violation = unsynced_acknowledgement(Some(PlantedFault::AckNotStored));
+    assert_eq!(violation, Some("a leader lacks an entry that counts"));
+}
