--- a/crates/raft/src/disk/mod.rs
+++ b/crates/raft/src/disk/mod.rs
@@ -54,7 +54,7 @@
         });
         let mut log = Self { disk, state, segment, length, checkpoint_bytes: 0, failed: false };
         if is_current {
-            // Whatever stands behind the last record is no part of the log.
+            // What follows the last complete record is not part of the log.
             let name = segment_name(segment);
             log.disk.truncate(&name, length).map_err(|error| OpenErrorKind::Io(error).of("the log"))?;
         } else {
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Writes a file as a whole or not at all.
+    /// Writes a file atomically: under another name first, then renamed.
     fn put_file(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let part = format!("{name}.part");
         match self.disk.remove(&part) {
--- a/crates/raft/src/disk/record.rs
+++ b/crates/raft/src/disk/record.rs
@@ -101,7 +101,7 @@
     encoded
 }
 
-/// The record that begins at `offset`; none where there is no whole one.
+/// The record that begins at `offset`; none where there is no complete one.
 pub(super) fn decode_record(bytes: &[u8], offset: usize, format: u32) -> Option<DecodedRecord> {
     let header = Header::read(bytes, offset, format)?;
     if header.length > MAX_BODY_BYTES {
--- a/crates/raft/src/disk/recovery.rs
+++ b/crates/raft/src/disk/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads the log when a member starts: the latest segment that begins with a whole checkpoint, record by record.
+//! Reads the log when a member starts: the latest segment that begins with a complete checkpoint, record by record.
 //!
 //! A corrupt record before a point that was synced is damage, and the member does not start. One behind all such points is
 //! a write that was cut off, and is dropped.
@@ -18,7 +18,7 @@
     /// The number of the segment that it was found in.
     pub segment: u64,
     pub state: PersistentState,
-    /// Bytes of the segment that are whole records.
+    /// Bytes of the segment that are complete records.
     pub length: u64,
     /// The segment's format.
     pub format: u32,
@@ -31,13 +31,13 @@
     name: String,
 }
 
-/// The state on disk; none in a folder without a segment that begins whole.
+/// The state on disk; none in a folder without a segment that begins with a complete checkpoint.
 pub(super) fn recover(disk: &mut dyn Disk) -> Result<Option<Recovered>, OpenError> {
     let names = disk.list().map_err(|error| OpenErrorKind::Io(error).of("the folder"))?;
     let numbered = |name: String| segment_number(&name).map(|number| SegmentFile { number, name });
     let mut segments: Vec<SegmentFile> = names.into_iter().filter_map(numbered).collect();
     segments.sort_unstable();
-    // The latest that begins whole. One that does not was being begun when the program ended.
+    // The latest that begins with a complete checkpoint. One that does not was being written when the program ended.
     while let Some(SegmentFile { number, name }) = segments.pop() {
         let bytes = disk.read(&name).map_err(|error| OpenErrorKind::Io(error).of(&name))?;
         if let Some(replayed) = replay(disk, &name, &bytes)? {
@@ -58,7 +58,7 @@
     format: u32,
 }
 
-/// Reads a segment; none where it does not begin whole.
+/// Reads a segment; none where it does not begin with a complete checkpoint.
 fn replay(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> Result<Option<Replayed>, OpenError> {
     let Some(format) = read_format(name, bytes)? else { return Ok(None) };
     let Some(DecodedRecord { record, end, .. }) = decode_record(bytes, HEADER_BYTES, format) else {
@@ -78,7 +78,7 @@
         let Some(batch) = batch_of(decoded.record) else {
             return Err(OpenErrorKind::MisplacedCheckpoint(offset).of(name));
         };
-        snapshot_position = batch.snapshot.as_ref().map_or(snapshot_position, |held| held.position());
+        snapshot_position = batch.snapshot.as_deref().map_or(snapshot_position, Snapshot::position);
         state.apply(&batch);
     }
     if snapshot_position != LogPosition::default() {
@@ -101,7 +101,7 @@
     Some(WriteBatch { number: 0, hard_state, snapshot, reset, truncate, entries, compact })
 }
 
-/// What begins at `offset` is no whole record: cut off, unless a later record says that it was synced.
+/// What begins at `offset` is no complete record: cut off, unless a later record says that it was synced.
 fn check_tail(name: &str, bytes: &[u8], offset: usize, format: u32) -> Result<(), OpenError> {
     let mut later = (offset + 1..bytes.len()).filter_map(|at| decode_record(bytes, at, format));
     if format > 1 && later.any(|record| record.synced > offset as u64) {
--- a/crates/raft/src/disk/segment.rs
+++ b/crates/raft/src/disk/segment.rs
@@ -1,4 +1,4 @@
-//! The files of the log: their names, and what stands at a segment's beginning.
+//! The files of the log: their names, and a segment's header.
 
 use super::error::{OpenError, OpenErrorKind};
 use crate::entry::LogPosition;
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log holds: entries, the membership that they define, and the snapshot that stands for the first of them.
+//! What the log holds: entries, the membership that they define, and the snapshot that replaces the first of them.
 //!
 //! All of these types are stored or sent: the order and kind of their fields and variants is the format.
 
--- a/crates/raft/src/state_machine/command.rs
+++ b/crates/raft/src/state_machine/command.rs
@@ -42,7 +42,7 @@
     /// Without parts, or with too many; says how many.
     #[error("a command has 1 to {max} parts, not {0}", max = MAX_OPS)]
     OpCount(usize),
-    /// A key stands in two parts.
+    /// Two parts have the same key.
     #[error("a command names each key once")]
     DuplicateKey,
     /// A key that is empty, too long or not printable; says its printable beginning.
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -94,8 +94,8 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.call(|inner| {
-            let held: usize = inner.names.values().map(|at| inner.contents[*at].bytes.len()).sum();
-            if inner.room.is_some_and(|room| held + bytes.len() > room) {
+            let used: usize = inner.names.values().map(|at| inner.contents[*at].bytes.len()).sum();
+            if inner.room.is_some_and(|room| used + bytes.len() > room) {
                 return Err(ErrorKind::StorageFull.into());
             }
             let at = inner.at(name).unwrap_or_else(|_| {
@@ -202,7 +202,7 @@
     DiskLog::open(Box::new(disk.clone()), || 5).map_err(|error| error.to_string())
 }
 
-/// Writes them one by one until one fails; how many were told to be on disk.
+/// Writes them one by one until one fails; how many were reported to be on disk.
 fn write(disk: &Memory) -> usize {
     let Ok(mut log) = open(disk) else { return 0 };
     let done = batches().iter().take_while(|batch| log.write(std::slice::from_ref(batch)).is_ok()).count();
@@ -340,7 +340,7 @@
     assert_eq!(names.len(), 2, "{names:?}");
 }
 
-/// The form before had no marks and said nothing of syncs: a log of that form is read and goes on in the present one.
+/// Format 1 had no marks and no synced lengths: a log of that format is read and continued in the present one.
 #[test]
 fn format_1_is_read_and_continued_in_the_present_format() {
     // Written by the first form: a checkpoint of member 5, then one entry of term 2 with the bytes 1, 2, 3.
--- a/crates/raft/tests/snapshot_chunks.rs
+++ b/crates/raft/tests/snapshot_chunks.rs
@@ -39,8 +39,8 @@
                 (message.to as usize - 1, Event::Message(message))
             }
             Action::Persist(batch) => (at, Event::Persisted(batch.number)),
-            Action::Restore(held) => {
-                restored |= at == 2 && *held == *snapshot;
+            Action::Restore(received) => {
+                restored |= at == 2 && *received == *snapshot;
                 continue;
             }
             _ => continue,
