--- a/crates/raft/src/disk/mod.rs
+++ b/crates/raft/src/disk/mod.rs
@@ -3,7 +3,8 @@
 //! A segment begins with a checkpoint, which is all that counts, and goes on with the write batches since. Once it is long,
 //! the next one is begun and the old one removed. Nothing is reported to be on disk before the sync that covers it.
 //!
-//! A record says how much of its segment was synced before it was written: see [`recovery`].
+//! A record says how much of its segment was synced before it was written. A corrupt record before such a point is damage,
+//! and the member does not start; one behind all of them is a write that was cut off, and is dropped.
 
 mod error;
 mod folder;
@@ -53,7 +54,7 @@
         });
         let mut log = Self { disk, state, segment, length, checkpoint_bytes: 0, failed: false };
         if is_current {
-            // Whatever stands behind the last record is no part of the log.
+            // What follows the last complete record is not part of the log.
             let name = segment_name(segment);
             log.disk.truncate(&name, length).map_err(|error| OpenErrorKind::Io(error).of("the log"))?;
         } else {
@@ -109,7 +110,7 @@
         Ok(())
     }
 
-    /// Writes a file as a whole or not at all.
+    /// Writes a file atomically: under another name first, then renamed.
     fn put_file(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let part = format!("{name}.part");
         match self.disk.remove(&part) {
