--- a/src/bin/dahliaspoke-simhost/wire.rs
+++ b/src/bin/dahliaspoke-simhost/wire.rs
@@ -1,15 +1,38 @@
 //! The wire's names and shapes, to and from the library's types. Translation only.
 
-use dahliaspoke::policy::Policy;
-use dahliaspoke::policy::*;
-use dahliaspoke::settings::{field, object, part, settings, words, Res};
-use serde_json::{json, Map, Value};
+use dahliaspoke::policy::{
+    Action, AttemptEnd, EngineEntry, Event, Lifecycle, ListScope, LoadReport, Outcome, Policy, Progress,
+    Query,
+};
+use dahliaspoke::settings::{field, object, object_field, parse_settings, texts, SettingsError};
+use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use thiserror::Error;
 
-/// One gateway with the names that its settings gave.
+/// Why a line of the simulator cannot be handled; the text is one line for its log.
+#[derive(Debug, Error)]
+pub enum WireError {
+    /// The line, or a value in it, is not of the wire's form.
+    #[error("{0}")]
+    Malformed(String),
+    /// The line is not JSON.
+    #[error("not JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The settings of an instance are wrong.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+impl From<&str> for WireError {
+    fn from(reason: &str) -> Self {
+        Self::Malformed(reason.into())
+    }
+}
+
+/// One coordinator with the names that its settings gave.
 struct Instance {
-    gateway: Policy,
+    policy: Policy,
     classes: Vec<String>,
     tenants: Vec<String>,
     columns: Vec<String>,
@@ -32,24 +55,29 @@
     fn get(&self, at: usize) -> Option<&'a Value> {
         self.values.get(at).filter(|v| !v.is_null())
     }
-    fn wrong(&self, at: usize, wanted: &str) -> String {
-        format!("{}: value {at} is not {wanted}", self.name)
+    fn wrong(&self, at: usize, wanted: &str) -> WireError {
+        WireError::Malformed(format!("{}: value {at} is not {wanted}", self.name))
     }
-    fn text(&self, at: usize) -> Res<&'a str> {
+    fn text(&self, at: usize) -> Result<&'a str, WireError> {
         self.get(at).and_then(Value::as_str).ok_or_else(|| self.wrong(at, "a text"))
     }
-    fn whole(&self, at: usize) -> Res<u64> {
+    fn whole(&self, at: usize) -> Result<u64, WireError> {
         self.get(at).and_then(Value::as_u64).ok_or_else(|| self.wrong(at, "a whole number"))
     }
-    fn number(&self, at: usize) -> Res<f64> {
+    fn number(&self, at: usize) -> Result<f64, WireError> {
         self.get(at).and_then(Value::as_f64).ok_or_else(|| self.wrong(at, "a number"))
     }
-    fn maybe<T>(&self, at: usize, read: fn(&Value) -> Option<T>, wanted: &str) -> Res<Option<T>> {
+    fn maybe<T>(
+        &self,
+        at: usize,
+        read: fn(&Value) -> Option<T>,
+        wanted: &str,
+    ) -> Result<Option<T>, WireError> {
         self.get(at).map(|v| read(v).ok_or_else(|| self.wrong(at, wanted))).transpose()
     }
 }
 
-fn entry(value: &Value) -> Res<EngineEntry> {
+fn entry(value: &Value) -> Result<EngineEntry, WireError> {
     let values = value.as_array().ok_or("catalog: an entry is not a list")?;
     let row = Row { name: "catalog entry", values };
     Ok(EngineEntry {
@@ -61,13 +89,13 @@
             "ready" => Lifecycle::Ready,
             "draining" => Lifecycle::Draining,
             "gone" => Lifecycle::Gone,
-            other => return Err(format!("catalog: unknown state {other}")),
+            other => return Err(WireError::Malformed(format!("catalog: unknown state {other}"))),
         },
         started: row.maybe(6, Value::as_f64, "a number")?.filter(|t| *t != 0.0),
     })
 }
 
-fn outcome(text: &str) -> Res<Outcome> {
+fn outcome(text: &str) -> Result<Outcome, WireError> {
     Ok(match text {
         "success" => Outcome::Ok,
         "failure" => Outcome::Error,
@@ -77,11 +105,11 @@
         "broken" => Outcome::Reset,
         "withdrawn" => Outcome::Cancelled,
         "void" => Outcome::Expired,
-        other => return Err(format!("unknown outcome {other}")),
+        other => return Err(WireError::Malformed(format!("unknown outcome {other}"))),
     })
 }
 
-fn report(value: Option<&Value>, columns: &[String]) -> Res<Option<LoadReport>> {
+fn report(value: Option<&Value>, columns: &[String]) -> Result<Option<LoadReport>, WireError> {
     let Some(value) = value else { return Ok(None) };
     let values = value.as_array().ok_or("a load report is not a list")?;
     let mut report = LoadReport::default();
@@ -89,14 +117,14 @@
         if value.is_null() {
             continue;
         }
-        let place = match column.as_str() {
+        let field = match column.as_str() {
             "busy" => &mut report.util,
             "q" => &mut report.queue,
             "x0" => &mut report.memory,
             "x1" => &mut report.disk,
             _ => continue,
         };
-        *place = Some(value.as_f64().ok_or("a load report holds no number")?);
+        *field = Some(value.as_f64().ok_or("a load report holds no number")?);
     }
     Ok(Some(report))
 }
@@ -117,18 +145,18 @@
 }
 
 impl Instance {
-    fn create(row: &Row) -> Res<Self> {
+    fn create(row: &Row) -> Result<Self, WireError> {
         let seed = row.whole(2)?;
         let conf = object(row.get(3).ok_or("create: no settings")?, "create: conf")?;
-        let columns = words(part(conf, "report", &Map::new())?, "columns")?;
-        let settings = settings(conf)?;
+        let columns = texts(object_field(conf, "report")?, "columns")?;
+        let settings = parse_settings(conf)?;
         let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
         let tenants = settings.tenants.iter().map(|t| t.name.clone()).collect();
-        Ok(Self { gateway: Policy::new(settings, seed), classes, tenants, columns })
+        Ok(Self { policy: Policy::new(settings, seed), classes, tenants, columns })
     }
 
     /// The event in the library's terms; `None` for news that it has no use for.
-    fn event(&self, row: &Row, slots: &BTreeMap<u64, Vec<EngineEntry>>) -> Res<Option<Event>> {
+    fn event(&self, row: &Row, slots: &BTreeMap<u64, Vec<EngineEntry>>) -> Result<Option<Event>, WireError> {
         Ok(Some(match row.name {
             "membership" => {
                 let scope = match row.text(4)? {
@@ -136,7 +164,7 @@
                     "replace" => ListScope::Complete,
                     "restored" => ListScope::Restored,
                     "unavailable" => return Ok(Some(Event::DiscoveryFailed)),
-                    other => return Err(format!("membership: unknown scope {other}")),
+                    other => return Err(WireError::Malformed(format!("membership: unknown scope {other}"))),
                 };
                 let entries = slots.get(&row.whole(2)?).ok_or("membership: no such catalog slot")?;
                 Event::EngineList(scope, entries.clone())
@@ -175,26 +203,26 @@
             "withdrawn" => Event::ClientGone { id: row.text(2)?.into() },
             "due" => Event::Timer(row.whole(2)?),
             "interim" => {
-                let told = row.number(6)?;
+                let value = row.number(6)?;
                 let progress = match row.whole(5)? {
-                    1 => Progress::Done(told),
-                    2 => Progress::Spills(told),
-                    3 if told == 2.0 => Progress::WaitsForLoad,
+                    1 => Progress::Done(value),
+                    2 => Progress::Spills(value),
+                    3 if value == 2.0 => Progress::WaitsForLoad,
                     3 => Progress::WaitsForMemory,
                     _ => return Ok(None), // topics to come
                 };
                 Event::Progress { id: row.text(2)?.into(), attempt: row.whole(3)? as u32, progress }
             }
             "probeResult" | "heard" => return Ok(None),
-            other => return Err(format!("unknown event {other}")),
+            other => return Err(WireError::Malformed(format!("unknown event {other}"))),
         }))
     }
 }
 
 impl Host {
     /// Handles one line and returns the reply, newline included.
-    pub fn batch(&mut self, line: &[u8]) -> Res<String> {
-        let batch: Value = serde_json::from_slice(line).map_err(|e| format!("not JSON: {e}"))?;
+    pub fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
+        let batch: Value = serde_json::from_slice(line)?;
         let batch = object(&batch, "a batch")?;
         let now = field(batch, "moment").and_then(Value::as_f64).ok_or("moment is not a number")?;
         let input = field(batch, "input").and_then(Value::as_array).ok_or("input is not a list")?;
@@ -208,7 +236,7 @@
             match name {
                 "catalog" => {
                     let rows = row.get(2).and_then(Value::as_array).ok_or("catalog: no entries")?;
-                    self.slots.insert(inst, rows.iter().map(entry).collect::<Res<_>>()?);
+                    self.slots.insert(inst, rows.iter().map(entry).collect::<Result<_, WireError>>()?);
                 }
                 "create" => {
                     self.instances.insert(inst, Instance::create(&row)?);
@@ -220,9 +248,9 @@
                     let instance = self
                         .instances
                         .get_mut(&inst)
-                        .ok_or_else(|| format!("{name}: no such instance {inst}"))?;
+                        .ok_or_else(|| WireError::Malformed(format!("{name}: no such instance {inst}")))?;
                     if let Some(event) = instance.event(&row, &self.slots)? {
-                        instance.gateway.handle(now, event, &mut actions);
+                        instance.policy.handle(now, event, &mut actions);
                         out.extend(actions.drain(..).map(|a| action(inst, a)));
                     }
                 }
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,7 +1,7 @@
 //! `dahliaspoke check FILE`: whether a file would be accepted, without a start.
 
 use crate::body_store::Bodies;
-use crate::config::{parsed, Config};
+use crate::config::{parse_toml, Config, ConfigError};
 use crate::discovery::consul;
 use crate::mysql::config::Mysql;
 use crate::{core, log, store};
@@ -41,8 +41,8 @@
         reason: String,
     },
     /// The file's syntax, or a single key of it, is wrong; the text names file, line and key.
-    #[error("{0}")]
-    Unparsable(String),
+    #[error(transparent)]
+    Unparsable(#[from] ConfigError),
     /// The daemon reads no file of that name.
     #[error("{path}: no file of ours has that name")]
     UnknownName {
@@ -72,7 +72,7 @@
 }
 
 fn parse<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, CheckError> {
-    parsed(path, text).map_err(|error| CheckError::Unparsable(error.to_string()))
+    Ok(parse_toml(path, text)?)
 }
 
 fn check_store(path: &str, text: &str) -> Result<(), CheckError> {
@@ -83,7 +83,7 @@
 fn check_configuration(path: &str, text: &str) -> Result<(), CheckError> {
     let value =
         serde_json::from_str(text).map_err(|source| CheckError::NotJson { path: path.into(), source })?;
-    match Config::read(&value) {
+    match Config::from_json(&value) {
         Ok(_) => Ok(()),
         Err(error) => Err(CheckError::Invalid { path: path.into(), reason: error.to_string() }),
     }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,5 +1,6 @@
 //! What can be wrong with the configuration.
 
+use crate::discovery::endpoint_json::EndpointJsonError;
 use dahliaspoke::settings::SettingsError;
 use std::env::VarError;
 use std::net::AddrParseError;
@@ -79,14 +80,14 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The endpoints that are known at the start are wrong.
-    #[error("{0}")]
-    Endpoints(String),
+    #[error(transparent)]
+    Endpoints(EndpointJsonError),
     /// The settings in the replicated store are not JSON.
     #[error("stored settings: {0}")]
     StoredSettings(#[source] serde_json::Error),
     /// The engines in the replicated store are wrong.
     #[error("stored engines: {0}")]
-    StoredEngines(String),
+    StoredEngines(#[source] EndpointJsonError),
 }
 
 impl ConfigError {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,11 +5,11 @@
 mod error;
 mod toml_file;
 
-pub use compat::{line_of, optional, optional_with_text, parsed};
+pub use compat::{line_of, optional, optional_with_text};
 pub use error::ConfigError;
 pub use toml_file::{line_number, parse_toml, read_optional, read_optional_with_text};
 
-use crate::discovery::{endpoint_json, EndpointSet};
+use crate::discovery::endpoint_json::{self, InitialEndpoints};
 use crate::limits::Limits;
 use dahliaspoke::policy::Settings;
 use dahliaspoke::settings::{object, object_field, parse_settings, text};
@@ -31,17 +31,17 @@
     /// The name of this coordinator.
     pub name: String,
     /// The address of the HTTP listener.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The descriptor of the HTTP listener's socket, where this process inherits it.
-    pub inherited: Option<RawFd>,
+    pub inherited_listener: Option<RawFd>,
     /// The address of the admin interface, where there is one.
-    pub console: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Seeds the decisions' random numbers.
     pub seed: u64,
     /// The address of the directory that answers DNS queries.
-    pub names: SocketAddr,
+    pub directory: SocketAddr,
     /// The endpoints known at the start, and the number of the last event that they include.
-    pub known: (u32, EndpointSet),
+    pub initial_endpoints: InitialEndpoints,
     /// Settings of the decisions.
     pub settings: Settings,
     /// Limits that follow from the configuration.
@@ -69,19 +69,19 @@
     /// The first key that is wrong, in the order in which they are read here.
     pub fn from_json(value: &Value) -> Result<Self, ConfigError> {
         let map = object(value, "the configuration")?;
-        let console = admin_address(map)?;
-        let inherited = inherited_listener()?;
+        let admin_address = admin_address(map)?;
+        let inherited_listener = inherited_listener()?;
         let seed = text(map, "seed", "0")?;
         Ok(Self {
             name: text(map, "name", "node")?.into(),
-            listen: address(map, "listen")?,
-            inherited,
-            console,
+            listen_address: address(map, "listen")?,
+            inherited_listener,
+            admin_address,
             seed: parse_seed(seed)?,
-            names: address(map, "names")?,
-            known: known_endpoints(map)?,
+            directory: address(map, "names")?,
+            initial_endpoints: endpoint_json::from_config(map).map_err(ConfigError::Endpoints)?,
             settings: parse_settings(object_field(map, "settings")?)?,
-            limits: Limits::from_config(value, inherited.is_some())?,
+            limits: Limits::from_config(value, inherited_listener.is_some())?,
         })
     }
 
@@ -90,14 +90,14 @@
     ///
     /// # Errors
     /// What is wrong with the stored value.
-    pub fn take_stored(&mut self, settings: Option<&str>, engines: Option<&str>) -> Result<(), ConfigError> {
+    pub fn apply_stored(&mut self, settings: Option<&str>, engines: Option<&str>) -> Result<(), ConfigError> {
         if let Some(text) = settings {
             let value: Value = serde_json::from_str(text).map_err(ConfigError::StoredSettings)?;
             self.settings = parse_settings(object(&value, "stored settings")?)?;
         }
-        if let (true, Some(text)) = (self.known.1.all().is_empty(), engines) {
-            self.known.1 = endpoint_json::servers(text)
-                .map_err(|error| ConfigError::StoredEngines(error.to_string()))?;
+        if let (true, Some(text)) = (self.initial_endpoints.endpoints.is_empty(), engines) {
+            self.initial_endpoints.endpoints =
+                endpoint_json::from_json(text).map_err(ConfigError::StoredEngines)?;
         }
         Ok(())
     }
@@ -132,8 +132,3 @@
     let number = u64::from_str_radix(text, SEED_RADIX);
     number.map_err(|source| ConfigError::Number { name: "seed", text: text.into(), source })
 }
-
-/// The endpoints known at the start, and the number of the last event that they include.
-fn known_endpoints(map: &Map<String, Value>) -> Result<(u32, EndpointSet), ConfigError> {
-    endpoint_json::read(map).map_err(|error| ConfigError::Endpoints(error.to_string()))
-}
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -57,7 +57,7 @@
     ) {
         let Some(request) = self.requests.get(&id) else { return };
         // The listener's report that the client has gone may wait behind what led here: its connection is asked now.
-        let client_gone = request.is_open() && !routes[request.route].front.is_client_waiting(&id);
+        let client_gone = request.is_open() && !routes[request.route].listener.is_client_waiting(&id);
         if client_gone && self.withdraw(&id) {
             self.events.push_back(Event::ClientGone { id: id.clone() });
         }
@@ -91,7 +91,7 @@
             priority: request.priority,
             payload: request.payload.clone(),
         };
-        let upstream = &mut routes[request.route].link;
+        let upstream = &mut routes[request.route].upstream;
         let attempt_id = AttemptId { request: id, number };
         self.counters.sends += 1;
         self.trace.attempt_sent(now, &attempt_id, &attempt.engine);
@@ -139,7 +139,7 @@
     ) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let changed = request.set_terms(memory, priority);
-        let upstream = &mut routes[request.route].link;
+        let upstream = &mut routes[request.route].upstream;
         for attempt in changed {
             upstream.set_priority(now, id, attempt, priority);
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -96,17 +96,17 @@
     }
 
     /// Whether the policy has ejected an engine for now.
-    pub fn avoids(&self, engine: &EngineId) -> bool {
+    pub fn is_ejected(&self, engine: &EngineId) -> bool {
         self.policy.engine(engine).is_some_and(|status| status.ejected)
     }
 
     /// How many requests are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.open()
     }
 
     /// Gives up all open requests, each with an answer: the program ends before they do.
-    pub fn give_up(&mut self, now: Time, routes: &mut [Route]) {
+    pub fn shut_down(&mut self, now: Time, routes: &mut [Route]) {
         self.feed(now, Event::Shutdown, routes);
     }
 
@@ -133,12 +133,18 @@
     }
 
     /// Hands the policy a list of engines, or changes of it.
-    pub fn engines(&mut self, now: Time, scope: ListScope, entries: Vec<EngineEntry>, routes: &mut [Route]) {
+    pub fn update_engines(
+        &mut self,
+        now: Time,
+        scope: ListScope,
+        entries: Vec<EngineEntry>,
+        routes: &mut [Route],
+    ) {
         self.feed(now, Event::EngineList(scope, entries), routes);
     }
 
     /// Handles what a listener reports.
-    pub fn front_event(&mut self, now: Time, event: ListenerEvent, routes: &mut [Route]) {
+    pub fn on_listener_event(&mut self, now: Time, event: ListenerEvent, routes: &mut [Route]) {
         match event {
             ListenerEvent::Request(request) => self.receive(now, request, routes),
             ListenerEvent::Rejected(class) => {
@@ -155,14 +161,14 @@
     }
 
     /// Handles the loss of bytes of a body: the request that it belongs to gets no further attempt.
-    pub fn spent(&mut self, now: Time, body: BodyId, routes: &mut [Route]) {
+    pub fn on_body_dropped(&mut self, now: Time, body: BodyId, routes: &mut [Route]) {
         if let Some(id) = self.requests.with_body(body).cloned() {
             self.feed(now, Event::BodyDropped { id }, routes);
         }
     }
 
     /// Handles what an upstream reports.
-    pub fn news(&mut self, now: Time, event: UpstreamEvent, routes: &mut [Route]) {
+    pub fn on_upstream_event(&mut self, now: Time, event: UpstreamEvent, routes: &mut [Route]) {
         match event {
             UpstreamEvent::AttemptEnd { id, attempt, outcome, report } => {
                 let attempt = AttemptId { request: id, number: attempt };
@@ -195,7 +201,7 @@
         // The policy keeps requests by id, and engines are sent the client's id as it is.
         if self.requests.get(&request.id).is_some() {
             self.counters.answers[request.class].count(&Answer::Failed);
-            routes[request.route].front.answer(now, &request.id, Answer::Failed);
+            routes[request.route].listener.answer(now, &request.id, Answer::Failed);
             return;
         }
         let query = self.query(now, &request);
@@ -265,7 +271,7 @@
     /// Has the upstream give an attempt up. Returns whether no byte of it has gone out.
     fn abandon(&self, now: Time, attempt: &AttemptId, routes: &mut [Route]) -> bool {
         let route = self.requests.get(&attempt.request).map_or(0, |request| request.route);
-        routes[route].link.abandon(now, &attempt.request, attempt.number)
+        routes[route].upstream.abandon(now, &attempt.request, attempt.number)
     }
 
     /// Hands the policy an attempt's one end.
@@ -304,7 +310,7 @@
         let Some(request) = self.requests.close(id, RequestStatus::Answered) else { return };
         self.counters.answers[request.class].count(&answer);
         self.trace.answered(now, id, &answer);
-        routes[request.route].front.answer(now, id, answer);
+        routes[request.route].listener.answer(now, id, answer);
     }
 }
 
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -6,7 +6,7 @@
 /// is handed.
 pub struct Route<'a> {
     /// Where requests of this route come from.
-    pub front: &'a mut dyn Listener,
+    pub listener: &'a mut dyn Listener,
     /// Where attempts of this route run.
-    pub link: &'a mut dyn Upstream,
+    pub upstream: &'a mut dyn Upstream,
 }
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -20,7 +20,7 @@
         } else if let Some(event) = self.handlers.routes.next_listener_event() {
             self.forward_listener_event(now, event);
         } else if let Some(event) = self.handlers.routes.next_upstream_event() {
-            self.core.news(now, event, &mut self.handlers.routes.for_core());
+            self.core.on_upstream_event(now, event, &mut self.handlers.routes.for_core());
         } else {
             return false;
         }
@@ -35,7 +35,7 @@
         let routes = &mut self.handlers.routes;
         match event {
             Wake::Data(reader) => routes.wake_reader(now, *reader),
-            Wake::Spent(body) => self.core.spent(now, *body, &mut routes.for_core()),
+            Wake::Spent(body) => self.core.on_body_dropped(now, *body, &mut routes.for_core()),
             Wake::Room(body) | Wake::Kept(body) | Wake::Passed(body) | Wake::Lost(body) => {
                 routes.wake_upload(now, *body, event);
             }
@@ -50,6 +50,6 @@
                 request.deadline = now; // it is rejected at once
             }
         }
-        self.core.front_event(now, event, &mut self.handlers.routes.for_core());
+        self.core.on_listener_event(now, event, &mut self.handlers.routes.for_core());
     }
 }
--- a/src/daemon/endpoint_updates.rs
+++ b/src/daemon/endpoint_updates.rs
@@ -19,7 +19,7 @@
 impl KnownEndpoints {
     /// Applies changed endpoints. Departures are forgotten after `retention` (s).
     fn apply(&mut self, now: Time, changes: &[Endpoint], retention: Time) {
-        self.current.change(changes.to_vec());
+        self.current.apply_changes(changes.to_vec());
         let gone = changes.iter().filter(|endpoint| endpoint.entry.lifecycle == Lifecycle::Gone);
         self.departed.extend(gone.map(|endpoint| (endpoint.entry.id.clone(), now)));
         self.departed.retain(|_, departed_at| now - *departed_at < retention);
@@ -32,12 +32,12 @@
 
     /// All endpoints in the set, in order of their ids.
     pub fn all(&self) -> Vec<Endpoint> {
-        self.current.all()
+        self.current.to_vec()
     }
 
     /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
-        self.current.all().is_empty()
+        self.current.to_vec().is_empty()
     }
 
     /// Whether an engine is in the set, or has left it lately.
@@ -54,14 +54,14 @@
 impl Daemon {
     /// Applies what discovery has found.
     pub(super) fn apply_discovered_changes(&mut self, now: Time) {
-        if let Some(changes) = self.handlers.discovery.take() {
+        if let Some(changes) = self.handlers.discovery.take_changes() {
             self.apply_endpoint_changes(now, ListScope::Changes, changes);
         }
     }
 
     /// Applies changes of the endpoint set.
     pub(super) fn apply_endpoint_changes(&mut self, now: Time, scope: ListScope, changes: EndpointChanges) {
-        let EndpointChanges { told: notified, endpoints } = changes;
+        let EndpointChanges { notified_at: notified, endpoints } = changes;
         self.endpoints.apply(now, &endpoints, self.limits.discovery.departed_retention);
         self.publish_endpoints(now);
         self.distribute_endpoints(now, notified, scope, endpoints);
@@ -74,14 +74,14 @@
             return;
         }
         if let Some(store) = &mut self.handlers.store {
-            store.lead_with(now, store::ENGINES, &endpoint_json::write(&self.endpoints.current));
+            store.maintain_value(now, store::ENDPOINTS_KEY, &endpoint_json::to_json(&self.endpoints.current));
         }
     }
 
     /// Checks the lease on the endpoint set. Once it has expired, upstreams begin nothing, and all engines count as draining
     /// here until discovery has confirmed a set.
     pub(super) fn check_lease(&mut self, now: Time) {
-        let until = self.handlers.discovery.valid_until();
+        let until = self.handlers.discovery.lease_expires_at();
         self.handlers.routes.set_lease_end(until);
         let expired = until <= now;
         if expired == std::mem::replace(&mut self.endpoints.lease_expired, expired) {
@@ -104,7 +104,7 @@
         for endpoint in endpoints {
             entries.push(self.update_upstreams(now, notified, endpoint));
         }
-        self.core.engines(now, scope, entries, &mut self.handlers.routes.for_core());
+        self.core.update_engines(now, scope, entries, &mut self.handlers.routes.for_core());
     }
 
     /// Updates the upstreams with an endpoint. One in maintenance drains, whatever discovery says, from when the maintenance
--- a/src/daemon/event_loop.rs
+++ b/src/daemon/event_loop.rs
@@ -45,7 +45,7 @@
 
     /// The earliest time at which something is due that no descriptor tells of. Every wait of the loop is computed here.
     fn next_deadline(&mut self) -> Time {
-        let lease_end = self.handlers.discovery.valid_until();
+        let lease_end = self.handlers.discovery.lease_expires_at();
         let deadlines = [
             self.core.next_deadline(),
             self.shutdown.next_deadline(),
@@ -109,10 +109,10 @@
         let now = self.clock.now();
         tracing::info!(at = now, "the process was suspended");
         let until = now + self.limits.event_loop.catch_up_timeout;
-        self.handlers.discovery.ask(now);
+        self.handlers.discovery.query_now(now);
         loop {
             let now = self.clock.now();
-            let waiting = self.handlers.discovery.waits() && now < until;
+            let waiting = self.handlers.discovery.awaits_response() && now < until;
             let wait_until = if waiting { until } else { now };
             self.poller.wait(now, wait_until, ready).map_err(DaemonError::Poll)?;
             if !waiting {
--- a/src/daemon/maintenance.rs
+++ b/src/daemon/maintenance.rs
@@ -60,7 +60,11 @@
 
 /// The engines that the store has in maintenance.
 fn stored_engines(store: &Store) -> BTreeSet<EngineId> {
-    store.under(store::MAINTENANCE).into_iter().map(|(engine, _)| engine.into()).collect()
+    store
+        .entries_with_prefix(store::MAINTENANCE_PREFIX)
+        .into_iter()
+        .map(|(engine, _)| engine.into())
+        .collect()
 }
 
 impl Daemon {
@@ -74,7 +78,7 @@
 
     /// Applies what the process beside this one has changed.
     fn read_maintenance(&mut self, now: Time) {
-        match self.maintenance.local.look() {
+        match self.maintenance.local.poll() {
             Ok(changed) => self.apply_maintenance(now, changed),
             Err(error) => tracing::info!(at = now, "maintenance is not kept: {error}"),
         }
@@ -115,8 +119,8 @@
             return Response::UnknownEngine(engine);
         }
         match change {
-            MaintenanceChange::Start => self.maintenance.local.ban(now, &engine),
-            MaintenanceChange::End => self.maintenance.local.lift(&engine),
+            MaintenanceChange::Start => self.maintenance.local.add(now, &engine),
+            MaintenanceChange::End => self.maintenance.local.remove(&engine),
         }
         if was_started != (change == MaintenanceChange::Start) {
             self.apply_maintenance(now, vec![engine]);
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -60,10 +60,10 @@
     /// again until it can.
     fn read_configuration(&mut self, now: Time) {
         let mut backoff = std::mem::take(&mut self.reload).into_backoff();
-        match Config::from_env() {
-            Ok(Config { names: directory, .. }) => {
+        match Config::load() {
+            Ok(Config { directory, .. }) => {
                 tracing::info!(at = now, "configuration read again: directory {directory}");
-                self.handlers.discovery.move_to(now, directory);
+                self.handlers.discovery.relocate(now, directory);
             }
             Err(error) => {
                 if backoff.is_first() {
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -36,11 +36,11 @@
 impl Routes {
     /// All routes for the core, each at the position of its number.
     pub fn for_core(&mut self) -> Vec<Route<'_>> {
-        let mut routes = vec![Route { front: &mut self.http, link: &mut self.resp }];
+        let mut routes = vec![Route { listener: &mut self.http, upstream: &mut self.resp }];
         routes.extend(
             self.mysql
                 .as_mut()
-                .map(|MysqlRoute { listener, upstream }| Route { front: listener, link: upstream }),
+                .map(|MysqlRoute { listener, upstream }| Route { listener: listener, upstream: upstream }),
         );
         routes
     }
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -64,7 +64,7 @@
             tracing::info!(at = now, "leaving: connections go to the process beside");
             self.handlers.routes.http.hand_over();
         }
-        self.handlers.discovery.leave(now);
+        self.handlers.discovery.deregister(now);
     }
 
     /// Takes the next steps of a shutdown that are due.
@@ -90,7 +90,7 @@
 
     fn force_answers(&mut self, now: Time) {
         self.shutdown = ShutdownState::Flushing { until: now + self.limits.shutdown.flush_timeout };
-        self.core.give_up(now, &mut self.handlers.routes.for_core());
+        self.core.shut_down(now, &mut self.handlers.routes.for_core());
     }
 
     /// Whether the process may exit: every answer is written, and nothing that clients have sent is unread. New connections
@@ -104,7 +104,7 @@
             ShutdownState::Flushing { until } if self.clock.now() >= until => return Ok(true),
             ShutdownState::Closing { .. } | ShutdownState::Flushing { .. } => {}
         }
-        if self.core.open() > 0 || !self.handlers.routes.is_idle() {
+        if self.core.open_requests() > 0 || !self.handlers.routes.is_idle() {
             return Ok(false);
         }
         failpoints::reach("shutdown.last");
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -15,8 +15,9 @@
 use crate::body_store::{self, Bodies};
 use crate::config::{read_optional, Config};
 use crate::core::{Core, Trace};
-use crate::discovery::consul::{self, ConsulDiscovery};
-use crate::discovery::dns::DnsDiscovery;
+use crate::discovery::consul::{self, ConsulConfig, ConsulDiscovery};
+use crate::discovery::dns::{DnsConfig, DnsDiscovery};
+use crate::discovery::endpoint_json::InitialEndpoints;
 use crate::discovery::{Discovery, Endpoint, EndpointChanges};
 use crate::limits::Limits;
 use crate::listener::http::{HttpListener, Names};
@@ -80,10 +81,10 @@
 
     /// The store's settings and endpoints stand in for the configuration's from here on.
     fn open_store(&self, config: &mut Config) -> Result<Option<Store>, DaemonError> {
-        let Some(file) = read_optional(store::FILE)? else { return Ok(None) };
+        let Some(file) = read_optional(store::CONFIG_FILE)? else { return Ok(None) };
         let context = LoopContext::new(Owner::Store.number(), self.now, &self.poller, &self.limits);
         let store = Store::open(file, &config.name, context)?;
-        config.take_stored(store.get(store::SETTINGS), store.get(store::ENGINES))?;
+        config.apply_stored(store.get(store::SETTINGS_KEY), store.get(store::ENDPOINTS_KEY))?;
         if let Some(address) = store.address() {
             tracing::info!("{} stores on {address}", config.name);
         }
@@ -91,8 +92,9 @@
     }
 
     fn open_http_listener(&self, config: &Config) -> Result<OpenHttpListener, DaemonError> {
-        let listen_error = |source| DaemonError::Listen { address: config.listen, source };
-        let socket = config.inherited.map_or_else(|| TcpListener::bind(config.listen), inherited);
+        let listen_error = |source| DaemonError::Listen { address: config.listen_address, source };
+        let socket =
+            config.inherited_listener.map_or_else(|| TcpListener::bind(config.listen_address), inherited);
         let listener = HttpListener::open(
             Owner::HttpListener.number(),
             HTTP_ROUTE,
@@ -120,29 +122,28 @@
     }
 
     fn open_dns(&self, config: &Config) -> Result<DnsDiscovery, DaemonError> {
-        let directory = config.names;
-        let discovery = DnsDiscovery::new(
-            Owner::Discovery.number(),
-            self.now,
+        let directory = config.directory;
+        let InitialEndpoints { list_number, endpoints } = config.initial_endpoints.clone();
+        let dns = DnsConfig {
+            owner: Owner::Discovery.number(),
             directory,
-            config.known.clone(),
-            config.seed,
-            self.poller.clone(),
-            self.limits.clone(),
-        );
+            list_number,
+            endpoints,
+            seed: config.seed,
+        };
+        let discovery = DnsDiscovery::open(self.now, dns, self.poller.clone(), self.limits.clone());
         discovery.map_err(|source| DaemonError::Directory { address: directory, source })
     }
 
     fn open_consul(&self, config: &Config, file: consul::Config, address: SocketAddr) -> ConsulDiscovery {
-        ConsulDiscovery::new(
-            Owner::Discovery.number(),
-            self.now,
+        let consul = ConsulConfig {
+            owner: Owner::Discovery.number(),
             file,
-            (config.name.clone(), address),
-            config.known.1.clone(),
-            self.poller.clone(),
-            self.limits.clone(),
-        )
+            name: config.name.clone(),
+            address,
+            endpoints: config.initial_endpoints.endpoints.clone(),
+        };
+        ConsulDiscovery::open(self.now, consul, self.poller.clone(), self.limits.clone())
     }
 
     fn open_mysql_route(&self, config: &Config) -> Result<Option<MysqlRoute>, DaemonError> {
@@ -172,7 +173,7 @@
     }
 
     fn open_admin_interface(&self, config: &Config) -> Result<Option<AdminInterface>, DaemonError> {
-        let Some(address) = config.console else { return Ok(None) };
+        let Some(address) = config.admin_address else { return Ok(None) };
         let admin_error = |source| DaemonError::AdminInterface { address, source };
         let socket = TcpListener::bind(address).map_err(admin_error)?;
         let (poller, limits) = (self.poller.clone(), self.limits.clone());
@@ -217,7 +218,7 @@
 /// Divides the descriptors among the listeners that this deployment has.
 fn divide_limits(config: &mut Config) {
     let exists = |file: &str| Path::new(file).exists();
-    config.limits.share_out(exists(mysql::config::FILE), exists(store::FILE));
+    config.limits.reserve_descriptors(exists(mysql::config::FILE), exists(store::CONFIG_FILE));
 }
 
 impl Daemon {
@@ -247,11 +248,11 @@
             endpoints: KnownEndpoints::default(),
             maintenance: Maintenance::open(now),
             reload: ReloadState::Idle,
-            in_pairs: config.inherited.is_some(),
+            in_pairs: config.inherited_listener.is_some(),
             shutdown: ShutdownState::Serving,
         };
         daemon.install_store_check();
-        daemon.apply_first_endpoints(now, config.known.1.all());
+        daemon.apply_first_endpoints(now, config.initial_endpoints.endpoints.to_vec());
         tracing::info!("{} listens on {address}", config.name);
         Ok(daemon)
     }
@@ -260,6 +261,6 @@
     /// warming-up engines bear, and so does this one from here on. After a crash nothing is known of that.
     fn apply_first_endpoints(&mut self, now: Time, endpoints: Vec<Endpoint>) {
         let scope = if self.in_pairs { ListScope::Complete } else { ListScope::Restored };
-        self.apply_endpoint_changes(now, scope, EndpointChanges { told: now, endpoints });
+        self.apply_endpoint_changes(now, scope, EndpointChanges { notified_at: now, endpoints });
     }
 }
--- a/src/daemon/statistics.rs
+++ b/src/daemon/statistics.rs
@@ -24,10 +24,10 @@
         self.add_answers(&mut out);
         self.add_bodies(&mut out);
         if let Some(store) = &self.handlers.store {
-            store.figures(now, |name, value| out.add(name, value));
+            store.record_statistics(now, |name, value| out.add(name, value));
         }
         out.add("upstream_requests", self.handlers.routes.attempts_written());
-        out.add("pending", self.core.open() as u64);
+        out.add("pending", self.core.open_requests() as u64);
         self.add_endpoints(&mut out);
         out.0
     }
@@ -61,12 +61,12 @@
         let entry = &endpoint.entry;
         entry.lifecycle == Lifecycle::Ready
             && !self.maintenance.contains(&entry.id)
-            && !self.core.avoids(&entry.id)
+            && !self.core.is_ejected(&entry.id)
     }
 
     /// The counters in one line.
     pub(super) fn counters(&mut self) -> String {
         self.core.counters.bad = self.handlers.routes.malformed_requests();
-        format!("counters {} lists_bad={}", self.core.counters, self.handlers.discovery.bad())
+        format!("counters {} lists_bad={}", self.core.counters, self.handlers.discovery.unusable_responses())
     }
 }
--- a/src/daemon/store_updates.rs
+++ b/src/daemon/store_updates.rs
@@ -3,7 +3,8 @@
 
 use super::Daemon;
 use crate::core::FixedSettingsError;
-use crate::discovery::{endpoint_json, EndpointChanges};
+use crate::discovery::endpoint_json::{self, EndpointJsonError};
+use crate::discovery::EndpointChanges;
 use crate::net::Time;
 use crate::store::{self, Store};
 use dahliaspoke::policy::{ListScope, Settings};
@@ -23,8 +24,8 @@
     #[error(transparent)]
     FixedSettings(#[from] FixedSettingsError),
     /// It is no list of endpoints.
-    #[error("{0}")]
-    Endpoints(String),
+    #[error(transparent)]
+    Endpoints(#[from] EndpointJsonError),
 }
 
 /// Decodes settings.
@@ -40,8 +41,8 @@
     fits: impl Fn(&Settings) -> Result<(), FixedSettingsError>,
 ) -> Result<(), StoredValueError> {
     match key {
-        store::SETTINGS => Ok(fits(&decode_settings(text)?)?),
-        store::ENGINES => endpoint_json::servers(text).map(|_| ()).map_err(StoredValueError::Endpoints),
+        store::SETTINGS_KEY => Ok(fits(&decode_settings(text)?)?),
+        store::ENDPOINTS_KEY => Ok(endpoint_json::from_json(text).map(drop)?),
         _ => Ok(()),
     }
 }
@@ -51,7 +52,7 @@
     pub(super) fn install_store_check(&mut self) {
         if let Some(store) = &mut self.handlers.store {
             let fits = self.core.settings_check();
-            store.check_with(Box::new(move |key, text| {
+            store.set_value_check(Box::new(move |key, text| {
                 check_value(key, text, &fits).map_err(|error| error.to_string())
             }));
         }
@@ -59,15 +60,15 @@
 
     /// Applies every key that has changed.
     pub(super) fn apply_store_changes(&mut self, now: Time) {
-        while let Some(key) = self.handlers.store.as_mut().and_then(Store::take) {
+        while let Some(key) = self.handlers.store.as_mut().and_then(Store::next_changed_key) {
             tracing::info!(at = now, part = "store", "{key} has changed");
-            if key.is_empty() || key.starts_with(store::MAINTENANCE) {
+            if key.is_empty() || key.starts_with(store::MAINTENANCE_PREFIX) {
                 self.apply_stored_maintenance(now);
             }
             let Some(text) = self.stored_text(&key) else { continue };
             match key.as_str() {
-                store::SETTINGS => self.apply_stored_settings(now, &text),
-                store::ENGINES => self.apply_stored_endpoints(now, &text),
+                store::SETTINGS_KEY => self.apply_stored_settings(now, &text),
+                store::ENDPOINTS_KEY => self.apply_stored_endpoints(now, &text),
                 _ => {}
             }
         }
@@ -80,7 +81,7 @@
 
     /// The store's settings count from here on.
     fn apply_stored_settings(&mut self, now: Time, text: &str) {
-        let version = self.handlers.store.as_ref().map_or(0, |store| store.version_of(store::SETTINGS));
+        let version = self.handlers.store.as_ref().map_or(0, |store| store.version(store::SETTINGS_KEY));
         match self.change_settings(now, text) {
             Ok(()) => tracing::info!(at = now, part = "store", "settings of version {version} count"),
             // The coordinator that proposed them has checked them; its classes may be others.
@@ -99,12 +100,12 @@
         if !self.endpoints.is_empty() {
             return;
         }
-        match endpoint_json::servers(text) {
+        match endpoint_json::from_json(text) {
             Ok(set) => {
-                let endpoints = set.all();
+                let endpoints = set.to_vec();
                 // Discovery must know of them, or it could not notice that one is gone.
-                self.handlers.discovery.hold(now, set);
-                let changes = EndpointChanges { told: now, endpoints };
+                self.handlers.discovery.reset_to(now, set);
+                let changes = EndpointChanges { notified_at: now, endpoints };
                 self.apply_endpoint_changes(now, ListScope::Restored, changes);
             }
             Err(error) => tracing::info!(at = now, part = "store", "engines: {error}"),
--- a/src/discovery/consul/error.rs
+++ b/src/discovery/consul/error.rs
@@ -1,5 +1,6 @@
 //! Why a request to the agent has failed.
 
+use dahliaspoke::settings::SettingsError;
 use std::net::AddrParseError;
 use std::num::ParseFloatError;
 use thiserror::Error;
@@ -49,8 +50,8 @@
     #[error("no X-Consul-Index")]
     NoIndex,
     /// A field has another type than expected; the text names it.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] SettingsError),
     /// The address of a service is not an IP address.
     #[error("address of {id}: {source}")]
     Address {
--- a/src/discovery/consul/health.rs
+++ b/src/discovery/consul/health.rs
@@ -5,9 +5,8 @@
 use crate::discovery::{start_time, Endpoint};
 use crate::net::Time;
 use dahliaspoke::policy::{EngineEntry, Lifecycle};
-use dahliaspoke::settings::{field, list, num, object, part, word};
+use dahliaspoke::settings::{field, list, number, object, object_field, text};
 use serde_json::{Map, Value};
-use std::fmt::Display;
 use std::net::SocketAddr;
 
 /// The status of a check that fails, and of one that maintenance sets.
@@ -47,19 +46,18 @@
 }
 
 fn decode_endpoint(entry: &Value) -> Result<Endpoint, ConsulError> {
-    let none = Map::new();
-    let entry = object(entry, "an entry").map_err(wrong_field)?;
-    let node = part(entry, "Node", &none).map_err(wrong_field)?;
-    let service = part(entry, "Service", &none).map_err(wrong_field)?;
-    let metadata = part(service, "Meta", &none).map_err(wrong_field)?;
-    let id = word(service, "ID", "").map_err(wrong_field)?;
+    let entry = object(entry, "an entry")?;
+    let node = object_field(entry, "Node")?;
+    let service = object_field(entry, "Service")?;
+    let metadata = object_field(service, "Meta")?;
+    let id = text(service, "ID", "")?;
     let address = decode_address(node, service, id)?;
     let is_draining = has_critical_check(entry)?;
-    let text = |key| word(metadata, key, "").map_err(wrong_field);
+    let metadata_text = |key| text(metadata, key, "");
     let entry = EngineEntry {
         id: id.into(),
-        zone: text(KEY_ZONE)?.into(),
-        kind: text(KEY_KIND)?.into(),
+        zone: metadata_text(KEY_ZONE)?.into(),
+        kind: metadata_text(KEY_KIND)?.into(),
         cell: decode_number(metadata, KEY_CELL, id)? as i64,
         lifecycle: if is_draining { Lifecycle::Draining } else { Lifecycle::Ready },
         started: start_time(decode_number(metadata, KEY_STARTED, id)?),
@@ -73,10 +71,10 @@
     service: &Map<String, Value>,
     id: &str,
 ) -> Result<SocketAddr, ConsulError> {
-    let own = word(service, "Address", "").map_err(wrong_field)?;
-    let ip = if own.is_empty() { word(node, "Address", "").map_err(wrong_field)? } else { own };
+    let own = text(service, "Address", "")?;
+    let ip = if own.is_empty() { text(node, "Address", "")? } else { own };
     let ip = ip.parse().map_err(|source| ConsulError::Address { id: id.into(), source })?;
-    let port = num(service, "Port", 0.0).map_err(wrong_field)?;
+    let port = number(service, "Port", 0.0)?;
     if id.is_empty() || !(1.0..65536.0).contains(&port) {
         return Err(ConsulError::NoIdOrPort);
     }
@@ -85,7 +83,7 @@
 
 /// Maintenance and failed checks are critical: no new attempt begins there, and those that run may end.
 fn has_critical_check(entry: &Map<String, Value>) -> Result<bool, ConsulError> {
-    Ok(list(entry, "Checks").map_err(wrong_field)?.iter().any(is_critical))
+    Ok(list(entry, "Checks")?.iter().any(is_critical))
 }
 
 fn is_critical(check: &Value) -> bool {
@@ -94,10 +92,6 @@
 
 /// A number in the metadata, where all values are texts; 0 where it is absent.
 fn decode_number(metadata: &Map<String, Value>, key: &'static str, id: &str) -> Result<f64, ConsulError> {
-    let text = word(metadata, key, "0").map_err(wrong_field)?;
+    let text = text(metadata, key, "0")?;
     text.parse().map_err(|source| ConsulError::Metadata { key, id: id.into(), source })
 }
-
-fn wrong_field(error: impl Display) -> ConsulError {
-    ConsulError::Field(error.to_string())
-}
--- a/src/discovery/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -81,19 +81,6 @@
 }
 
 impl ConsulDiscovery {
-    /// Starts from the endpoints of the configuration. For the daemon until it builds a [`ConsulConfig`] itself.
-    pub fn new(
-        owner: u8,
-        now: Time,
-        file: Config,
-        (name, address): (String, SocketAddr),
-        endpoints: EndpointSet,
-        poller: Rc<Poller>,
-        limits: Rc<Limits>,
-    ) -> Self {
-        Self::open(now, ConsulConfig { owner, file, name, address, endpoints }, poller, limits)
-    }
-
     /// Starts from the endpoints of the configuration; the first query is due at once.
     pub fn open(now: Time, config: ConsulConfig, poller: Rc<Poller>, limits: Rc<Limits>) -> Self {
         let ConsulConfig { owner, file, name, address, endpoints } = config;
@@ -207,25 +194,25 @@
 }
 
 impl Discovery for ConsulDiscovery {
-    fn take(&mut self) -> Option<EndpointChanges> {
+    fn take_changes(&mut self) -> Option<EndpointChanges> {
         self.changes.take()
     }
 
-    fn hold(&mut self, _: Time, endpoints: EndpointSet) {
+    fn reset_to(&mut self, _: Time, endpoints: EndpointSet) {
         self.endpoints = endpoints;
     }
 
-    fn valid_until(&self) -> Time {
+    fn lease_expires_at(&self) -> Time {
         self.lease.expires_at()
     }
 
-    fn leave(&mut self, now: Time) {
+    fn deregister(&mut self, now: Time) {
         let Some(service) = self.config.register.as_ref().filter(|_| self.is_registered) else { return };
         let body = self.node.deregistration(service);
         self.send_request(now, "PUT", catalog::DEREGISTER_PATH, &body);
     }
 
-    fn bad(&self) -> u64 {
+    fn unusable_responses(&self) -> u64 {
         self.failed_requests
     }
 }
--- a/src/discovery/dns/mod.rs
+++ b/src/discovery/dns/mod.rs
@@ -65,22 +65,6 @@
 }
 
 impl DnsDiscovery {
-    /// Starts from the list of the configuration. For the daemon until it builds a [`DnsConfig`] itself.
-    ///
-    /// # Errors
-    /// Where no socket can be opened.
-    pub fn new(
-        owner: u8,
-        now: Time,
-        directory: SocketAddr,
-        (list_number, endpoints): (u32, EndpointSet),
-        seed: u64,
-        poller: Rc<Poller>,
-        limits: Rc<Limits>,
-    ) -> io::Result<Self> {
-        Self::open(now, DnsConfig { owner, directory, list_number, endpoints, seed }, poller, limits)
-    }
-
     /// Starts from the list of the configuration; the first query is due at `now`.
     ///
     /// # Errors
@@ -176,33 +160,33 @@
 }
 
 impl Discovery for DnsDiscovery {
-    fn take(&mut self) -> Option<EndpointChanges> {
+    fn take_changes(&mut self) -> Option<EndpointChanges> {
         self.changes.take()
     }
 
-    fn hold(&mut self, now: Time, endpoints: EndpointSet) {
+    fn reset_to(&mut self, now: Time, endpoints: EndpointSet) {
         self.tracker.reset_to(now, &endpoints);
     }
 
-    fn valid_until(&self) -> Time {
+    fn lease_expires_at(&self) -> Time {
         self.tracker.lease().expires_at()
     }
 
-    fn move_to(&mut self, now: Time, directory: SocketAddr) {
+    fn relocate(&mut self, now: Time, directory: SocketAddr) {
         self.relocation = Some(Relocation::new(now, directory));
         self.attempt_relocation(now);
     }
 
-    fn ask(&mut self, now: Time) {
+    fn query_now(&mut self, now: Time) {
         self.next_query = now;
         self.on_timer(now);
     }
 
-    fn waits(&self) -> bool {
+    fn awaits_response(&self) -> bool {
         self.pending.awaits_latest()
     }
 
-    fn bad(&self) -> u64 {
+    fn unusable_responses(&self) -> u64 {
         self.unusable_responses
     }
 }
--- a/src/discovery/endpoint_json.rs
+++ b/src/discovery/endpoint_json.rs
@@ -2,9 +2,8 @@
 
 use super::{start_time, Endpoint, EndpointSet};
 use dahliaspoke::policy::{EngineEntry, Lifecycle};
-use dahliaspoke::settings::{field, flag, list, num, object, part, word};
+use dahliaspoke::settings::{boolean, field, list, number, object, object_field, text, SettingsError};
 use serde_json::{json, Map, Value};
-use std::fmt::Display;
 use std::net::{AddrParseError, SocketAddr};
 use thiserror::Error;
 
@@ -20,8 +19,8 @@
 #[derive(Debug, Error)]
 pub enum EndpointJsonError {
     /// A field has another type than expected; the text names it.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] SettingsError),
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
@@ -44,46 +43,47 @@
     NoIdOrAddress,
 }
 
-impl From<EndpointJsonError> for String {
-    // until the callers are typed
-    fn from(error: EndpointJsonError) -> Self {
-        error.to_string()
-    }
+/// The endpoints that the configuration holds.
+#[derive(Clone, Debug, Default)]
+pub struct InitialEndpoints {
+    /// The number of the last list that they include.
+    pub list_number: u32,
+    /// The endpoints after all lists.
+    pub endpoints: EndpointSet,
 }
 
-/// Reads the events under `known` in the configuration: the number of the last one, and the endpoints after all of them.
+/// Reads the events under `known` in the configuration.
 ///
 /// # Errors
 /// Where the events are not of the protocol's form.
-pub fn read(config: &Map<String, Value>) -> Result<(u32, EndpointSet), EndpointJsonError> {
-    let none = Map::new();
-    let known = part(config, "known", &none).map_err(wrong_field)?;
+pub fn from_config(config: &Map<String, Value>) -> Result<InitialEndpoints, EndpointJsonError> {
+    let known = object_field(config, "known")?;
     let mut endpoints = EndpointSet::default();
-    for event in list(known, "events").map_err(wrong_field)? {
-        let event = object(event, "an event").map_err(wrong_field)?;
-        apply_event(&mut endpoints, part(event, "members", &none).map_err(wrong_field)?)?;
+    for event in list(known, "events")? {
+        let event = object(event, "an event")?;
+        apply_event(&mut endpoints, object_field(event, "members")?)?;
     }
-    let number = num(known, "n", 0.0).map_err(wrong_field)?;
-    Ok((number as u32, endpoints))
+    let list_number = number(known, "n", 0.0)? as u32;
+    Ok(InitialEndpoints { list_number, endpoints })
 }
 
 fn apply_event(endpoints: &mut EndpointSet, event: &Map<String, Value>) -> Result<(), EndpointJsonError> {
-    let servers = decode_endpoints(list(event, "servers").map_err(wrong_field)?)?;
-    if flag(event, "full").map_err(wrong_field)? {
+    let servers = decode_endpoints(list(event, "servers")?)?;
+    if boolean(event, "full")? {
         endpoints.replace(servers);
     } else {
-        endpoints.change(servers);
+        endpoints.apply_changes(servers);
     }
     Ok(())
 }
 
 /// Encodes endpoints as a list of servers, in the form that they have in events.
-pub fn write(endpoints: &EndpointSet) -> String {
-    let servers = endpoints.all().iter().map(encode_endpoint).collect::<Vec<_>>();
+pub fn to_json(endpoints: &EndpointSet) -> String {
+    let servers = endpoints.to_vec().iter().map(encode_endpoint).collect::<Vec<_>>();
     Value::from(servers).to_string()
 }
 
-/// Decodes a list of servers, as [`write`] encodes it.
+/// Decodes a list of servers, as [`to_json`] encodes it.
 ///
 /// # Errors
 /// Where the text is not of that form.
@@ -95,15 +95,6 @@
     Ok(endpoints)
 }
 
-/// [`from_json`] for callers that want the error as text.
-///
-/// # Errors
-/// As [`from_json`].
-pub fn servers(text: &str) -> Result<EndpointSet, String> {
-    // until the callers are typed
-    Ok(from_json(text)?)
-}
-
 fn encode_endpoint(endpoint: &Endpoint) -> Value {
     let Endpoint { entry, address } = endpoint;
     let state = if endpoint.is_ready() { STATE_READY } else { STATE_DRAINING };
@@ -117,22 +108,20 @@
 }
 
 fn decode_endpoint(server: &Value) -> Result<Endpoint, EndpointJsonError> {
-    let server = object(server, "a server").map_err(wrong_field)?;
-    let text = |key| word(server, key, "").map_err(wrong_field);
-    let number = |key| num(server, key, 0.0).map_err(wrong_field);
-    let lifecycle = decode_state(word(server, "state", STATE_READY).map_err(wrong_field)?)?;
-    let id = text("id")?;
+    let server = object(server, "a server")?;
+    let lifecycle = decode_state(text(server, "state", STATE_READY)?)?;
+    let id = text(server, "id", "")?;
     let address = decode_address(server, id)?;
     if id.is_empty() || address.is_none() && lifecycle != Lifecycle::Gone {
         return Err(EndpointJsonError::NoIdOrAddress);
     }
     let entry = EngineEntry {
         id: id.into(),
-        zone: text("zone")?.into(),
-        kind: text("kind")?.into(),
-        cell: number("cell")? as i64,
+        zone: text(server, "zone", "")?.into(),
+        kind: text(server, "kind", "")?.into(),
+        cell: number(server, "cell", 0.0)? as i64,
         lifecycle,
-        started: start_time(number("started_ms")?),
+        started: start_time(number(server, "started_ms", 0.0)?),
     };
     Ok(Endpoint { entry, address })
 }
@@ -150,11 +139,7 @@
     if field(server, "addr").is_none() {
         return Ok(None);
     }
-    let address = word(server, "addr", "").map_err(wrong_field)?;
+    let address = text(server, "addr", "")?;
     let address = address.parse().map_err(|source| EndpointJsonError::Address { id: id.into(), source })?;
     Ok(Some(address))
 }
-
-fn wrong_field(error: impl Display) -> EndpointJsonError {
-    EndpointJsonError::Field(error.to_string())
-}
--- a/src/discovery/maintenance.rs
+++ b/src/discovery/maintenance.rs
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     /// Where this process could not write the file: a later process will not know of its changes.
-    pub fn look(&mut self) -> io::Result<Vec<EngineId>> {
-        let content = self.file.as_mut().map_or(Ok(None), SharedFile::look)?;
+    pub fn poll(&mut self) -> io::Result<Vec<EngineId>> {
+        let content = self.file.as_mut().map_or(Ok(None), SharedFile::poll)?;
         let Some(stored) = content.and_then(|content| decode(&content)) else { return Ok(Vec::new()) };
         let has_changed = |id: &&EngineId| self.start_times.contains_key(*id) != stored.contains_key(*id);
         let changed = self.start_times.keys().chain(stored.keys()).filter(has_changed).cloned().collect();
@@ -54,13 +54,13 @@
     }
 
     /// Takes an engine out of service at `now`. One that is in maintenance already stays so since its earlier time.
-    pub fn ban(&mut self, now: Time, engine: &EngineId) {
+    pub fn add(&mut self, now: Time, engine: &EngineId) {
         self.start_times.entry(engine.clone()).or_insert(now);
         self.store();
     }
 
     /// Returns an engine to service, however often it was taken out.
-    pub fn lift(&mut self, engine: &EngineId) {
+    pub fn remove(&mut self, engine: &EngineId) {
         self.start_times.remove(engine);
         self.store();
     }
--- a/src/endpoints/set.rs
+++ b/src/endpoints/set.rs
@@ -32,7 +32,7 @@
 
 impl EndpointSet {
     /// Applies changed endpoints: those that are gone are removed, the others added or replaced.
-    pub fn change(&mut self, changes: Vec<Endpoint>) {
+    pub fn apply_changes(&mut self, changes: Vec<Endpoint>) {
         for endpoint in changes {
             if endpoint.entry.lifecycle == Lifecycle::Gone {
                 self.0.remove(&endpoint.entry.id);
@@ -66,7 +66,7 @@
 
     /// All endpoints, in the order of their ids.
     #[must_use]
-    pub fn all(&self) -> Vec<Endpoint> {
+    pub fn to_vec(&self) -> Vec<Endpoint> {
         self.0.values().cloned().collect()
     }
 
--- a/src/endpoints/tracker.rs
+++ b/src/endpoints/tracker.rs
@@ -104,7 +104,7 @@
 
     /// Accepts the endpoints of another source. They do not renew the lease.
     pub fn reset_to(&mut self, now: f64, endpoints: &EndpointSet) {
-        self.tracked.accept(now, endpoints.all(), Numbering::New);
+        self.tracked.accept(now, endpoints.to_vec(), Numbering::New);
     }
 
     /// The next list is of another directory: its numbers do not continue those so far.
@@ -117,7 +117,7 @@
     pub fn apply_response(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListOutcome {
         let mut endpoints = self.endpoints();
         let verdict = self.evaluate(now, queried_at, list);
-        let changes = endpoints.replace(self.endpoints().all());
+        let changes = endpoints.replace(self.endpoints().to_vec());
         ListOutcome { verdict, changes }
     }
 
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -75,7 +75,7 @@
 
     /// Leaves to each upstream's connections the descriptors that the listeners that are open do not need. `mysql` and
     /// `store` say whether the `MySQL` listener and the replicated store are there.
-    pub fn share_out(&mut self, mysql: bool, store: bool) {
+    pub fn reserve_descriptors(&mut self, mysql: bool, store: bool) {
         let sessions = if mysql { self.mysql.max_sessions } else { 0 };
         let members = if store { self.store.max_connections } else { 0 };
         let upstreams = if mysql { 2 } else { 1 };
--- a/src/main.rs
+++ b/src/main.rs
@@ -20,7 +20,7 @@
 
 use check::CheckError;
 use clap::{Parser, Subcommand};
-use config::Config;
+use config::{Config, ConfigError};
 use daemon::{Daemon, DaemonError};
 use log::LogError;
 use std::process::ExitCode;
@@ -53,8 +53,8 @@
     #[error(transparent)]
     Log(#[from] LogError),
     /// The configuration could not be read.
-    #[error("{0}")]
-    Configuration(String),
+    #[error(transparent)]
+    Configuration(#[from] ConfigError),
     /// The daemon could not start, or not go on.
     #[error(transparent)]
     Daemon(#[from] DaemonError),
@@ -82,7 +82,7 @@
 /// Runs the daemon until it is told to shut down.
 fn run() -> Result<(), MainError> {
     log::init()?;
-    let config = Config::from_env().map_err(|error| MainError::Configuration(error.to_string()))?;
+    let config = Config::load()?;
     Ok(Daemon::start(config)?.run()?)
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -4,12 +4,10 @@
 //! type is an error that names it. The keys are those of the platform.
 
 mod classes;
-mod compat; // until the callers are typed
 mod error;
 mod fields;
 
 pub use classes::DEFAULT_CLIENT_TIMEOUT;
-pub use compat::{flag, num, part, settings, word, words, Res};
 pub use error::SettingsError;
 pub use fields::{boolean, boolean_at, field, list, number, number_at, object, object_field, text, texts};
 
--- a/src/shared_file.rs
+++ b/src/shared_file.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// Where an earlier replacement failed.
-    pub fn look(&mut self) -> io::Result<Option<Vec<u8>>> {
+    pub fn poll(&mut self) -> io::Result<Option<Vec<u8>>> {
         let (mut latest, mut written) = (None, Ok(()));
         while let Ok(completion) = self.completions.try_recv() {
             match completion {
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -2,7 +2,7 @@
 
 use super::config::ConfigError;
 use super::replica::OpenError;
-use super::FILE;
+use super::CONFIG_FILE;
 use std::io;
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The keys of the configuration file do not fit together.
-    #[error("{file}: {0}", file = FILE)]
+    #[error("{file}: {0}", file = CONFIG_FILE)]
     Config(#[from] ConfigError),
     /// The member cannot listen where the file says.
-    #[error("{file}: listen {address}: {error}", file = FILE)]
+    #[error("{file}: listen {address}: {error}", file = CONFIG_FILE)]
     Listen {
         /// The file's `listen`.
         address: SocketAddr,
@@ -21,7 +21,7 @@
         error: io::Error,
     },
     /// The member's log cannot be opened.
-    #[error("{file}: folder {0}", file = FILE)]
+    #[error("{file}: folder {0}", file = CONFIG_FILE)]
     Replica(#[from] OpenError),
     /// The event loop cannot wait for the log's writer.
     #[error("epoll: {0}")]
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -23,13 +23,13 @@
 use watcher::Watcher;
 
 /// The configuration file, from the folder that the daemon is started in.
-pub const FILE: &str = "deploy/store.toml";
+pub const CONFIG_FILE: &str = "deploy/store.toml";
 /// The key of the settings object; a change takes effect at once.
-pub const SETTINGS: &str = "settings";
+pub const SETTINGS_KEY: &str = "settings";
 /// The key of the endpoint set as it was last discovered.
-pub const ENGINES: &str = "engines";
+pub const ENDPOINTS_KEY: &str = "engines";
 /// The prefix of the keys of engines in maintenance; the engine's id follows.
-pub const MAINTENANCE: &str = "maintenance/";
+pub const MAINTENANCE_PREFIX: &str = "maintenance/";
 
 /// Checks whether a key may hold a text: key and text.
 pub type ValueCheck = Box<dyn Fn(&str, &str) -> Result<(), String>>; // until the callers are typed
@@ -91,7 +91,7 @@
     }
 
     /// Sets the check that a change must pass before it is proposed.
-    pub fn check_with(&mut self, check: ValueCheck) {
+    pub fn set_value_check(&mut self, check: ValueCheck) {
         if let Role::Member(member) = &mut self.role {
             member.set_value_check(check);
         }
@@ -111,12 +111,12 @@
     }
 
     /// The version of what a key holds, as far as this daemon knows; 0 where it holds nothing.
-    pub fn version_of(&self, key: &str) -> Index {
+    pub fn version(&self, key: &str) -> Index {
         self.value(key).map_or(0, |value| value.version)
     }
 
     /// The keys with a prefix, as far as this daemon knows: what follows the prefix, and what the key holds.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> Vec<(&'a str, &'a str)> {
+    pub fn entries_with_prefix<'a>(&'a self, prefix: &'a str) -> Vec<(&'a str, &'a str)> {
         match &self.role {
             Role::Member(member) => without_prefix(prefix, member.state_machine().all(prefix)),
             Role::Watcher(watcher) => without_prefix(prefix, watcher.view().all(prefix)),
@@ -124,14 +124,14 @@
     }
 
     /// At the leader's daemon, proposes this text for a key that holds another one.
-    pub fn lead_with(&mut self, now: Time, key: &str, text: &str) {
+    pub fn maintain_value(&mut self, now: Time, key: &str, text: &str) {
         if let Role::Member(member) = &mut self.role {
             member.maintain_value(now, key, text);
         }
     }
 
     /// The next key that has changed; the empty one where keys may have been removed.
-    pub fn take(&mut self) -> Option<String> {
+    pub fn next_changed_key(&mut self) -> Option<String> {
         match &mut self.role {
             Role::Member(member) => member.next_changed_key(),
             Role::Watcher(watcher) => watcher.next_changed_key(),
--- a/src/store/statistics.rs
+++ b/src/store/statistics.rs
@@ -5,7 +5,7 @@
 
 impl Store {
     /// Passes each figure to `record`, by name.
-    pub fn figures(&self, now: Time, mut record: impl FnMut(&str, u64)) {
+    pub fn record_statistics(&self, now: Time, mut record: impl FnMut(&str, u64)) {
         let knowledge = match &self.role {
             Role::Member(member) => member.knowledge(now),
             Role::Watcher(watcher) => watcher.view().knowledge(now),
--- a/tests/endpoint_tracker.rs
+++ b/tests/endpoint_tracker.rs
@@ -40,7 +40,7 @@
 impl Fixture {
     fn new() -> Self {
         let mut endpoints = EndpointSet::default();
-        endpoints.change(vec![ready("e1"), ready("e2")]);
+        endpoints.apply_changes(vec![ready("e1"), ready("e2")]);
         let states = [("e1".to_string(), Lifecycle::Ready), ("e2".to_string(), Lifecycle::Ready)].into();
         Self { tracker: EndpointTracker::new(0.0, GRACE, 5, &endpoints), now: 0.0, states }
     }
@@ -235,7 +235,7 @@
 #[test]
 fn list_of_an_earlier_incarnation_is_outvoted_without_trace() {
     let mut endpoints = EndpointSet::default();
-    endpoints.change(vec![ready("e1"), draining("e2"), ready("e3")]);
+    endpoints.apply_changes(vec![ready("e1"), draining("e2"), ready("e3")]);
     let mut fixture = Fixture::new();
     fixture.tracker = EndpointTracker::new(0.0, GRACE, 1, &endpoints);
     assert_eq!(fixture.respond(list(9, &[ready("e0"), ready("e1"), ready("e2")])), ListVerdict::Newer);
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -8,17 +8,33 @@
 #[allow(dead_code)]
 mod fixed_settings;
 
+#[path = "../src/discovery/endpoint_json.rs"]
+#[allow(dead_code)]
+pub mod endpoint_json;
+
+/// The path by which the program's modules know the endpoints.
+mod discovery {
+    pub use super::endpoint_json;
+}
+
 use config_error::ConfigError;
+use dahliaspoke::endpoints::{Endpoint, EndpointSet};
 use dahliaspoke::policy::{Idempotency, Settings};
-use dahliaspoke::settings::{object, settings};
+use dahliaspoke::settings::{object, parse_settings};
+use endpoint_json::EndpointJsonError;
 use fixed_settings::FixedSettings;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
+/// What `endpoint_json` needs of the module that it is part of.
+fn start_time(unix_ms: f64) -> Option<f64> {
+    Some(unix_ms / 1000.0).filter(|seconds| *seconds > 0.0)
+}
+
 fn settings_error(value: &Value) -> String {
     let map = object(value, "settings").expect("an object");
-    settings(map).expect_err("it is wrong").to_string()
+    parse_settings(map).expect_err("it is wrong").to_string()
 }
 
 #[test]
@@ -144,7 +160,7 @@
         }
         repair(&mut value);
     }
-    assert!(settings(object(&value, "settings").expect("an object")).is_ok());
+    assert!(parse_settings(object(&value, "settings").expect("an object")).is_ok());
 }
 
 #[test]
@@ -153,7 +169,7 @@
         "classes": [{"name": "a", "effect": "repeatable"}, {"name": "b"}],
         "tenants": [{"name": "t"}, {"name": "u"}],
     });
-    let base = settings(object(&value, "settings").expect("an object")).expect("right");
+    let base = parse_settings(object(&value, "settings").expect("an object")).expect("right");
     let checked = |change: fn(&mut Settings)| {
         let mut other = base.clone();
         change(&mut other);
@@ -185,7 +201,7 @@
         "stored settings: EOF while parsing an object at line 1 column 1"
     );
     assert_eq!(
-        ConfigError::StoredEngines("the servers are not a list".into()).to_string(),
+        ConfigError::StoredEngines(EndpointJsonError::NotAList).to_string(),
         "stored engines: the servers are not a list"
     );
 }
