--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -212,11 +212,7 @@
     // Without engines that join, a directory goes on reporting those that there are: a slow machine must not outlast the lease
     // on the endpoint set.
     let directory = if later.is_empty() { directory(&known) } else { names.local_addr().expect("bound") };
-    let daemon = Daemon::start(
-        &config(&known, directory),
-        &[&[("mysql.toml", toml)], more].concat(),
-        None,
-    );
+    let daemon = Daemon::start(&config(&known, directory), &[&[("mysql.toml", toml)], more].concat(), None);
     World { daemon, names }
 }
 
