--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -42,7 +42,7 @@
     /// The configuration, or a value of the store that stands in for it, is wrong.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// A file under `deploy/` for MySQL or the body store is wrong, or the body store could not be opened.
+    /// A file under `deploy/` for `MySQL` or the body store is wrong, or the body store could not be opened.
     #[error("{0}")]
     File(String),
     /// The replicated store could not be opened.
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -38,9 +38,7 @@
     pub fn for_core(&mut self) -> Vec<Route<'_>> {
         let mut routes = vec![Route { listener: &mut self.http, upstream: &mut self.resp }];
         routes.extend(
-            self.mysql
-                .as_mut()
-                .map(|MysqlRoute { listener, upstream }| Route { listener: listener, upstream: upstream }),
+            self.mysql.as_mut().map(|MysqlRoute { listener, upstream }| Route { listener, upstream }),
         );
         routes
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -26,7 +26,7 @@
     /// Adds changes to those that are not collected yet. Together they count as notified from the earlier time, which is
     /// that of the first.
     fn add(pending: &mut Option<Self>, notified_at: Time, endpoints: Vec<Endpoint>) {
-        let changes = pending.get_or_insert(Self { notified_at: notified_at, endpoints: Vec::new() });
+        let changes = pending.get_or_insert(Self { notified_at, endpoints: Vec::new() });
         changes.endpoints.extend(endpoints);
     }
 }
