--- a/src/admin/command.rs
+++ b/src/admin/command.rs
@@ -1,6 +1,6 @@
 //! What operators may call, by method and path.
 
-use crate::listener::http::codec::Bad;
+use crate::listener::http::codec::HttpError;
 use dahliaspoke::policy::EngineId;
 
 const HEALTH_PATH: &str = "/healthcheck";
@@ -28,12 +28,12 @@
     ///
     /// # Errors
     /// The HTTP status for an unknown path (404), or a method that the path does not have (405).
-    pub fn decode(method: &str, path: &str) -> Result<Self, Bad> {
-        let command = Self::from_path(path).ok_or(Bad(404))?;
+    pub fn decode(method: &str, path: &str) -> Result<Self, HttpError> {
+        let command = Self::from_path(path).ok_or(HttpError(404))?;
         if method == command.method() {
             Ok(command)
         } else {
-            Err(Bad(405))
+            Err(HttpError(405))
         }
     }
 
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -8,8 +8,8 @@
 pub use response::Response;
 
 use crate::limits::Limits;
-use crate::listener::http::codec::{self, Bad, Read};
-use crate::listener::server::{ClientConnection, Server, State};
+use crate::listener::http::codec::{self, Decoded, HttpError};
+use crate::listener::server::{ClientConnection, EvictionRank, ListenerState, Server};
 use crate::net::{BufferedStream, Connection, Flow, Poller, Time, Token};
 use std::collections::VecDeque;
 use std::io;
@@ -34,7 +34,7 @@
 
 /// What all connections of operators share.
 pub struct Shared {
-    state: State,
+    state: ListenerState,
     calls: VecDeque<Call>,
 }
 
@@ -58,7 +58,7 @@
     /// # Errors
     /// Where the system refuses to have the socket watched.
     pub fn open(owner: u8, socket: TcpListener, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
-        let shared = Shared { state: State::new(NO_ROUTE, limits), calls: VecDeque::new() };
+        let shared = Shared { state: ListenerState::new(NO_ROUTE, limits), calls: VecDeque::new() };
         Self::new(owner, socket, shared, poller)
     }
 
@@ -81,11 +81,11 @@
         Some(AdminConnection { stream, token, accepted_at: now, deadline, called: false })
     }
 
-    fn until(&self) -> Option<Time> {
+    fn deadline(&self) -> Option<Time> {
         Some(self.deadline)
     }
 
-    fn overdue(&mut self, now: Time, shared: &mut Shared) -> Flow {
+    fn on_deadline(&mut self, now: Time, shared: &mut Shared) -> Flow {
         if self.called {
             return Flow::Close;
         }
@@ -93,15 +93,16 @@
     }
 
     /// Operators that stay silent, or do not take their answer, must not keep others out.
-    fn spare(&self) -> Option<(bool, Time)> {
-        Some((self.called && self.stream.queued() > 0, self.accepted_at))
+    fn eviction_rank(&self) -> Option<EvictionRank> {
+        let has_sent_request = self.called && self.stream.queued() > 0;
+        Some(EvictionRank { has_sent_request, idle_since: self.accepted_at })
     }
 
-    fn state(shared: &mut Shared) -> &mut State {
+    fn state(shared: &mut Shared) -> &mut ListenerState {
         &mut shared.state
     }
 
-    fn most(limits: &Limits) -> usize {
+    fn max_connections(limits: &Limits) -> usize {
         limits.admin.max_connections
     }
 }
@@ -125,7 +126,7 @@
                 shared.calls.push_back(Call { connection: self.token, command });
                 Flow::Open
             }
-            Err(Bad(status)) => self.finish(now, status, "", shared),
+            Err(HttpError(status)) => self.finish(now, status, "", shared),
         }
     }
 
@@ -138,11 +139,11 @@
 
 impl AdminConnection {
     /// The command in the input, once its call is here whole; else the status that rejects it.
-    fn read_command(&self, limits: &Limits) -> Result<Option<Command>, Bad> {
-        match codec::read(&self.stream.input, limits)? {
-            Read::Partial { .. } => Ok(None),
-            Read::Large { .. } => Err(Bad(CONTENT_TOO_LARGE)),
-            Read::Whole(call, _) => Command::decode(&call.method, &call.path).map(Some),
+    fn read_command(&self, limits: &Limits) -> Result<Option<Command>, HttpError> {
+        match codec::decode(&self.stream.input, limits)? {
+            Decoded::Partial { .. } => Ok(None),
+            Decoded::LargeBody { .. } => Err(HttpError(CONTENT_TOO_LARGE)),
+            Decoded::Complete { request, .. } => Command::decode(&request.method, &request.path).map(Some),
         }
     }
 
@@ -152,7 +153,7 @@
         self.stream.input = Vec::new();
         self.stream.push(codec::text(status, text));
         self.deadline = now + shared.state.limits.clients.linger_timeout;
-        shared.state.look(self.deadline, self.token);
+        shared.state.schedule_check(self.deadline, self.token);
         Flow::Finish
     }
 }
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -19,7 +19,7 @@
 use crate::discovery::dns::DnsDiscovery;
 use crate::discovery::{Discovery, Endpoint, EndpointChanges};
 use crate::limits::Limits;
-use crate::listener::http::{HttpListener, Names};
+use crate::listener::http::{HttpListener, HttpListenerOptions, Names};
 use crate::listener::mysql::MysqlListener;
 use crate::mysql::{self, config::Mysql};
 use crate::net::{inherited, Clock, Poller, SuspendDetector, Time, Token};
@@ -93,15 +93,15 @@
     fn open_http_listener(&self, config: &Config) -> Result<OpenHttpListener, DaemonError> {
         let listen_error = |source| DaemonError::Listen { address: config.listen, source };
         let socket = config.inherited.map_or_else(|| TcpListener::bind(config.listen), inherited);
-        let listener = HttpListener::open(
-            Owner::HttpListener.number(),
-            HTTP_ROUTE,
-            socket.map_err(listen_error)?,
-            request_names(&config.settings),
-            self.body_store.clone(),
-            self.poller.clone(),
-            self.limits.clone(),
-        );
+        let listener = HttpListener::open(HttpListenerOptions {
+            owner: Owner::HttpListener.number(),
+            route: HTTP_ROUTE,
+            socket: socket.map_err(listen_error)?,
+            names: request_names(&config.settings),
+            body_store: self.body_store.clone(),
+            poller: self.poller.clone(),
+            limits: self.limits.clone(),
+        });
         let listener = listener.map_err(listen_error)?;
         let address = listener.address().map_err(listen_error)?;
         Ok(OpenHttpListener { listener, address })
--- /dev/null
+++ b/src/listener/http/codec/decode.rs
@@ -0,0 +1,226 @@
+//! Decodes calls.
+
+use super::{status, HttpError};
+use crate::limits::Limits;
+
+/// What ends a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+/// Bytes of a field's name that are neither letters nor digits (RFC 9110, `tchar`).
+const TOKEN_PUNCTUATION: &[u8] = b"!#$%&'*+-.^_`|~";
+
+const MALFORMED: HttpError = HttpError(status::BAD_REQUEST);
+
+/// A call that was decoded.
+#[derive(Debug)]
+pub struct HttpRequest {
+    /// Its method, in upper case.
+    pub method: String,
+    /// The path, with what follows a question mark.
+    pub path: String,
+    headers: Vec<HeaderField>,
+    /// The body; empty if it is too large to be held in memory.
+    pub body: Vec<u8>,
+    /// The connection stays open after the answer.
+    pub keep_alive: bool,
+}
+
+#[derive(Debug)]
+struct HeaderField {
+    name: String,
+    value: String,
+}
+
+/// What stands at the start of the input.
+#[derive(Debug)]
+pub enum Decoded {
+    /// A part of a call.
+    Partial {
+        /// The client waits for an interim answer before it sends the body.
+        expects_continue: bool,
+    },
+    /// A complete call.
+    Complete {
+        /// The call.
+        request: HttpRequest,
+        /// The bytes that it took.
+        length: usize,
+    },
+    /// The head of a call whose body is too large to be held in memory.
+    LargeBody {
+        /// The call, without its body.
+        request: HttpRequest,
+        /// The bytes that the head took.
+        head_length: usize,
+        /// The bytes of the body.
+        body_length: usize,
+        /// The client waits for an interim answer before it sends the body.
+        expects_continue: bool,
+    },
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Version {
+    Http10,
+    Http11,
+}
+
+struct RequestLine<'a> {
+    method: &'a str,
+    path: &'a str,
+    version: Version,
+}
+
+impl HttpRequest {
+    /// The path, without what follows a question mark.
+    pub fn path_without_query(&self) -> &str {
+        self.path.split('?').next().unwrap_or_default()
+    }
+
+    /// The values of a header field, in the order sent.
+    fn header_values<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a str> + use<'a, 'n> {
+        let fields = self.headers.iter().filter(move |field| field.name.eq_ignore_ascii_case(name));
+        fields.map(|field| field.value.as_str())
+    }
+
+    /// The first value of a header field.
+    fn header(&self, name: &str) -> Option<&str> {
+        self.header_values(name).next()
+    }
+
+    /// The value of a header field that may be sent once at most.
+    ///
+    /// # Errors
+    /// [`status::BAD_REQUEST`] if it was sent twice: two readers could take two different values.
+    pub fn unique_header(&self, name: &str) -> Result<Option<&str>, HttpError> {
+        let mut values = self.header_values(name);
+        match (values.next(), values.next()) {
+            (_, Some(_)) => Err(MALFORMED),
+            (value, None) => Ok(value),
+        }
+    }
+
+    /// The length of the body (bytes), 0 without the field. Fields that disagree are an error, or two readers would see two
+    /// different calls.
+    fn content_length(&self) -> Result<usize, HttpError> {
+        let mut length = None;
+        for value in self.header_values("Content-Length") {
+            if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
+                return Err(MALFORMED);
+            }
+            let parsed = value.parse::<usize>().map_err(|_| HttpError(status::CONTENT_TOO_LARGE))?;
+            if length.is_some_and(|other| other != parsed) {
+                return Err(MALFORMED);
+            }
+            length = Some(parsed);
+        }
+        Ok(length.unwrap_or(0))
+    }
+
+    fn expects_continue(&self) -> bool {
+        self.header("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
+    }
+
+    /// Whether the connection stays open after the answer, by its version and the `Connection` field.
+    fn wants_keep_alive(&self, version: Version) -> bool {
+        let Some(connection) = self.header("Connection") else { return version == Version::Http11 };
+        let has_option =
+            |option: &str| connection.split(',').any(|part| part.trim().eq_ignore_ascii_case(option));
+        match version {
+            Version::Http11 => !has_option("close"),
+            Version::Http10 => has_option("keep-alive"),
+        }
+    }
+}
+
+/// Decodes the call at the start of the input.
+///
+/// # Errors
+/// The status of the answer to a call that is malformed, not supported or too large.
+pub fn decode(input: &[u8], limits: &Limits) -> Result<Decoded, HttpError> {
+    let Some(head_end) = find_head_end(input, limits)? else {
+        return Ok(Decoded::Partial { expects_continue: false });
+    };
+    let text = std::str::from_utf8(&input[..head_end]).map_err(|_| MALFORMED)?;
+    let mut lines = text.split("\r\n");
+    let RequestLine { method, path, version } = decode_request_line(lines.next().unwrap_or_default())?;
+    let headers = decode_headers(lines, limits)?;
+    let (method, path, body) = (method.into(), path.into(), Vec::new());
+    let mut request = HttpRequest { method, path, headers, body, keep_alive: false };
+    if request.header("Transfer-Encoding").is_some() {
+        return Err(HttpError(status::NOT_IMPLEMENTED));
+    }
+    let body_length = request.content_length()?;
+    if body_length > limits.http.max_body_bytes.max(limits.bodies.max_bytes) {
+        return Err(HttpError(status::CONTENT_TOO_LARGE));
+    }
+    request.keep_alive = request.wants_keep_alive(version);
+    let head_length = head_end + HEAD_END.len();
+    let has_body_bytes = input.len() > head_length;
+    let expects_continue = version == Version::Http11 && !has_body_bytes && request.expects_continue();
+    if limits.bodies.max_bytes > 0 && body_length > limits.bodies.max_inline_bytes {
+        return Ok(Decoded::LargeBody { request, head_length, body_length, expects_continue });
+    }
+    let length = head_length + body_length;
+    let Some(body) = input.get(head_length..length) else {
+        return Ok(Decoded::Partial { expects_continue });
+    };
+    request.body = body.to_vec();
+    Ok(Decoded::Complete { request, length })
+}
+
+/// Where the head ends, without the empty line; `None` if it is not complete.
+fn find_head_end(input: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
+    let max_length = limits.http.max_head_bytes;
+    let searched = &input[..input.len().min(max_length)];
+    let end = searched.windows(HEAD_END.len()).position(|window| window == HEAD_END);
+    if end.is_none() && input.len() >= max_length {
+        return Err(HttpError(status::REQUEST_HEADER_FIELDS_TOO_LARGE));
+    }
+    Ok(end)
+}
+
+fn decode_request_line(line: &str) -> Result<RequestLine<'_>, HttpError> {
+    let mut parts = line.split(' ');
+    let (Some(method), Some(path), Some(version), None) =
+        (parts.next(), parts.next(), parts.next(), parts.next())
+    else {
+        return Err(MALFORMED);
+    };
+    let is_method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
+    if !is_method || !path.starts_with('/') {
+        return Err(MALFORMED);
+    }
+    let version = match version {
+        "HTTP/1.1" => Version::Http11,
+        "HTTP/1.0" => Version::Http10,
+        _ => return Err(HttpError(status::HTTP_VERSION_NOT_SUPPORTED)),
+    };
+    Ok(RequestLine { method, path, version })
+}
+
+fn decode_headers<'a>(
+    lines: impl Iterator<Item = &'a str>,
+    limits: &Limits,
+) -> Result<Vec<HeaderField>, HttpError> {
+    let mut headers = Vec::new();
+    for line in lines {
+        let (name, value) = line.split_once(':').ok_or(MALFORMED)?;
+        let value = value.trim_matches([' ', '\t']);
+        if name.is_empty() || !name.bytes().all(is_token_byte) || value.bytes().any(is_control_byte) {
+            return Err(MALFORMED);
+        }
+        if headers.len() == limits.http.max_header_fields {
+            return Err(HttpError(status::REQUEST_HEADER_FIELDS_TOO_LARGE));
+        }
+        headers.push(HeaderField { name: name.into(), value: value.into() });
+    }
+    Ok(headers)
+}
+
+fn is_token_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || TOKEN_PUNCTUATION.contains(&byte)
+}
+
+fn is_control_byte(byte: u8) -> bool {
+    byte < b' ' && byte != b'\t'
+}
--- /dev/null
+++ b/src/listener/http/connection.rs
@@ -0,0 +1,300 @@
+//! A client's connection: one request at a time.
+
+use super::codec::{self, status, Decoded, HttpError, HttpRequest};
+use super::request::{RequestHead, INVOKE_PREFIX};
+use super::response::{encode_answer, ERROR_BODY};
+use super::upload::Upload;
+use super::{sql, Shared};
+use crate::core::{Answer, Request};
+use crate::limits::Limits;
+use crate::listener::server::{ClientConnection, EvictionRank, ListenerState};
+use crate::net::{BufferedStream, Connection, Flow, Time, Token};
+use dahliaspoke::policy::RequestId;
+
+/// Answers whether the process is there, without a request.
+const HEALTH_PATH: &str = "/_health";
+const HEALTH_BODY: &[u8] = b"{}";
+
+/// What a connection does.
+pub(super) enum State {
+    /// Nothing of a next call has arrived.
+    Idle,
+    /// A call is arriving, or, on a new connection, expected.
+    Receiving {
+        /// The client was sent the interim answer that it waits for.
+        continue_sent: bool,
+    },
+    /// A large body is arriving.
+    Uploading(Box<Upload>),
+    /// A request is open in the core.
+    AwaitingAnswer(RequestId),
+}
+
+/// A client's connection.
+pub struct HttpConnection {
+    pub(super) stream: BufferedStream,
+    pub(super) token: Token,
+    pub(super) state: State,
+    /// It stays open after the next answer.
+    keep_alive: bool,
+    has_sent_request: bool,
+    /// When it was accepted, or last was answered.
+    idle_since: Time,
+    /// By then the client must have sent what is due.
+    pub(super) deadline: Time,
+}
+
+impl ClientConnection for HttpConnection {
+    fn accepted(now: Time, stream: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
+        Some(HttpConnection {
+            stream,
+            token,
+            state: State::Receiving { continue_sent: false },
+            keep_alive: true,
+            has_sent_request: false,
+            idle_since: now,
+            deadline: now + shared.state.limits.clients.request_timeout,
+        })
+    }
+
+    fn deadline(&self) -> Option<Time> {
+        let client_waits = match &self.state {
+            State::Idle | State::Receiving { .. } => false,
+            State::Uploading(upload) => upload.is_client_waiting(),
+            State::AwaitingAnswer(_) => true,
+        };
+        (!client_waits).then_some(self.deadline)
+    }
+
+    /// An idle connection is closed; a client that does not complete its call is answered first.
+    fn on_deadline(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        if self.stream.input.is_empty() && !self.is_uploading() {
+            return Flow::Close;
+        }
+        self.reject(now, status::REQUEST_TIMEOUT, shared)
+    }
+
+    /// A connection with an answer that is not written completely stays: a request whose answer is cut is lost.
+    fn eviction_rank(&self) -> Option<EvictionRank> {
+        let has_request = matches!(self.state, State::Uploading(_) | State::AwaitingAnswer(_));
+        if has_request || self.stream.queued() > 0 {
+            return None;
+        }
+        Some(EvictionRank { has_sent_request: self.has_sent_request, idle_since: self.idle_since })
+    }
+
+    fn state(shared: &mut Shared) -> &mut ListenerState {
+        &mut shared.state
+    }
+
+    fn max_connections(limits: &Limits) -> usize {
+        limits.clients.max_connections
+    }
+}
+
+impl Connection for HttpConnection {
+    type Shared = Shared;
+
+    fn channel(&mut self) -> &mut BufferedStream {
+        &mut self.stream
+    }
+
+    fn readable(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        match self.state {
+            State::Idle | State::Receiving { .. } => self.next_call(now, shared),
+            State::Uploading(_) => self.receive_body(now, shared),
+            State::AwaitingAnswer(_) => {
+                // Calls that are sent ahead wait here, but not without bound.
+                let max_call =
+                    shared.state.limits.http.max_head_bytes + shared.state.limits.http.max_body_bytes;
+                if self.stream.input.len() > max_call {
+                    Flow::Close
+                } else {
+                    Flow::Open
+                }
+            }
+        }
+    }
+
+    fn writable(&mut self, _: Time, _: &mut Shared) -> Flow {
+        Flow::Open
+    }
+
+    fn is_paused(&self) -> bool {
+        matches!(&self.state, State::Uploading(upload) if upload.is_client_waiting())
+    }
+
+    fn closed(&mut self, _: Time, shared: &mut Shared) {
+        self.abandon_request(shared);
+    }
+}
+
+impl HttpConnection {
+    /// Sends the final answer to the open request.
+    pub(super) fn answer(&mut self, now: Time, answer: Answer, shared: &mut Shared) -> Flow {
+        // What still arrives of its body is of no more use, and nothing behind it is read.
+        let body_is_arriving = self.is_uploading();
+        self.finish_upload(shared);
+        self.become_idle(now, shared);
+        self.keep_alive &= !body_is_arriving && !shared.state.shutting_down;
+        self.stream.push(encode_answer(answer, self.keep_alive));
+        if self.keep_alive {
+            self.next_call(now, shared)
+        } else {
+            self.finish(now, shared)
+        }
+    }
+
+    /// Handles calls until one needs the core, or no complete one is left.
+    fn next_call(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        while self.is_ready_for_call() && !self.stream.input.is_empty() {
+            if self.stream.queued() > shared.state.limits.clients.max_unread_answer_bytes {
+                return Flow::Close;
+            }
+            let decoded = match codec::decode(&self.stream.input, &shared.state.limits) {
+                Ok(decoded) => decoded,
+                Err(HttpError(status)) => return self.reject(now, status, shared),
+            };
+            let flow = match decoded {
+                Decoded::Partial { expects_continue } => {
+                    self.await_rest_of_call(now, expects_continue, shared);
+                    return Flow::Open;
+                }
+                Decoded::Complete { request, length } => {
+                    self.begin_call(&request, length, shared);
+                    self.handle_call(now, &request, shared)
+                }
+                Decoded::LargeBody { request, head_length, body_length, expects_continue } => {
+                    self.begin_call(&request, head_length, shared);
+                    let flow = self.handle_large_call(now, &request, body_length, shared);
+                    if flow != Flow::Open {
+                        return flow;
+                    }
+                    // Only now is there room for the body.
+                    if expects_continue {
+                        self.stream.push(codec::CONTINUE.to_vec());
+                    }
+                    return self.receive_body(now, shared);
+                }
+            };
+            if flow != Flow::Open {
+                return flow;
+            }
+        }
+        Flow::Open
+    }
+
+    fn is_ready_for_call(&self) -> bool {
+        matches!(self.state, State::Idle | State::Receiving { .. })
+    }
+
+    fn is_uploading(&self) -> bool {
+        matches!(self.state, State::Uploading(_))
+    }
+
+    /// A part of a call has arrived. The rest has its own deadline: an incomplete call is no idle connection.
+    fn await_rest_of_call(&mut self, now: Time, expects_continue: bool, shared: &Shared) {
+        let mut continue_sent = false;
+        if let State::Receiving { continue_sent: sent } = self.state {
+            continue_sent = sent;
+        } else {
+            self.deadline = now + shared.state.limits.clients.request_timeout;
+        }
+        if expects_continue && !continue_sent {
+            self.stream.push(codec::CONTINUE.to_vec());
+        }
+        self.state = State::Receiving { continue_sent: continue_sent || expects_continue };
+    }
+
+    /// Removes a call's bytes from the input.
+    fn begin_call(&mut self, call: &HttpRequest, length: usize, shared: &Shared) {
+        self.stream.input.drain(..length);
+        self.keep_alive = call.keep_alive && !shared.state.shutting_down;
+        self.has_sent_request = true;
+    }
+
+    /// Answers a complete call, or submits its request.
+    fn handle_call(&mut self, now: Time, call: &HttpRequest, shared: &mut Shared) -> Flow {
+        self.become_idle(now, shared);
+        if let Err(HttpError(status)) = self.dispatch(now, call, shared) {
+            return self.reject(now, status, shared);
+        }
+        if self.is_ready_for_call() && !self.keep_alive {
+            return self.finish(now, shared);
+        }
+        Flow::Open
+    }
+
+    /// Begins to receive a large body.
+    fn handle_large_call(
+        &mut self,
+        now: Time,
+        call: &HttpRequest,
+        body_length: usize,
+        shared: &mut Shared,
+    ) -> Flow {
+        match self.begin_upload(now, call, body_length, shared) {
+            Ok(flow) => flow,
+            Err(HttpError(status)) => self.reject(now, status, shared),
+        }
+    }
+
+    fn dispatch(&mut self, now: Time, call: &HttpRequest, shared: &mut Shared) -> Result<(), HttpError> {
+        let path = call.path_without_query();
+        if path == HEALTH_PATH {
+            if call.method != "GET" {
+                return Err(HttpError(status::METHOD_NOT_ALLOWED));
+            }
+            self.stream.push(codec::json(status::OK, None, HEALTH_BODY, self.keep_alive));
+            return Ok(());
+        }
+        let Some(class_name) = path.strip_prefix(INVOKE_PREFIX) else {
+            // No request depends on it, so the connection stays.
+            self.stream.push(codec::json(status::NOT_FOUND, None, ERROR_BODY, self.keep_alive));
+            return Ok(());
+        };
+        let head = RequestHead::decode(call, class_name, shared)?;
+        let statement = std::str::from_utf8(&call.body).map_err(|_| HttpError(status::BAD_REQUEST))?;
+        let mut request = head.to_request(now, sql::tables(statement), shared);
+        request.payload.statement = statement.as_bytes().into();
+        self.submit(request, shared);
+        Ok(())
+    }
+
+    fn submit(&mut self, request: Request, shared: &mut Shared) {
+        self.state = State::AwaitingAnswer(request.id.clone());
+        shared.state.submit(self.token, request);
+    }
+
+    /// Answers a call that cannot be accepted, or not completely, and closes the connection. If a part of its body was
+    /// passed on, its request ends here as well.
+    pub(super) fn reject(&mut self, now: Time, status: u16, shared: &mut Shared) -> Flow {
+        shared.state.bad_requests += 1;
+        self.abandon_request(shared);
+        self.stream.push(codec::json(status, None, ERROR_BODY, false));
+        self.finish(now, shared)
+    }
+
+    /// The client is owed no answer any more.
+    fn abandon_request(&mut self, shared: &mut Shared) {
+        self.finish_upload(shared);
+        if let State::AwaitingAnswer(id) = std::mem::replace(&mut self.state, State::Idle) {
+            shared.state.report_client_gone(id);
+        }
+    }
+
+    /// No request is open: the connection may be idle for a while.
+    fn become_idle(&mut self, now: Time, shared: &Shared) {
+        self.state = State::Idle;
+        self.idle_since = now;
+        self.deadline = now + shared.state.limits.clients.idle_timeout;
+    }
+
+    /// Closes the connection once all answers are written.
+    pub(super) fn finish(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        self.stream.input = Vec::new();
+        self.deadline = now + shared.state.limits.clients.linger_timeout;
+        shared.state.schedule_check(self.deadline, self.token);
+        Flow::Finish
+    }
+}
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -1,224 +1,243 @@
-//! A large body, on its way from its client into the spool.
-
-use super::codec::{Bad, Call};
-use super::{encode, sql, told, Client, HttpListener, Shared, Told};
+//! A large body on its way from its client into the body store.
+
+use super::codec::{status, HttpError, HttpRequest};
+use super::connection::{HttpConnection, State};
+use super::request::{RequestHead, INVOKE_PREFIX};
+use super::response::encode_answer;
+use super::utf8::{InvalidUtf8, Utf8Checker};
+use super::{sql, Shared};
+use crate::body_store;
 use crate::core::Answer;
-use crate::listener::server::Server;
 use crate::net::{Flow, Time};
-use dahliaspoke_body_store::plan::{BodyId, Refusal, Tier};
+use dahliaspoke::policy::RequestId;
+use dahliaspoke_body_store::plan::{Refusal, Tier};
 use dahliaspoke_body_store::spool::{Body, Wake};
 
-/// Bytes from which a statement's tables are read: they stand at its beginning.
-const HEAD: usize = 4 << 10;
+/// Bytes of a statement that are searched for its table group: the tables stand at its beginning.
+const STATEMENT_START_BYTES: usize = 4 << 10;
+
+const TOO_LARGE: HttpError = HttpError(status::CONTENT_TOO_LARGE);
 
-/// A body that is coming in.
+/// A body that is arriving.
 pub struct Upload {
-    told: Told,
+    head: RequestHead,
     body: Body,
-    /// Bytes that have not come.
-    left: usize,
-    /// Its first bytes.
-    head: Vec<u8>,
-    text: Text,
-    /// All of it must be here by then.
-    by: Time,
-    /// When its last byte came: its request's time runs from there, however long the disk then takes.
-    whole: Option<Time>,
-    /// It is not kept, but passed on.
-    passed: bool,
-    /// There is no room for more of it now.
-    full: bool,
+    /// Bytes that have not arrived.
+    remaining: usize,
+    /// The first bytes of the statement.
+    start: Vec<u8>,
+    utf8: Utf8Checker,
+    /// By then all of it must be here.
+    deadline: Time,
+    /// When its last byte arrived: the request's time runs from there, however long the disk then takes.
+    completed_at: Option<Time>,
+    /// It is passed on as it arrives and not kept.
+    passed_on: bool,
+    /// The body store has no room for more of it now.
+    store_full: bool,
+    /// Its request, once it is submitted.
+    request: Option<RequestId>,
 }
 
 impl Upload {
-    /// Whether its client can do nothing now: there is no room, or all has come and is being written.
-    pub fn waits(&self) -> bool {
-        self.full || self.left == 0
-    }
-
-    /// The beginning of its statement, as far as it is whole letters.
-    fn start(&self) -> &str {
-        match std::str::from_utf8(&self.head) {
-            Ok(text) => text,
-            Err(e) => std::str::from_utf8(&self.head[..e.valid_up_to()]).unwrap_or_default(),
+    fn new(head: RequestHead, body: Body, tier: Tier, remaining: usize, deadline: Time) -> Self {
+        Self {
+            head,
+            body,
+            remaining,
+            start: Vec::new(),
+            utf8: Utf8Checker::default(),
+            deadline,
+            completed_at: None,
+            passed_on: tier == Tier::Passed,
+            store_full: false,
+            request: None,
         }
     }
-}
 
-/// Text that comes in pieces.
-#[derive(Default)]
-struct Text {
-    /// A letter of which not all bytes have come.
-    open: Vec<u8>,
-}
+    /// Whether the client can do nothing now: there is no room, or all has arrived and is being written.
+    pub fn is_client_waiting(&self) -> bool {
+        self.store_full || self.remaining == 0
+    }
 
-impl Text {
-    /// Whether it is still UTF-8 with these bytes behind it.
-    fn goes_on(&mut self, mut bytes: &[u8]) -> bool {
-        while let (false, Some((first, rest))) = (self.open.is_empty(), bytes.split_first()) {
-            self.open.push(*first);
-            bytes = rest;
-            match std::str::from_utf8(&self.open) {
-                Ok(_) => self.open.clear(),
-                Err(e) if e.error_len().is_some() => return false,
-                Err(_) => {}
+    /// Moves input into the body store as far as there is room. Returns whether any byte was moved.
+    fn receive(
+        &mut self,
+        now: Time,
+        input: &mut Vec<u8>,
+        store: &body_store::Shared,
+    ) -> Result<bool, InvalidUtf8> {
+        let mut has_moved = false;
+        while self.remaining > 0 {
+            let room = store.borrow_mut().room(self.body.id());
+            self.store_full = room == 0;
+            let count = room.min(input.len());
+            if count == 0 {
+                break;
             }
+            let bytes = &input[..count];
+            self.utf8.push(bytes)?;
+            let start_room = STATEMENT_START_BYTES - self.start.len();
+            self.start.extend_from_slice(&bytes[..count.min(start_room)]);
+            store.borrow_mut().push(now, self.body.id(), bytes);
+            input.drain(..count);
+            self.remaining -= count;
+            has_moved = true;
         }
-        match std::str::from_utf8(bytes) {
-            Ok(_) => true,
-            Err(e) if e.error_len().is_some() => false,
-            Err(e) => {
-                self.open.extend_from_slice(&bytes[e.valid_up_to()..]);
-                true
+        if self.remaining == 0 {
+            self.completed_at.get_or_insert(now);
+            if !self.utf8.is_complete() {
+                return Err(InvalidUtf8);
             }
         }
+        Ok(has_moved)
+    }
+
+    /// Whether enough has arrived to submit the request of a body that is passed on.
+    fn can_be_submitted(&self) -> bool {
+        self.request.is_none() && (self.start.len() == STATEMENT_START_BYTES || self.remaining == 0)
+    }
+
+    /// The beginning of the statement, up to the last complete character.
+    fn statement_start(&self) -> &str {
+        match std::str::from_utf8(&self.start) {
+            Ok(text) => text,
+            Err(error) => std::str::from_utf8(&self.start[..error.valid_up_to()]).unwrap_or_default(),
+        }
+    }
+
+    /// By when the next byte must arrive, if one arrives now.
+    fn next_byte_deadline(&self, now: Time, shared: &Shared) -> Time {
+        self.deadline.min(now + shared.state.limits.bodies.stall_timeout)
     }
 }
 
-impl Client {
-    /// Finds room for a body, or turns it away.
-    pub fn begin_upload(
+impl HttpConnection {
+    /// Finds room in the body store for a call's body, or rejects the request.
+    pub(super) fn begin_upload(
         &mut self,
         now: Time,
-        call: &Call,
+        call: &HttpRequest,
         length: usize,
         shared: &mut Shared,
-    ) -> Result<Flow, Bad> {
-        let path = call.path.split('?').next().unwrap_or_default();
-        let class = path.strip_prefix("/invoke/").ok_or(Bad(413))?;
-        let told = told(call, class, shared)?;
-        let spool = shared.spool.clone().ok_or(Bad(413))?;
-        let limits = shared.state.limits.clone();
-        let by = now + limits.bodies.upload_timeout;
-        let taken = if now < shared.state.last_upload {
-            spool.borrow_mut().admit(now, told.class, length as u64, by + told.allow)
+    ) -> Result<Flow, HttpError> {
+        let class_name = call.path_without_query().strip_prefix(INVOKE_PREFIX).ok_or(TOO_LARGE)?;
+        let head = RequestHead::decode(call, class_name, shared)?;
+        let store = shared.body_store.clone().ok_or(TOO_LARGE)?;
+        let deadline = now + shared.state.limits.bodies.upload_timeout;
+        let admitted = if now < shared.state.upload_cutoff {
+            store.borrow_mut().admit(now, head.class, length as u64, deadline + head.timeout)
         } else {
             Err(Refusal::NoRoom)
         };
-        let (body, tier) = match taken {
-            Ok(taken) => taken,
-            Err(Refusal::TooLarge) => return Err(Bad(413)),
-            Err(Refusal::NoRoom) => return Ok(self.turn_away(now, told.class, shared)),
+        let (body, tier) = match admitted {
+            Ok(admitted) => admitted,
+            Err(Refusal::TooLarge) => return Err(TOO_LARGE),
+            Err(Refusal::NoRoom) => return Ok(self.reject_for_capacity(now, head.class, shared)),
         };
         shared.uploads.insert(body.id(), self.token);
-        shared.state.uploads += 1;
-        self.until = by.min(now + limits.bodies.stall_timeout);
-        let (head, text) = (Vec::new(), Text::default());
-        let (passed, full) = (tier == Tier::Passed, false);
-        self.upload = Some(Upload { told, body, left: length, head, text, by, whole: None, passed, full });
+        shared.state.open_uploads += 1;
+        let upload = Upload::new(head, body, tier, length, deadline);
+        self.deadline = upload.next_byte_deadline(now, shared);
+        self.state = State::Uploading(Box::new(upload));
         Ok(Flow::Open)
     }
 
-    /// A request for whose body there is no room: nothing ran.
-    fn turn_away(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
-        self.end_upload(shared);
-        shared.state.turned_away(class);
-        self.channel.push(encode(Answer::Rejected(shared.state.limits.bodies.retry_after), false));
+    /// Rejects a request for whose body there is no room: nothing ran.
+    fn reject_for_capacity(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
+        self.finish_upload(shared);
+        shared.state.report_rejected(class);
+        let rejected = Answer::Rejected(shared.state.limits.bodies.retry_after);
+        self.stream.push(encode_answer(rejected, false));
         self.finish(now, shared)
     }
 
-    /// Hands to the spool what has come.
-    pub fn take_body(&mut self, now: Time, shared: &mut Shared) -> Flow {
-        let (Some(upload), Some(spool)) = (&mut self.upload, &shared.spool) else { return Flow::Open };
-        let id = upload.body.id();
-        while upload.left > 0 {
-            let room = spool.borrow_mut().room(id);
-            upload.full = room == 0;
-            let count = room.min(self.channel.input.len());
-            if count == 0 {
-                break;
-            }
-            let bytes = &self.channel.input[..count];
-            if !upload.text.goes_on(bytes) {
-                return self.bad(now, 400, shared);
-            }
-            upload.head.extend_from_slice(&bytes[..count.min(HEAD - upload.head.len())]);
-            spool.borrow_mut().push(now, id, bytes);
-            self.channel.input.drain(..count);
-            upload.left -= count;
-            self.until = upload.by.min(now + shared.state.limits.bodies.stall_timeout);
-        }
-        if upload.left == 0 {
-            upload.whole.get_or_insert(now);
-        }
-        if upload.left == 0 && !upload.text.open.is_empty() {
-            return self.bad(now, 400, shared);
+    /// Moves what has arrived into the body store.
+    pub(super) fn receive_body(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        let (State::Uploading(upload), Some(store)) = (&mut self.state, &shared.body_store) else {
+            return Flow::Open;
+        };
+        match upload.receive(now, &mut self.stream.input, store) {
+            Ok(true) => self.deadline = upload.next_byte_deadline(now, shared),
+            Ok(false) => {}
+            Err(InvalidUtf8) => return self.reject(now, status::BAD_REQUEST, shared),
         }
         self.pass_on(now, shared)
     }
 
-    /// A body that is passed on makes its request once its first bytes are here, and is this connection's
-    /// until its last are.
+    /// Submits the request of a body that is passed on once its first bytes are here. The connection waits for the answer
+    /// once the last ones are.
     fn pass_on(&mut self, now: Time, shared: &mut Shared) -> Flow {
-        let Some(upload) = self.upload.as_ref().filter(|upload| upload.passed) else { return Flow::Open };
-        if self.open.is_none() && (upload.head.len() == HEAD || upload.left == 0) {
-            let flow = self.ask_for_upload(now, true, shared);
+        let State::Uploading(upload) = &self.state else { return Flow::Open };
+        if !upload.passed_on {
+            return Flow::Open;
+        }
+        let is_complete = upload.remaining == 0;
+        if upload.can_be_submitted() {
+            let flow = self.submit_upload(now, true, shared);
             if flow != Flow::Open {
                 return flow;
             }
         }
-        if self.upload.as_ref().is_some_and(|upload| upload.left == 0) {
-            self.end_upload(shared);
+        if is_complete {
+            self.finish_upload(shared);
         }
         Flow::Open
     }
 
-    fn ask_for_upload(&mut self, now: Time, uploading: bool, shared: &mut Shared) -> Flow {
-        let Some(upload) = &self.upload else { return Flow::Open };
-        // Another client may have asked under the same id meanwhile.
-        if shared.state.is_open(&upload.told.id) {
-            return self.bad(now, 400, shared);
+    /// Submits the request of a body. `uploading`: it is passed on, and more of it is to come.
+    fn submit_upload(&mut self, now: Time, uploading: bool, shared: &mut Shared) -> Flow {
+        let State::Uploading(upload) = &mut self.state else { return Flow::Open };
+        // Another client may have used the same id meanwhile.
+        if shared.state.is_open(&upload.head.id) {
+            return self.reject(now, status::BAD_REQUEST, shared);
         }
-        let since = upload.whole.unwrap_or(now);
-        let mut ask = upload.told.ask(since, sql::tables(upload.start()), shared);
-        ask.uploading = uploading;
-        ask.payload.body = Some(upload.body.clone());
-        self.ask(ask, shared);
+        let received_at = upload.completed_at.unwrap_or(now);
+        let table_group = sql::tables(upload.statement_start());
+        let mut request = upload.head.to_request(received_at, table_group, shared);
+        request.uploading = uploading;
+        request.payload.body = Some(upload.body.clone());
+        upload.request = Some(request.id.clone());
+        shared.state.submit(self.token, request);
         Flow::Open
     }
 
-    /// Nothing more of the body is taken.
-    pub fn end_upload(&mut self, shared: &mut Shared) {
-        if let Some(upload) = self.upload.take() {
+    /// Receives no more of a body. If its request is submitted, the connection waits for the answer.
+    pub(super) fn finish_upload(&mut self, shared: &mut Shared) {
+        if !matches!(self.state, State::Uploading(_)) {
+            return;
+        }
+        if let State::Uploading(upload) = std::mem::replace(&mut self.state, State::Idle) {
             shared.uploads.remove(&upload.body.id());
-            shared.state.uploads -= 1;
+            shared.state.open_uploads -= 1;
+            if let Some(id) = upload.request {
+                self.state = State::AwaitingAnswer(id);
+            }
         }
     }
 
-    fn woken(&mut self, now: Time, wake: &Wake, shared: &mut Shared) -> Flow {
-        let Some(upload) = &mut self.upload else { return Flow::Open };
+    /// The body store reports a change of the body that is arriving.
+    pub(super) fn on_body_change(&mut self, now: Time, wake: &Wake, shared: &mut Shared) -> Flow {
+        let State::Uploading(upload) = &mut self.state else { return Flow::Open };
         match wake {
             Wake::Room(_) => {
-                self.until = upload.by.min(now + shared.state.limits.bodies.stall_timeout);
-                self.take_body(now, shared)
+                self.deadline = upload.next_byte_deadline(now, shared);
+                self.receive_body(now, shared)
             }
             Wake::Kept(_) => {
-                let flow = self.ask_for_upload(now, false, shared);
-                self.end_upload(shared);
+                let flow = self.submit_upload(now, false, shared);
+                self.finish_upload(shared);
                 flow
             }
             Wake::Passed(_) => {
-                upload.passed = true;
-                self.take_body(now, shared)
+                upload.passed_on = true;
+                self.receive_body(now, shared)
             }
             Wake::Lost(_) => {
-                let class = upload.told.class;
-                self.turn_away(now, class, shared)
+                let class = upload.head.class;
+                self.reject_for_capacity(now, class, shared)
             }
             Wake::Spent(_) | Wake::Data(_) => Flow::Open,
         }
     }
 }
-
-impl HttpListener {
-    /// Something has become of a body.
-    pub fn wake(&mut self, now: Time, body: BodyId, wake: &Wake) {
-        let Some(token) = self.shared.uploads.get(&body).copied() else { return };
-        Server::reply(self, now, token, |client, shared| client.woken(now, wake, shared));
-    }
-
-    /// Large bodies are not begun after this.
-    pub fn last_upload(&mut self, at: Time) {
-        self.shared.state.last_upload = at;
-    }
-}
--- a/src/listener/mysql/large.rs
+++ b/src/listener/mysql/large.rs
@@ -148,7 +148,7 @@
             Err(Malformed) => return self.end(now, self.answer_from, super::malformed(), shared),
         };
         self.large = Some(Large { left: length - used, goes_on: length == SPLIT, target, full: false });
-        shared.state.uploads += 1;
+        shared.state.open_uploads += 1;
         // What was looked at and not used is taken like the rest.
         let rest = start.len() - used;
         self.channel.input.splice(..0, start[start.len() - rest..].iter().copied());
@@ -243,7 +243,7 @@
     ) -> Result<(usize, Target), Refusal> {
         let spool = shared.spool.clone().ok_or_else(too_large)?;
         let by = now + shared.state.limits.bodies.upload_timeout + time;
-        let open = now < shared.state.last_upload;
+        let open = now < shared.state.upload_cutoff;
         // Its length may be known, and still it is asked for as one that is not: it must be kept.
         if (length.unwrap_or(SPLIT) - used) as u64 > spool.borrow().largest(ask.class) {
             return Err(too_large());
@@ -256,7 +256,7 @@
             }
             Err(NoPlace::TooLarge) => Err(too_large()),
             Ok(_) | Err(NoPlace::NoRoom) => {
-                shared.state.turned_away(ask.class);
+                shared.state.report_rejected(ask.class);
                 Err(busy(shared))
             }
         }
@@ -316,7 +316,7 @@
 
     /// Nothing more of a payload is taken.
     fn end_large(&mut self, large: &Large, shared: &mut Shared) {
-        shared.state.uploads -= 1;
+        shared.state.open_uploads -= 1;
         if let Target::Request { body, .. } = &large.target {
             shared.uploads.remove(&body.id());
         }
@@ -338,7 +338,7 @@
 
     /// All of a payload has come.
     fn whole(&mut self, now: Time, large: Large, shared: &mut Shared) -> Flow {
-        shared.state.uploads -= 1;
+        shared.state.open_uploads -= 1;
         self.until = now + shared.state.limits.mysql.session_idle_timeout;
         let Target::Request { body, mut ask, time, values } = large.target else {
             return self.next_packet(now, shared);
@@ -432,7 +432,7 @@
         self.channel.input.splice(..0, rest.iter().copied());
         let target = Target::Parameter(place.0, place.1);
         self.large = Some(Large { left: rest.len(), goes_on: false, target, full: true });
-        shared.state.uploads += 1;
+        shared.state.open_uploads += 1;
     }
 
     /// Parameters that came ahead of an execution which does not come.
@@ -519,7 +519,7 @@
                         return self.end(now, self.answer_from, too_large(), shared);
                     }
                     (large.target, large.full) = (Target::Nothing, false);
-                    shared.state.turned_away(class);
+                    shared.state.report_rejected(class);
                     let refusal = busy(shared);
                     self.push(self.answer_from, &[refusal.encode()]);
                     return self.take_large(now, shared);
@@ -530,7 +530,7 @@
     }
 
     fn turn_away(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
-        shared.state.turned_away(class);
+        shared.state.report_rejected(class);
         self.push(self.answer_from, &encode(Answer::Rejected(shared.state.limits.bodies.retry_after), false));
         self.next_packet(now, shared)
     }
--- a/src/listener/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -4,7 +4,7 @@
 mod large;
 mod setup;
 
-use super::server::{ClientConnection, Server, State};
+use super::server::{ClientConnection, EvictionRank, ListenerState, Server};
 use super::sql;
 use crate::body_store;
 use crate::core::{Answer, Listener, QueryPayload, Request};
@@ -29,7 +29,7 @@
 
 /// What all sessions have in common.
 pub struct Shared {
-    state: State,
+    state: ListenerState,
     config: Rc<Mysql>,
     /// Name and give-up time (seconds) by class.
     classes: Vec<(Arc<str>, f64)>,
@@ -118,7 +118,7 @@
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> io::Result<Self> {
-        let (socket, state) = (TcpListener::bind(config.listen)?, State::new(route, limits));
+        let (socket, state) = (TcpListener::bind(config.listen)?, ListenerState::new(route, limits));
         let classes = settings.classes.iter().map(|c| (c.name.as_str().into(), c.client_timeout)).collect();
         let uploads = HashMap::new();
         Self::new(part, socket, Shared { state, config, classes, requests: 0, spool, uploads }, poller)
@@ -132,7 +132,7 @@
 
     /// Large bodies are not begun after this.
     pub fn last_upload(&mut self, at: Time) {
-        self.shared.state.last_upload = at;
+        self.shared.state.upload_cutoff = at;
     }
 }
 
@@ -162,24 +162,25 @@
         })
     }
 
-    fn until(&self) -> Option<Time> {
+    fn deadline(&self) -> Option<Time> {
         (self.open.is_none() && !self.waits()).then_some(self.until)
     }
 
-    fn overdue(&mut self, _: Time, _: &mut Shared) -> Flow {
+    fn on_deadline(&mut self, _: Time, _: &mut Shared) -> Flow {
         Flow::Close
     }
 
     /// A session that is up has prepared statements, which its client counts on; only a login can be let go.
-    fn spare(&self) -> Option<(bool, Time)> {
-        (self.stage != Stage::Ready).then_some((false, self.since))
+    fn eviction_rank(&self) -> Option<EvictionRank> {
+        let rank = EvictionRank { has_sent_request: false, idle_since: self.since };
+        (self.stage != Stage::Ready).then_some(rank)
     }
 
-    fn state(shared: &mut Shared) -> &mut State {
+    fn state(shared: &mut Shared) -> &mut ListenerState {
         &mut shared.state
     }
 
-    fn most(limits: &Limits) -> usize {
+    fn max_connections(limits: &Limits) -> usize {
         limits.mysql.max_sessions
     }
 }
@@ -283,7 +284,7 @@
     fn closed(&mut self, _: Time, shared: &mut Shared) {
         self.drop_large(shared);
         if let Some(id) = self.open.take() {
-            shared.state.left(id);
+            shared.state.report_client_gone(id);
         }
     }
 }
@@ -353,10 +354,10 @@
 
     /// Says why, and closes.
     fn end(&mut self, now: Time, sequence: u8, refusal: Refusal, shared: &mut Shared) -> Flow {
-        shared.state.bad += 1;
+        shared.state.bad_requests += 1;
         self.push(sequence, &[refusal.encode()]);
         self.until = now + shared.state.limits.clients.linger_timeout;
-        shared.state.look(self.until, self.token);
+        shared.state.schedule_check(self.until, self.token);
         Flow::Finish
     }
 
@@ -578,7 +579,7 @@
         self.deadline = now + time.min(shared.state.limits.clients.max_request_time);
         ask.deadline = self.deadline;
         self.open = Some(ask.id.clone());
-        shared.state.ask(self.token, ask);
+        shared.state.submit(self.token, ask);
     }
 }
 
--- /dev/null
+++ b/src/listener/server/mod.rs
@@ -0,0 +1,172 @@
+//! What all listeners share: accepting, connections with deadlines, capacity, shutdown, and the requests that are open.
+
+mod accept;
+mod client;
+mod state;
+
+pub use client::{ClientConnection, EvictionRank};
+pub use state::ListenerState;
+
+use crate::core::ListenerEvent;
+use crate::failpoints;
+use crate::net::{Acceptor, ConnectionSlab, EventHandler, Flow, Poller, Ready, Time, Token};
+use dahliaspoke::policy::RequestId;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+/// A listening socket and the connections that were accepted from it.
+pub struct Server<C: ClientConnection> {
+    acceptor: Acceptor,
+    connections: ConnectionSlab<C>,
+    /// No connection is accepted before: the system had no descriptor or memory for one.
+    accept_resumes_at: Time,
+    /// What the connections share.
+    pub shared: C::Shared,
+}
+
+impl<C: ClientConnection> Server<C> {
+    /// Listens on a socket. `owner` is the owner number in tokens.
+    ///
+    /// # Errors
+    /// Where the system refuses to have the socket watched.
+    pub fn new(owner: u8, socket: TcpListener, shared: C::Shared, poller: Rc<Poller>) -> io::Result<Self> {
+        let acceptor = Acceptor::new(owner, socket, poller.clone())?;
+        let connections = ConnectionSlab::new(owner, poller);
+        Ok(Self { acceptor, connections, accept_resumes_at: 0.0, shared })
+    }
+
+    /// The address that it listens on.
+    ///
+    /// # Errors
+    /// What the system reports.
+    pub fn address(&self) -> io::Result<SocketAddr> {
+        self.acceptor.address()
+    }
+
+    /// The next report for the core, in order.
+    pub fn take(&mut self) -> Option<ListenerEvent> {
+        self.state().events.pop_front()
+    }
+
+    /// Requests that were rejected because they could not be decoded, since the start.
+    pub fn bad(&mut self) -> u64 {
+        self.state().bad_requests
+    }
+
+    /// Whether every answer is written and no body is arriving.
+    pub fn idle(&mut self) -> bool {
+        self.connections.is_flushed() && self.state().open_uploads == 0
+    }
+
+    /// Stops accepting: another process has the listening socket as well. Each connection is closed with its next answer.
+    pub fn hand_over(&mut self) {
+        let state = self.state();
+        state.shutting_down = true;
+        state.handed_over = true;
+        self.acceptor.room(false);
+    }
+
+    /// Begins the shutdown: idle connections are closed now, the others with their next answer. One with input that is not
+    /// read yet is not idle.
+    pub fn end_resting(&mut self, now: Time) {
+        self.state().shutting_down = true;
+        for token in self.connections.tokens() {
+            if self.connections.get(token).is_some_and(is_idle) {
+                self.connections.settle(now, token, Flow::Finish, &mut self.shared);
+            }
+        }
+    }
+
+    /// Whether no client is connected.
+    pub fn is_empty(&self) -> bool {
+        self.connections.len() == 0
+    }
+
+    /// Runs `answer` on the connection of an open request, if it is still there. The request is not open any more.
+    pub fn answer(&mut self, now: Time, id: &RequestId, answer: impl FnOnce(&mut C, &mut C::Shared) -> Flow) {
+        let Some(token) = self.state().open_requests.remove(id) else { return };
+        self.reply(now, token, answer);
+    }
+
+    /// Whether the client of an open request still waits.
+    pub fn is_client_waiting(&mut self, id: &RequestId) -> bool {
+        let token = self.state().open_requests.get(id).copied();
+        let client = token.and_then(|token| self.connections.get(token));
+        client.is_some_and(|client| !client.channel().has_ended())
+    }
+
+    /// Runs `answer` on a connection, if it is still there.
+    pub fn reply(&mut self, now: Time, token: Token, answer: impl FnOnce(&mut C, &mut C::Shared) -> Flow) {
+        let Some(client) = self.connections.get(token) else { return };
+        let flow = answer(client, &mut self.shared);
+        self.connections.settle(now, token, flow, &mut self.shared);
+    }
+
+    fn state(&mut self) -> &mut ListenerState {
+        C::state(&mut self.shared)
+    }
+
+    /// Reads what has arrived on a connection, before it might be closed.
+    fn read_pending(&mut self, now: Time, token: Token) {
+        let readable = Ready { token, readable: true, writable: false, ended: false };
+        self.connections.on_ready(now, readable, &mut self.shared);
+    }
+
+    /// Closes a connection if its deadline has passed, else schedules the next check.
+    fn check_deadline(&mut self, now: Time, token: Token) {
+        let Some(client) = self.connections.get(token) else { return };
+        if client.deadline().is_some_and(|deadline| deadline <= now) {
+            failpoints::reach("client.overdue");
+            // Input that has arrived meanwhile must not meet a close: it is read first, and may move the deadline.
+            if client.channel().has_input() {
+                self.read_pending(now, token);
+            }
+        }
+        let Some(client) = self.connections.get(token) else { return };
+        match client.deadline() {
+            Some(deadline) if deadline <= now => {
+                let flow = client.on_deadline(now, &mut self.shared);
+                self.connections.settle(now, token, flow, &mut self.shared);
+            }
+            deadline => self.schedule_next_check(now, token, deadline),
+        }
+    }
+
+    /// Schedules the next check. A request that begins meanwhile brings the deadline of an idle connection forward: it is
+    /// checked in time for that.
+    fn schedule_next_check(&mut self, now: Time, token: Token, deadline: Option<Time>) {
+        let state = self.state();
+        let clients = &state.limits.clients;
+        let at = deadline.unwrap_or(now + clients.linger_timeout).min(now + clients.request_timeout);
+        state.schedule_check(at, token);
+    }
+}
+
+/// Whether a connection may be closed at shutdown: it is idle, and no input of it waits to be read.
+fn is_idle<C: ClientConnection>(client: &mut C) -> bool {
+    client.eviction_rank().is_some() && client.channel().input.is_empty() && !client.channel().has_input()
+}
+
+impl<C: ClientConnection> EventHandler for Server<C> {
+    fn next_deadline(&mut self) -> Option<Time> {
+        self.state().timers.next_deadline()
+    }
+
+    fn on_ready(&mut self, now: Time, ready: Ready) {
+        if ready.token.slot == Acceptor::SLOT {
+            self.accept(now);
+        } else {
+            self.connections.on_ready(now, ready, &mut self.shared);
+        }
+        self.resume_accepting(now);
+    }
+
+    /// Checks the connections whose time has come.
+    fn on_timer(&mut self, now: Time) {
+        while let Some(token) = self.state().timers.due(now) {
+            self.check_deadline(now, token);
+        }
+        self.resume_accepting(now);
+    }
+}
