--- a/src/listener/http/connection.rs
+++ b/src/listener/http/connection.rs
@@ -255,7 +255,7 @@
         };
         let head = RequestHead::decode(call, class_name, shared)?;
         let statement = std::str::from_utf8(&call.body).map_err(|_| HttpError(status::BAD_REQUEST))?;
-        let mut request = head.to_request(now, sql::tables(statement), shared);
+        let mut request = head.to_request(now, sql::table_group(statement), shared);
         request.payload.statement = statement.as_bytes().into();
         self.submit(request, shared);
         Ok(())
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -193,7 +193,7 @@
             return self.reject(now, status::BAD_REQUEST, shared);
         }
         let received_at = upload.completed_at.unwrap_or(now);
-        let table_group = sql::tables(upload.statement_start());
+        let table_group = sql::table_group(upload.statement_start());
         let mut request = upload.head.to_request(received_at, table_group, shared);
         request.uploading = uploading;
         request.payload.body = Some(upload.body.clone());
--- a/src/listener/mysql/setup.rs
+++ b/src/listener/mysql/setup.rs
@@ -75,7 +75,7 @@
 
 /// Looks at a statement's beginning. `max_packet` is the largest payload that is accepted (bytes).
 pub fn handle(statement: &str, max_packet: usize) -> Setup {
-    let words = sql::words(statement, 3);
+    let words = sql::first_words(statement, 3);
     let word = |index: usize| words.get(index).map_or("", String::as_str);
     let compact = compact(statement);
     match word(0) {
--- a/src/listener/mysql/statement.rs
+++ b/src/listener/mysql/statement.rs
@@ -56,7 +56,7 @@
         let class = &shared.classes[position];
         let defaults = shared.config.class_defaults.get(&*class.name).cloned().unwrap_or_default();
         let hints = sql::hints(text);
-        let parameter_count = sql::parameters(text);
+        let parameter_count = sql::parameter_count(text);
         let key = hints.key.map(KeySource::from_hint);
         if let Some(KeySource::Parameter(position)) = key {
             check_key_position(position, parameter_count)?;
@@ -65,7 +65,7 @@
         Ok(Self {
             text: text.as_bytes().into(),
             class: position,
-            table_group: sql::tables(text).unwrap_or(NO_TABLE_GROUP),
+            table_group: sql::table_group(text).unwrap_or(NO_TABLE_GROUP),
             timeout: deadline_ms.map_or(class.client_timeout, |ms| ms / MILLISECONDS_PER_SECOND),
             estimated_work: usable(hints.estimate_ms).or(defaults.estimate_ms),
             estimated_memory: usable(hints.memory_mb).or(defaults.memory_mb),
@@ -91,7 +91,7 @@
 
 /// The class of the first rule that fits.
 fn class_position(text: &str, shared: &Shared) -> Option<usize> {
-    let first_words = sql::words(text, COMPARED_WORDS).join(" ");
+    let first_words = sql::first_words(text, COMPARED_WORDS).join(" ");
     let lower_case = text.to_ascii_lowercase();
     let rule = shared.config.statement_rules.iter().find(|rule| fits(rule, &first_words, &lower_case))?;
     shared.classes.iter().position(|class| *class.name == *rule.class)
--- a/src/listener/sql.rs
+++ b/src/listener/sql.rs
@@ -1,13 +1,22 @@
-//! What the coordinator reads in a statement: its group of tables, its parameters, its first words, its
-//! hints. It understands no more of SQL than where strings and comments begin and end.
+//! What the coordinator reads in a statement: its table group, its parameters, its first words, its hints. It knows no more
+//! of SQL than where strings and comments begin and end.
 
-/// Names of schemas that belong to no group.
-const NO_GROUP: &str = "staging";
+/// Schemas with this name before the underscore belong to no table group.
+const UNGROUPED_SCHEMA: &str = "staging";
+/// What stands after these words is a table, and not a column.
+const TABLE_KEYWORDS: &[&str] = &["from", "join", "into", "update", "table"];
+/// The first word of comments that hold hints for the coordinator.
+const HINT_MARK: &str = "dahliaspoke";
+/// The optimizer hint with the time limit (ms), in lower case.
+const TIME_LIMIT_HINT: &str = "max_execution_time(";
 
-#[derive(Clone, Copy, PartialEq)]
-enum Piece<'a> {
+/// A part of a statement that matters here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Token<'a> {
+    /// A keyword, or the name of a schema, a table or a column.
     Name(&'a str),
     Dot,
+    /// A parameter of a statement that is to be prepared.
     Parameter,
     Other,
 }
@@ -15,144 +24,205 @@
 /// What stands in a statement's hints.
 #[derive(Debug, Default, PartialEq)]
 pub struct Hints {
-    /// `MAX_EXECUTION_TIME(n)` in an optimizer hint.
+    /// How long the client waits (ms): `MAX_EXECUTION_TIME(n)` in an optimizer hint.
     pub deadline_ms: Option<f64>,
-    /// `key=` in a comment that begins with `dahliaspoke`.
+    /// The idempotency key: `key=` in a comment that begins with `dahliaspoke`, as the following ones.
     pub key: Option<String>,
+    /// Estimated work (ms of one thread).
     pub estimate_ms: Option<f64>,
+    /// Estimated memory (MB).
     pub memory_mb: Option<f64>,
 }
 
-/// Parameters of a statement that is to be prepared.
-pub fn parameters(statement: &str) -> usize {
-    pieces(statement, |_| {}).iter().filter(|piece| **piece == Piece::Parameter).count()
+impl Hints {
+    fn read_comment(&mut self, comment: &str) {
+        if let Some(hint) = comment.strip_prefix('+') {
+            self.deadline_ms = time_limit(hint).or(self.deadline_ms);
+        }
+        if let Some(fields) = comment.trim().strip_prefix(HINT_MARK) {
+            for (name, value) in fields.split_whitespace().filter_map(|field| field.split_once('=')) {
+                self.read_field(name, value);
+            }
+        }
+    }
+
+    fn read_field(&mut self, name: &str, value: &str) {
+        match name {
+            "key" => self.key = Some(value.into()),
+            "estimate_ms" => self.estimate_ms = value.parse().ok(),
+            "memory_mb" => self.memory_mb = value.parse().ok(),
+            _ => {}
+        }
+    }
+}
+
+fn time_limit(hint: &str) -> Option<f64> {
+    let hint = hint.to_ascii_lowercase();
+    let (_, rest) = hint.split_once(TIME_LIMIT_HINT)?;
+    rest.split(')').next()?.trim().parse().ok()
+}
+
+/// How many parameters a statement has that is to be prepared.
+pub fn parameter_count(statement: &str) -> usize {
+    Tokenizer::new(statement).filter(|token| *token == Token::Parameter).count()
 }
 
-/// The first words of a statement, in lower case and without comments.
-pub fn words(statement: &str, count: usize) -> Vec<String> {
-    let names = pieces(statement, |_| {}).into_iter().map_while(|piece| match piece {
-        Piece::Name(name) => Some(name.to_ascii_lowercase()),
+/// The first words of a statement, in lower case and without comments; at most `max_count`.
+pub fn first_words(statement: &str, max_count: usize) -> Vec<String> {
+    let names = Tokenizer::new(statement).map_while(|token| match token {
+        Token::Name(name) => Some(name.to_ascii_lowercase()),
         _ => None,
     });
-    names.take(count).collect()
+    names.take(max_count).collect()
 }
 
 /// Whether a statement sets a user variable, as in `SELECT @row := 1` or `INTO @total`.
 pub fn sets_variable(statement: &str) -> bool {
-    let flat = statement.to_ascii_lowercase().split_whitespace().collect::<Vec<_>>().join(" ");
-    flat.contains(" into @") || flat.contains('@') && flat.contains(":=")
+    let lower_case = statement.to_ascii_lowercase();
+    let one_line = lower_case.split_whitespace().collect::<Vec<_>>().join(" ");
+    one_line.contains(" into @") || one_line.contains('@') && one_line.contains(":=")
 }
 
 /// The hints in a statement's comments.
 pub fn hints(statement: &str) -> Hints {
     let mut hints = Hints::default();
-    pieces(statement, |comment| {
-        if let Some(hint) = comment.strip_prefix('+') {
-            let lower = hint.to_ascii_lowercase();
-            let value = lower.split_once("max_execution_time(").and_then(|(_, rest)| rest.split(')').next());
-            hints.deadline_ms = value.and_then(|v| v.trim().parse().ok()).or(hints.deadline_ms);
-        }
-        let Some(fields) = comment.trim().strip_prefix("dahliaspoke") else { return };
-        for (name, value) in fields.split_whitespace().filter_map(|field| field.split_once('=')) {
-            match name {
-                "key" => hints.key = Some(value.into()),
-                "estimate_ms" => hints.estimate_ms = value.parse().ok(),
-                "memory_mb" => hints.memory_mb = value.parse().ok(),
-                _ => {}
-            }
-        }
-    });
+    let mut tokenizer = Tokenizer::new(statement);
+    tokenizer.by_ref().for_each(drop);
+    for comment in tokenizer.comments {
+        hints.read_comment(comment);
+    }
     hints
 }
 
-/// The number after the underscore in the name of the schema that the statement reads or writes.
-pub fn tables(statement: &str) -> Option<i64> {
-    let pieces = pieces(statement, |_| {});
-    let mut any = None;
-    for (at, piece) in pieces.iter().enumerate() {
-        let Piece::Name(name) = *piece else { continue };
-        if pieces.get(at + 1) != Some(&Piece::Dot) || at > 0 && pieces[at - 1] == Piece::Dot {
+/// The table group of a statement: the number after the underscore in the name of the schema that it reads or writes.
+pub fn table_group(statement: &str) -> Option<i64> {
+    let tokens: Vec<Token> = Tokenizer::new(statement).collect();
+    let mut first_group = None;
+    for (index, token) in tokens.iter().enumerate() {
+        let Token::Name(name) = *token else { continue };
+        let previous = index.checked_sub(1).map(|previous| tokens[previous]);
+        let is_qualifier = tokens.get(index + 1) == Some(&Token::Dot) && previous != Some(Token::Dot);
+        if !is_qualifier {
             continue;
         }
-        let Some(number) = group(name) else { continue };
-        // An alias before a column may look like a schema; what stands after these words is one.
-        let before = at.checked_sub(1).map(|b| pieces[b]);
-        let table = matches!(before, Some(Piece::Name(word))
-            if ["from", "join", "into", "update", "table"].iter().any(|w| word.eq_ignore_ascii_case(w)));
-        if table {
-            return Some(number);
+        let Some(group) = schema_group(name) else { continue };
+        // An alias before a column may look like a schema.
+        if previous.is_some_and(is_table_keyword) {
+            return Some(group);
         }
-        any = any.or(Some(number));
+        first_group = first_group.or(Some(group));
     }
-    any
+    first_group
 }
 
-fn group(schema: &str) -> Option<i64> {
+fn is_table_keyword(token: Token) -> bool {
+    let Token::Name(name) = token else { return false };
+    TABLE_KEYWORDS.iter().any(|keyword| name.eq_ignore_ascii_case(keyword))
+}
+
+fn schema_group(schema: &str) -> Option<i64> {
     let (stem, number) = schema.rsplit_once('_')?;
-    let digits = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit());
-    (digits && !stem.eq_ignore_ascii_case(NO_GROUP)).then(|| number.parse().ok()).flatten()
-}
-
-/// Names, dots and parameters, without what stands in strings; comments go to `comment`.
-fn pieces<'a>(statement: &'a str, mut comment: impl FnMut(&'a str)) -> Vec<Piece<'a>> {
-    let bytes = statement.as_bytes();
-    let mut pieces = Vec::new();
-    let mut at = 0;
-    while at < bytes.len() {
-        let rest = &statement[at..];
-        let first = bytes[at];
-        let piece;
-        if rest.starts_with("--") || first == b'#' {
-            at += rest.find('\n').unwrap_or(rest.len());
-            continue;
-        } else if let Some(text) = rest.strip_prefix("/*") {
-            let length = text.find("*/").unwrap_or(text.len());
-            comment(&text[..length]);
-            at += (length + 4).min(rest.len());
-            continue;
-        } else if first.is_ascii_whitespace() {
-            at += 1;
-            continue;
-        } else if first == b'\'' {
-            at += quoted(rest.as_bytes(), true);
-            piece = Piece::Other;
-        } else if first == b'`' || first == b'"' {
-            let length = quoted(rest.as_bytes(), false);
-            at += length;
-            // In double quotes stands a name where a dot is next to it, and a string elsewhere.
-            piece = Piece::Name(rest[..length].trim_matches(first as char));
-        } else if first.is_ascii_alphanumeric() || first == b'_' || first >= 0x80 {
-            let word = |c: char| c.is_alphanumeric() || c == '_' || c == '$';
-            // A letter that is no word's part passes by itself, so that this always moves on.
-            let length = rest.find(|c| !word(c)).unwrap_or(rest.len());
-            let length = length.max(rest.chars().next().map_or(1, char::len_utf8));
-            at += length;
-            piece = Piece::Name(&rest[..length]);
-        } else {
-            at += 1;
-            piece = match first {
-                b'.' => Piece::Dot,
-                b'?' => Piece::Parameter,
-                _ => Piece::Other,
-            };
+    let is_number = !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_number || stem.eq_ignore_ascii_case(UNGROUPED_SCHEMA) {
+        return None;
+    }
+    number.parse().ok()
+}
+
+/// Splits a statement into tokens, and collects its comments in `/* */`.
+struct Tokenizer<'a> {
+    /// What is not read yet.
+    rest: &'a str,
+    comments: Vec<&'a str>,
+}
+
+impl<'a> Tokenizer<'a> {
+    fn new(statement: &'a str) -> Self {
+        Self { rest: statement, comments: Vec::new() }
+    }
+
+    /// Skips white space and comments.
+    fn skip_blanks(&mut self) {
+        loop {
+            self.rest = self.rest.trim_start_matches(|character: char| character.is_ascii_whitespace());
+            if self.rest.starts_with("--") || self.rest.starts_with('#') {
+                self.take(self.rest.find('\n').unwrap_or(self.rest.len()));
+            } else if let Some(text) = self.rest.strip_prefix("/*") {
+                let length = text.find("*/").unwrap_or(text.len());
+                self.comments.push(&text[..length]);
+                self.take((length + "/**/".len()).min(self.rest.len()));
+            } else {
+                return;
+            }
         }
-        pieces.push(piece);
     }
-    pieces
-}
-
-/// Bytes up to the end of the quoted text at the start; a doubled quote stands for itself.
-fn quoted(text: &[u8], escapes: bool) -> usize {
-    let mut at = 1;
-    while at < text.len() {
-        if escapes && text[at] == b'\\' {
-            at += 2;
-        } else if text[at] != text[0] {
-            at += 1;
-        } else if text.get(at + 1) == Some(&text[0]) {
-            at += 2;
+
+    /// Takes so many bytes.
+    fn take(&mut self, length: usize) -> &'a str {
+        let (taken, rest) = self.rest.split_at(length);
+        self.rest = rest;
+        taken
+    }
+
+    /// Takes a word, or one character that is no part of a word, so that each step makes progress.
+    fn take_word(&mut self) -> &'a str {
+        let is_word = |character: char| character.is_alphanumeric() || character == '_' || character == '$';
+        let length = self.rest.find(|character| !is_word(character)).unwrap_or(self.rest.len());
+        let min_length = self.rest.chars().next().map_or(1, char::len_utf8);
+        self.take(length.max(min_length))
+    }
+}
+
+impl<'a> Iterator for Tokenizer<'a> {
+    type Item = Token<'a>;
+
+    fn next(&mut self) -> Option<Token<'a>> {
+        self.skip_blanks();
+        let first = *self.rest.as_bytes().first()?;
+        Some(match first {
+            b'\'' => {
+                self.take(quoted_length(self.rest.as_bytes(), Escapes::Backslash));
+                Token::Other
+            }
+            // Double quotes hold a name where a dot is next to it, else a string.
+            b'`' | b'"' => {
+                let quoted = self.take(quoted_length(self.rest.as_bytes(), Escapes::None));
+                Token::Name(quoted.trim_matches(first as char))
+            }
+            b'_' | 0x80.. => Token::Name(self.take_word()),
+            _ if first.is_ascii_alphanumeric() => Token::Name(self.take_word()),
+            _ => {
+                self.take(1);
+                match first {
+                    b'.' => Token::Dot,
+                    b'?' => Token::Parameter,
+                    _ => Token::Other,
+                }
+            }
+        })
+    }
+}
+
+/// Whether a backslash in quoted text makes the next byte stand for itself.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Escapes {
+    Backslash,
+    None,
+}
+
+/// Bytes of the quoted text at the start, with its quotes; a doubled quote stands for itself.
+fn quoted_length(text: &[u8], escapes: Escapes) -> usize {
+    let quote = text[0];
+    let mut index = 1;
+    while index < text.len() {
+        if escapes == Escapes::Backslash && text[index] == b'\\' {
+            index += 2;
+        } else if text[index] != quote {
+            index += 1;
+        } else if text.get(index + 1) == Some(&quote) {
+            index += 2;
         } else {
-            return at + 1;
+            return index + 1;
         }
     }
     text.len()
