--- a/src/listener/http/connection.rs
+++ b/src/listener/http/connection.rs
@@ -170,7 +170,7 @@
                     if flow != Flow::Open {
                         return flow;
                     }
-                    // Only now is there room for the body.
+                    // Only now is capacity reserved for the body.
                     if expects_continue {
                         self.stream.push(codec::CONTINUE.to_vec());
                     }
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -33,7 +33,7 @@
     completed_at: Option<Time>,
     /// It is passed on as it arrives and not kept.
     passed_on: bool,
-    /// The body store has no room for more of it now.
+    /// The body store has no capacity for more of it now.
     store_full: bool,
     /// Its request, once it is submitted.
     request: Option<RequestId>,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Whether the client can do nothing now: there is no room, or all has arrived and is being written.
+    /// Whether the client can do nothing now: there is no capacity, or all has arrived and is being written.
     pub fn is_client_waiting(&self) -> bool {
         self.store_full || self.remaining == 0
     }
 
-    /// Moves input into the body store as far as there is room. Returns whether any byte was moved.
+    /// Moves input into the body store as far as there is capacity. Returns whether any byte was moved.
     fn receive(
         &mut self,
         now: Time,
@@ -69,9 +69,9 @@
     ) -> Result<bool, InvalidUtf8> {
         let mut has_moved = false;
         while self.remaining > 0 {
-            let room = store.borrow_mut().room(self.body.id());
-            self.store_full = room == 0;
-            let count = room.min(input.len());
+            let capacity = store.borrow_mut().room(self.body.id());
+            self.store_full = capacity == 0;
+            let count = capacity.min(input.len());
             if count == 0 {
                 break;
             }
@@ -113,7 +113,7 @@
 }
 
 impl HttpConnection {
-    /// Finds room in the body store for a call's body, or rejects the request.
+    /// Reserves capacity in the body store for a call's body, or rejects the request.
     pub(super) fn begin_upload(
         &mut self,
         now: Time,
@@ -143,7 +143,7 @@
         Ok(Flow::Open)
     }
 
-    /// Rejects a request for whose body there is no room: nothing ran.
+    /// Rejects a request for whose body there is no capacity: nothing ran.
     fn reject_for_capacity(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
         self.finish_upload(shared);
         shared.state.report_rejected(class);
--- a/src/listener/mysql/arguments.rs
+++ b/src/listener/mysql/arguments.rs
@@ -14,7 +14,7 @@
 const SAME_TYPES: u64 = 0;
 
 /// Decodes an execution's arguments and returns them with their types: null bitmap, a 1, types, values. `is_sent_ahead` says
-/// whether a parameter's value came ahead of the execution and is not among the values.
+/// whether a parameter's value was sent ahead of the execution and is not among the values.
 ///
 /// # Errors
 /// The types were never bound, or the bytes are malformed.
--- a/src/listener/mysql/commands.rs
+++ b/src/listener/mysql/commands.rs
@@ -124,7 +124,7 @@
         self.statements.remove(&id);
     }
 
-    /// Keeps a part of a parameter that comes ahead of its execution. The command has no answer: what is wrong with it is
+    /// Keeps a part of a parameter that is sent ahead of its execution. The command has no answer: what is wrong with it is
     /// reported at the execution.
     fn long_data(&mut self, now: Time, mut reader: Reader, shared: &mut Shared) -> Result<(), CommandError> {
         let id = ParameterId::decode(&mut reader)?;
--- a/src/listener/mysql/large/begin.rs
+++ b/src/listener/mysql/large/begin.rs
@@ -21,7 +21,7 @@
 /// The beginning of a payload.
 struct PayloadStart<'a> {
     bytes: &'a [u8],
-    /// The length of the whole payload, if its first packet says it.
+    /// The length of the whole payload, if its first packet states it.
     length: Option<usize>,
 }
 
@@ -160,7 +160,7 @@
         ValueScanner::new(expected.collect(), key_position)
     }
 
-    /// Finds room for a request's body in the body store.
+    /// Reserves capacity for a request's body in the body store.
     fn admit(
         &mut self,
         now: Time,
--- a/src/listener/mysql/large/mod.rs
+++ b/src/listener/mysql/large/mod.rs
@@ -1,9 +1,9 @@
 //! Receives what does not arrive in one small packet: statements and executions above the limit for one request in memory, in
-//! packets of up to 16 MB and above that in several, and parameters that come ahead of their execution. They go into the body
+//! packets of up to 16 MB and above that in several, and parameters that are sent ahead of their execution. They go into the body
 //! store as they arrive, and are always kept: a session that waits for its answer cannot be asked to send again.
 //!
 //! - `begin` decides where a payload goes, `values` checks the values of an execution;
-//! - `parameters` keeps the parameters that come ahead;
+//! - `parameters` keeps the parameters that are sent ahead;
 //! - `storing` submits requests once their bodies are stored, and rejects them if they cannot be.
 
 mod begin;
@@ -31,7 +31,7 @@
     /// The current packet is a full one: another follows.
     continues: bool,
     destination: Destination,
-    /// The body store has no room for more of it now.
+    /// The body store has no capacity for more of it now.
     pub store_full: bool,
 }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Delivers bytes of a payload. Returns how many were taken: fewer where the body store has no room for the rest now.
+    /// Delivers bytes of a payload. Returns how many were taken: fewer where the body store has no capacity for the rest now.
     fn deliver(
         &mut self,
         now: Time,
--- a/src/listener/mysql/large/parameters.rs
+++ b/src/listener/mysql/large/parameters.rs
@@ -1,4 +1,4 @@
-//! Parameters that come ahead of their execution, in parts.
+//! Parameters that are sent ahead of their execution, in parts.
 
 use super::{Destination, LargePayload};
 use crate::core::{LongParameter, ParameterValue};
@@ -56,7 +56,7 @@
 }
 
 impl Session {
-    /// Appends bytes to a parameter. Returns how many were taken: fewer where the body store has no room for the rest now.
+    /// Appends bytes to a parameter. Returns how many were taken: fewer where the body store has no capacity for the rest now.
     pub fn append_to_parameter(
         &mut self,
         now: Time,
@@ -90,7 +90,7 @@
         taken
     }
 
-    /// Keeps the rest of a part until the body store has room, and with it all that comes behind.
+    /// Keeps the rest of a part until the body store has capacity, and with it all that follows.
     pub fn hold_back(&mut self, id: ParameterId, rest: &[u8], shared: &mut Shared) {
         self.stream.input.splice(..0, rest.iter().copied());
         self.state = SessionState::Receiving(LargePayload {
@@ -102,7 +102,7 @@
         shared.state.open_uploads += 1;
     }
 
-    /// Drops the parameters that came ahead of an execution which does not come.
+    /// Drops the parameters that were sent ahead of an execution which does not come.
     pub fn drop_parameters(&mut self, statement: u32, shared: &mut Shared) {
         self.parameters.retain(|id, value| {
             if id.statement != statement {
@@ -115,7 +115,7 @@
         });
     }
 
-    /// Takes the parameters that came ahead of an execution of this statement, in the order of their positions. They count
+    /// Takes the parameters that were sent ahead of an execution of this statement, in the order of their positions. They count
     /// for one execution only.
     ///
     /// # Errors
--- a/src/listener/mysql/large/values.rs
+++ b/src/listener/mysql/large/values.rs
@@ -1,7 +1,7 @@
 //! Checks the values of an execution that arrive in pieces.
 
 use crate::listener::mysql::arguments::key_text;
-use crate::mysql::packet::{self, value_type, Malformed};
+use crate::mysql::packet::{value_type, Malformed, ValueExtent};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -70,12 +70,13 @@
     fn push_length(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
         let next = self.expected.front().ok_or(Malformed)?;
         let (position, value_type) = (next.position, next.value_type);
-        if let Some((0, length)) = packet::extent(&self.length_prefix, value_type)? {
+        if let Some(ValueExtent { prefix: 0, length }) = ValueExtent::decode(&self.length_prefix, value_type)?
+        {
             self.begin_value(position, length);
             return Ok(0);
         }
         self.length_prefix.push(bytes[0]);
-        if let Some((_, length)) = packet::extent(&self.length_prefix, value_type)? {
+        if let Some(ValueExtent { length, .. }) = ValueExtent::decode(&self.length_prefix, value_type)? {
             self.begin_value(position, length);
         }
         Ok(1)
--- a/src/listener/mysql/session.rs
+++ b/src/listener/mysql/session.rs
@@ -44,7 +44,7 @@
     /// Prepared statements by their ids.
     pub(super) statements: HashMap<u32, Statement>,
     pub(super) last_statement: u32,
-    /// Parameters that came ahead of their execution.
+    /// Parameters that were sent ahead of their execution.
     pub(super) parameters: HashMap<ParameterId, LongValue>,
     /// The sequence number of the next packet to the client.
     pub(super) next_sequence: u8,
--- a/src/listener/server/accept.rs
+++ b/src/listener/server/accept.rs
@@ -38,7 +38,7 @@
         self.connections.settle(now, token, Flow::Open, &mut self.shared);
     }
 
-    /// Resumes accepting where it was paused and there is room again.
+    /// Resumes accepting where it was paused and there is capacity again.
     pub(super) fn resume_accepting(&mut self, now: Time) {
         let closed = self.state().handed_over || now < self.accept_resumes_at;
         if closed || self.acceptor.is_armed() {
--- a/src/listener/sql.rs
+++ b/src/listener/sql.rs
@@ -146,30 +146,30 @@
         loop {
             self.rest = self.rest.trim_start_matches(|character: char| character.is_ascii_whitespace());
             if self.rest.starts_with("--") || self.rest.starts_with('#') {
-                self.take(self.rest.find('\n').unwrap_or(self.rest.len()));
+                self.advance(self.rest.find('\n').unwrap_or(self.rest.len()));
             } else if let Some(text) = self.rest.strip_prefix("/*") {
                 let length = text.find("*/").unwrap_or(text.len());
                 self.comments.push(&text[..length]);
-                self.take((length + "/**/".len()).min(self.rest.len()));
+                self.advance((length + "/**/".len()).min(self.rest.len()));
             } else {
                 return;
             }
         }
     }
 
-    /// Takes so many bytes.
-    fn take(&mut self, length: usize) -> &'a str {
+    /// Advances by so many bytes, and returns them.
+    fn advance(&mut self, length: usize) -> &'a str {
         let (taken, rest) = self.rest.split_at(length);
         self.rest = rest;
         taken
     }
 
-    /// Takes a word, or one character that is no part of a word, so that each step makes progress.
-    fn take_word(&mut self) -> &'a str {
+    /// Reads a word, or one character that is no part of a word, so that each step makes progress.
+    fn read_word(&mut self) -> &'a str {
         let is_word = |character: char| character.is_alphanumeric() || character == '_' || character == '$';
         let length = self.rest.find(|character| !is_word(character)).unwrap_or(self.rest.len());
         let min_length = self.rest.chars().next().map_or(1, char::len_utf8);
-        self.take(length.max(min_length))
+        self.advance(length.max(min_length))
     }
 }
 
@@ -181,18 +181,18 @@
         let first = *self.rest.as_bytes().first()?;
         Some(match first {
             b'\'' => {
-                self.take(quoted_length(self.rest.as_bytes(), Escapes::Backslash));
+                self.advance(quoted_length(self.rest.as_bytes(), Escapes::Backslash));
                 Token::Other
             }
             // Double quotes hold a name where a dot is next to it, else a string.
             b'`' | b'"' => {
-                let quoted = self.take(quoted_length(self.rest.as_bytes(), Escapes::None));
+                let quoted = self.advance(quoted_length(self.rest.as_bytes(), Escapes::None));
                 Token::Name(quoted.trim_matches(first as char))
             }
-            b'_' | 0x80.. => Token::Name(self.take_word()),
-            _ if first.is_ascii_alphanumeric() => Token::Name(self.take_word()),
+            b'_' | 0x80.. => Token::Name(self.read_word()),
+            _ if first.is_ascii_alphanumeric() => Token::Name(self.read_word()),
             _ => {
-                self.take(1);
+                self.advance(1);
                 match first {
                     b'.' => Token::Dot,
                     b'?' => Token::Parameter,
--- a/src/mysql/packet.rs
+++ b/src/mysql/packet.rs
@@ -181,8 +181,11 @@
         usize::try_from(self.number(bytes)?).map_err(|_| Malformed)
     }
 
-    /// A text that a zero byte ends.
-    pub fn text(&mut self) -> Res<&'a str> {
+    /// Takes a text that a zero byte ends.
+    ///
+    /// # Errors
+    /// The zero byte is missing, or the text is not UTF-8.
+    pub fn text(&mut self) -> Result<&'a str, Malformed> {
         let end = self.0.iter().position(|byte| *byte == 0).ok_or(Malformed)?;
         let text = std::str::from_utf8(self.take(end)?).map_err(|_| Malformed)?;
         self.take(1)?;
@@ -252,45 +255,56 @@
     out
 }
 
-/// Takes a value of an execution, by its type.
-///
-/// # Errors
-/// It is not complete, or the type is unknown.
-pub fn value<'a>(reader: &mut Reader<'a>, value_type: u8) -> Result<&'a [u8], Malformed> {
-    let (prefix, length) = extent(reader.0, value_type)?.ok_or(Malformed)?;
-    reader.take(prefix)?;
-    reader.take(length)
+/// How long a value of an execution is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ValueExtent {
+    /// Bytes ahead of the value that say its length.
+    pub prefix: usize,
+    /// Bytes of the value.
+    pub length: usize,
 }
 
-/// How many bytes say the length of the value at the start, and that length; `None` while not all of those bytes are here.
-///
-/// # Errors
-/// The type is unknown, or the length is no number.
-pub fn extent(bytes: &[u8], value_type: u8) -> Result<Option<(usize, usize)>, Malformed> {
-    match (value_type, bytes.first()) {
-        (value_type::NULL, _) => Ok(Some((0, 0))),
-        (0x01, _) => Ok(Some((0, 1))),               // TINY
-        (0x02 | 0x0d, _) => Ok(Some((0, 2))),        // SHORT, YEAR
-        (0x03 | 0x04 | 0x09, _) => Ok(Some((0, 4))), // LONG, FLOAT, INT24
-        (0x05 | 0x08, _) => Ok(Some((0, 8))),        // DOUBLE, LONGLONG
-        (0x07 | 0x0a..=0x0c, None) => Ok(None),      // times and dates
-        (0x07 | 0x0a..=0x0c, Some(first)) => Ok(Some((1, usize::from(*first)))),
-        (0x00 | 0x0f | 0x10 | 0xf5..=0xff, _) => text_extent(bytes), // texts, decimals, blobs
-        _ => Err(Malformed),
+impl ValueExtent {
+    /// The extent of the value at the start of the bytes; `None` while not all that says its length is here.
+    ///
+    /// # Errors
+    /// The type is unknown, or the length is no number.
+    pub fn decode(bytes: &[u8], value_type: u8) -> Result<Option<Self>, Malformed> {
+        let fixed = |length| Ok(Some(Self { prefix: 0, length }));
+        match (value_type, bytes.first()) {
+            (value_type::NULL, _) => fixed(0),
+            (0x01, _) => fixed(1),                  // TINY
+            (0x02 | 0x0d, _) => fixed(2),           // SHORT, YEAR
+            (0x03 | 0x04 | 0x09, _) => fixed(4),    // LONG, FLOAT, INT24
+            (0x05 | 0x08, _) => fixed(8),           // DOUBLE, LONGLONG
+            (0x07 | 0x0a..=0x0c, None) => Ok(None), // times and dates
+            (0x07 | 0x0a..=0x0c, Some(first)) => Ok(Some(Self { prefix: 1, length: usize::from(*first) })),
+            (0x00 | 0x0f | 0x10 | 0xf5..=0xff, _) => Self::length_encoded(bytes), // texts, decimals, blobs
+            _ => Err(Malformed),
+        }
     }
-}
 
-/// [`extent`] of a value with a length-encoded length.
-fn text_extent(bytes: &[u8]) -> Result<Option<(usize, usize)>, Malformed> {
-    let prefix = match bytes.first() {
-        None => return Ok(None),
-        Some(252) => 3,
-        Some(253) => 4,
-        Some(254) => 9,
-        Some(_) => 1,
-    };
-    match bytes.get(..prefix) {
-        Some(bytes) => Reader(bytes).length().map(|length| Some((prefix, length))),
-        None => Ok(None),
+    fn length_encoded(bytes: &[u8]) -> Result<Option<Self>, Malformed> {
+        let prefix = match bytes.first() {
+            None => return Ok(None),
+            Some(252) => 3,
+            Some(253) => 4,
+            Some(254) => 9,
+            Some(_) => 1,
+        };
+        match bytes.get(..prefix) {
+            Some(bytes) => Reader(bytes).length().map(|length| Some(Self { prefix, length })),
+            None => Ok(None),
+        }
     }
 }
+
+/// Takes a value of an execution, by its type.
+///
+/// # Errors
+/// It is not complete, or the type is unknown.
+pub fn value<'a>(reader: &mut Reader<'a>, value_type: u8) -> Result<&'a [u8], Malformed> {
+    let extent = ValueExtent::decode(reader.0, value_type)?.ok_or(Malformed)?;
+    reader.take(extent.prefix)?;
+    reader.take(extent.length)
+}
