--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -152,8 +152,7 @@
         self.called = true;
         self.stream.input = Vec::new();
         self.stream.push(codec::text(status, text));
-        self.deadline = now + shared.state.limits.clients.linger_timeout;
-        shared.state.schedule_check(self.deadline, self.token);
+        self.deadline = shared.state.begin_linger(now, self.token);
         Flow::Finish
     }
 }
--- a/src/listener/http/connection.rs
+++ b/src/listener/http/connection.rs
@@ -293,8 +293,7 @@
     /// Closes the connection once all answers are written.
     pub(super) fn finish(&mut self, now: Time, shared: &mut Shared) -> Flow {
         self.stream.input = Vec::new();
-        self.deadline = now + shared.state.limits.clients.linger_timeout;
-        shared.state.schedule_check(self.deadline, self.token);
+        self.deadline = shared.state.begin_linger(now, self.token);
         Flow::Finish
     }
 }
--- a/src/listener/http/mod.rs
+++ b/src/listener/http/mod.rs
@@ -20,12 +20,9 @@
 use crate::body_store;
 use crate::core::{Answer, Listener};
 use crate::limits::Limits;
-use crate::net::{Poller, Time, Token};
+use crate::net::{Poller, Time};
 use connection::HttpConnection;
 use dahliaspoke::policy::RequestId;
-use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Wake;
-use std::collections::HashMap;
 use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -61,10 +58,6 @@
 pub struct Shared {
     state: ListenerState,
     names: Names,
-    /// Large bodies, where the deployment keeps them.
-    body_store: Option<body_store::Shared>,
-    /// The connection by which each body arrives.
-    uploads: HashMap<BodyId, Token>,
 }
 
 /// The platform's listener.
@@ -77,21 +70,10 @@
     /// Where the system refuses to have the socket watched.
     pub fn open(options: HttpListenerOptions) -> io::Result<Self> {
         let HttpListenerOptions { owner, route, socket, names, body_store, poller, limits } = options;
-        let state = ListenerState::new(route, limits);
-        let shared = Shared { state, names, body_store, uploads: HashMap::new() };
+        let state = ListenerState::new(route, limits).with_body_store(body_store);
+        let shared = Shared { state, names };
         Self::new(owner, socket, shared, poller)
     }
-
-    /// The body store reports a change of a body: lets the connection by which it arrives go on.
-    pub fn wake(&mut self, now: Time, body: BodyId, wake: &Wake) {
-        let Some(token) = self.shared.uploads.get(&body).copied() else { return };
-        self.reply(now, token, |connection, shared| connection.on_body_change(now, wake, shared));
-    }
-
-    /// From that time no upload is accepted any more.
-    pub fn last_upload(&mut self, at: Time) {
-        self.shared.state.upload_cutoff = at;
-    }
 }
 
 impl Listener for HttpListener {
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -8,9 +8,10 @@
 use super::{sql, Shared};
 use crate::body_store;
 use crate::core::Answer;
+use crate::listener::server::UploadConnection;
 use crate::net::{Flow, Time};
 use dahliaspoke::policy::RequestId;
-use dahliaspoke_body_store::plan::{Refusal, Tier};
+use dahliaspoke_body_store::plan::{BodyId, Refusal, Tier};
 use dahliaspoke_body_store::spool::{Body, Wake};
 
 /// Bytes of a statement that are searched for its table group: the tables stand at its beginning.
@@ -123,9 +124,9 @@
     ) -> Result<Flow, HttpError> {
         let class_name = call.path_without_query().strip_prefix(INVOKE_PREFIX).ok_or(TOO_LARGE)?;
         let head = RequestHead::decode(call, class_name, shared)?;
-        let store = shared.body_store.clone().ok_or(TOO_LARGE)?;
+        let store = shared.state.uploads.store().cloned().ok_or(TOO_LARGE)?;
         let deadline = now + shared.state.limits.bodies.upload_timeout;
-        let admitted = if now < shared.state.upload_cutoff {
+        let admitted = if shared.state.uploads.are_accepted(now) {
             store.borrow_mut().admit(now, head.class, length as u64, deadline + head.timeout)
         } else {
             Err(Refusal::NoRoom)
@@ -135,8 +136,8 @@
             Err(Refusal::TooLarge) => return Err(TOO_LARGE),
             Err(Refusal::NoRoom) => return Ok(self.reject_for_capacity(now, head.class, shared)),
         };
-        shared.uploads.insert(body.id(), self.token);
-        shared.state.open_uploads += 1;
+        shared.state.uploads.add_receiver(body.id(), self.token);
+        shared.state.uploads.begin();
         let upload = Upload::new(head, body, tier, length, deadline);
         self.deadline = upload.next_byte_deadline(now, shared);
         self.state = State::Uploading(Box::new(upload));
@@ -154,7 +155,7 @@
 
     /// Moves what has arrived into the body store.
     pub(super) fn receive_body(&mut self, now: Time, shared: &mut Shared) -> Flow {
-        let (State::Uploading(upload), Some(store)) = (&mut self.state, &shared.body_store) else {
+        let (State::Uploading(upload), Some(store)) = (&mut self.state, shared.state.uploads.store()) else {
             return Flow::Open;
         };
         match upload.receive(now, &mut self.stream.input, store) {
@@ -208,16 +209,17 @@
             return;
         }
         if let State::Uploading(upload) = std::mem::replace(&mut self.state, State::Idle) {
-            shared.uploads.remove(&upload.body.id());
-            shared.state.open_uploads -= 1;
+            shared.state.uploads.remove_receiver(upload.body.id());
+            shared.state.uploads.end();
             if let Some(id) = upload.request {
                 self.state = State::AwaitingAnswer(id);
             }
         }
     }
+}
 
-    /// The body store reports a change of the body that is arriving.
-    pub(super) fn on_body_change(&mut self, now: Time, wake: &Wake, shared: &mut Shared) -> Flow {
+impl UploadConnection for HttpConnection {
+    fn on_body_change(&mut self, now: Time, _: BodyId, wake: &Wake, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
         match wake {
             Wake::Room(_) => {
--- a/src/listener/mysql/large/begin.rs
+++ b/src/listener/mysql/large/begin.rs
@@ -74,7 +74,7 @@
             destination,
             store_full: false,
         });
-        shared.state.open_uploads += 1;
+        shared.state.uploads.begin();
         // What was looked at and not consumed is received like the rest.
         self.stream.input.splice(..0, start[consumed..].iter().copied());
         self.receive_large(now, shared)
@@ -169,7 +169,7 @@
         shared: &mut Shared,
     ) -> Result<LargeStart, MysqlError> {
         let NewRequest { request, timeout, consumed, values } = new;
-        let store = shared.body_store.clone().ok_or_else(MysqlError::too_large)?;
+        let store = shared.state.uploads.store().cloned().ok_or_else(MysqlError::too_large)?;
         let deadline = now + shared.state.limits.bodies.upload_timeout + timeout;
         if (length.unwrap_or(SPLIT) - consumed) as u64 > store.borrow().largest(request.class) {
             return Err(MysqlError::too_large());
@@ -177,8 +177,8 @@
         // Even if its length is known, it is admitted as one that is not: it must be kept.
         let admitted = store.borrow_mut().admit_open(now, request.class, deadline);
         match admitted {
-            Ok(body) if now < shared.state.upload_cutoff => {
-                shared.uploads.insert(body.id(), self.token);
+            Ok(body) if shared.state.uploads.are_accepted(now) => {
+                shared.state.uploads.add_receiver(body.id(), self.token);
                 let incoming = IncomingRequest { body, request: Box::new(request), timeout, values };
                 Ok(LargeStart { consumed, destination: Destination::Request(incoming) })
             }
--- a/src/listener/mysql/large/mod.rs
+++ b/src/listener/mysql/large/mod.rs
@@ -69,9 +69,9 @@
 
     /// Nothing more of it is received.
     fn release(&self, shared: &mut Shared) {
-        shared.state.open_uploads -= 1;
+        shared.state.uploads.end();
         if let Destination::Request(incoming) = &self.destination {
-            shared.uploads.remove(&incoming.body.id());
+            shared.state.uploads.remove_receiver(incoming.body.id());
         }
     }
 
@@ -141,7 +141,7 @@
             Destination::Discard => Ok(bytes.len()),
             Destination::Parameter(id) => Ok(self.append_to_parameter(now, *id, bytes, shared)),
             Destination::Request(IncomingRequest { body, values, .. }) => {
-                let Some(store) = &shared.body_store else { return Ok(bytes.len()) };
+                let Some(store) = shared.state.uploads.store() else { return Ok(bytes.len()) };
                 let taken = store.borrow_mut().take_in(now, body.id(), bytes);
                 if let Some(values) = values {
                     values.push(&bytes[..taken])?;
@@ -153,7 +153,7 @@
 
     /// All of a payload has arrived.
     fn complete_large(&mut self, now: Time, payload: LargePayload, shared: &mut Shared) -> Flow {
-        shared.state.open_uploads -= 1;
+        shared.state.uploads.end();
         self.deadline = now + shared.state.limits.mysql.session_idle_timeout;
         let Destination::Request(incoming) = payload.destination else {
             return self.next_packet(now, shared);
@@ -161,7 +161,7 @@
         let IncomingRequest { body, mut request, timeout, values } = incoming;
         if let Some(mut values) = values {
             if !values.is_complete() {
-                shared.uploads.remove(&body.id());
+                shared.state.uploads.remove_receiver(body.id());
                 return self.end(now, self.next_sequence, &MysqlError::malformed(), shared);
             }
             if let Some(key) = values.key() {
--- a/src/listener/mysql/large/parameters.rs
+++ b/src/listener/mysql/large/parameters.rs
@@ -77,7 +77,7 @@
                 return bytes.len();
             }
         }
-        let Some(store) = shared.body_store.clone() else {
+        let Some(store) = shared.state.uploads.store().cloned() else {
             *value = LongValue::Lost;
             return bytes.len();
         };
@@ -99,7 +99,7 @@
             destination: Destination::Parameter(id),
             store_full: true,
         });
-        shared.state.open_uploads += 1;
+        shared.state.uploads.begin();
     }
 
     /// Drops the parameters that were sent ahead of an execution which does not come.
@@ -109,7 +109,7 @@
                 return true;
             }
             if let LongValue::Stored(body) = value {
-                shared.uploads.remove(&body.id());
+                shared.state.uploads.remove_receiver(body.id());
             }
             false
         });
@@ -146,10 +146,10 @@
 
 /// Moves a value that has outgrown the memory for it into the body store.
 fn move_to_store(now: Time, class: usize, held: &[u8], session: Token, shared: &mut Shared) -> LongValue {
-    let Some(store) = &shared.body_store else { return LongValue::Lost };
+    let Some(store) = shared.state.uploads.store().cloned() else { return LongValue::Lost };
     let deadline = now + shared.state.limits.mysql.session_idle_timeout;
     let Ok(body) = store.borrow_mut().admit_open(now, class, deadline) else { return LongValue::Lost };
-    shared.uploads.insert(body.id(), session);
+    shared.state.uploads.add_receiver(body.id(), session);
     // At most what may be in memory, which is what an open body begins with.
     store.borrow_mut().room(body.id());
     store.borrow_mut().push(now, body.id(), held);
--- a/src/listener/mysql/large/storing.rs
+++ b/src/listener/mysql/large/storing.rs
@@ -6,6 +6,7 @@
 use crate::listener::mysql::error::MysqlError;
 use crate::listener::mysql::session::{Session, SessionState};
 use crate::listener::mysql::Shared;
+use crate::listener::server::UploadConnection;
 use crate::net::{Flow, Time};
 use dahliaspoke_body_store::plan::BodyId;
 use dahliaspoke_body_store::spool::Wake;
@@ -21,6 +22,23 @@
     unwritten: Vec<BodyId>,
 }
 
+impl UploadConnection for Session {
+    fn on_body_change(&mut self, now: Time, body: BodyId, wake: &Wake, shared: &mut Shared) -> Flow {
+        match wake {
+            Wake::Room(_) => {
+                if let SessionState::Receiving(payload) = &mut self.state {
+                    payload.store_full = false;
+                    self.deadline = now + shared.state.limits.bodies.stall_timeout;
+                }
+                self.receive_large(now, shared)
+            }
+            Wake::Kept(_) => self.on_body_written(body, shared),
+            Wake::Lost(_) | Wake::Passed(_) => self.on_body_lost(now, body, shared),
+            Wake::Spent(_) | Wake::Data(_) => Flow::Open,
+        }
+    }
+}
+
 impl Session {
     /// Submits a request once the body store has written all of its bodies.
     pub fn submit_when_stored(
@@ -32,10 +50,10 @@
     ) -> Flow {
         let mut unwritten = Vec::new();
         for body in request.payload.stored_bodies() {
-            let Some(store) = &shared.body_store else { continue };
+            let Some(store) = shared.state.uploads.store() else { continue };
             store.borrow_mut().end(now, body.id());
             if !store.borrow().is_kept(body.id()) {
-                shared.uploads.insert(body.id(), self.token);
+                shared.state.uploads.add_receiver(body.id(), self.token);
                 unwritten.push(body.id());
             }
         }
@@ -53,35 +71,19 @@
         Flow::Open
     }
 
-    /// The body store reports a change of a body of this session.
-    pub fn on_body_change(&mut self, now: Time, body: BodyId, wake: &Wake, shared: &mut Shared) -> Flow {
-        match wake {
-            Wake::Room(_) => {
-                if let SessionState::Receiving(payload) = &mut self.state {
-                    payload.store_full = false;
-                    self.deadline = now + shared.state.limits.bodies.stall_timeout;
-                }
-                self.receive_large(now, shared)
-            }
-            Wake::Kept(_) => self.on_body_written(body, shared),
-            Wake::Lost(_) | Wake::Passed(_) => self.on_body_lost(now, body, shared),
-            Wake::Spent(_) | Wake::Data(_) => Flow::Open,
-        }
-    }
-
     fn on_body_written(&mut self, body: BodyId, shared: &mut Shared) -> Flow {
         if let SessionState::Storing(pending) = &mut self.state {
             pending.unwritten.retain(|unwritten| *unwritten != body);
         }
         if !self.parameters.values().any(|value| value.is_body(body)) {
-            shared.uploads.remove(&body);
+            shared.state.uploads.remove_receiver(body);
         }
         self.submit_if_stored(shared)
     }
 
     /// The body store cannot keep a body. What it belongs to has not run: it is rejected, and the session goes on.
     fn on_body_lost(&mut self, now: Time, body: BodyId, shared: &mut Shared) -> Flow {
-        shared.uploads.remove(&body);
+        shared.state.uploads.remove_receiver(body);
         if let Some(value) = self.parameters.values_mut().find(|value| value.is_body(body)) {
             *value = LongValue::Lost;
             if let SessionState::Receiving(payload) = &mut self.state {
@@ -116,7 +118,7 @@
         let SessionState::Receiving(payload) = &mut self.state else { return Flow::Open };
         let Destination::Request(incoming) = &payload.destination else { return Flow::Open };
         let class = incoming.request.class;
-        let is_too_large = shared.body_store.as_ref().is_some_and(|store| {
+        let is_too_large = shared.state.uploads.store().is_some_and(|store| {
             let store = store.borrow();
             store.came(body) >= store.largest(class)
         });
@@ -136,13 +138,15 @@
         match &self.state {
             SessionState::Receiving(payload) => payload.release(shared),
             SessionState::Storing(pending) => {
-                shared.uploads.retain(|body, _| !pending.unwritten.contains(body));
+                for body in &pending.unwritten {
+                    shared.state.uploads.remove_receiver(*body);
+                }
             }
             _ => {}
         }
         for value in self.parameters.values() {
             if let LongValue::Stored(body) = value {
-                shared.uploads.remove(&body.id());
+                shared.state.uploads.remove_receiver(body.id());
             }
         }
     }
--- a/src/listener/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -23,13 +23,10 @@
 use crate::core::{Answer, Listener, QueryPayload, Request};
 use crate::limits::Limits;
 use crate::mysql::config::Mysql;
-use crate::net::{Poller, Time, Token};
+use crate::net::{Poller, Time};
 use dahliaspoke::policy::{RequestId, Settings};
-use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Wake;
 use session::Session;
 use statement::{KeySource, Statement};
-use std::collections::HashMap;
 use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -71,10 +68,6 @@
     classes: Vec<Class>,
     /// Requests that were built, for their ids.
     request_count: u64,
-    /// What is large, where the deployment keeps it.
-    body_store: Option<body_store::Shared>,
-    /// The session by which each body arrives.
-    uploads: HashMap<BodyId, Token>,
 }
 
 /// The `MySQL` listener.
@@ -93,26 +86,13 @@
             .iter()
             .map(|class| Class { name: class.name.as_str().into(), client_timeout: class.client_timeout });
         let shared = Shared {
-            state: ListenerState::new(route, limits),
+            state: ListenerState::new(route, limits).with_body_store(body_store),
             config,
             classes: classes.collect(),
             request_count: 0,
-            body_store,
-            uploads: HashMap::new(),
         };
         Self::new(owner, socket, shared, poller)
     }
-
-    /// The body store reports a change of a body: lets the session by which it arrives go on.
-    pub fn wake(&mut self, now: Time, body: BodyId, wake: &Wake) {
-        let Some(token) = self.shared.uploads.get(&body).copied() else { return };
-        self.reply(now, token, |session, shared| session.on_body_change(now, body, wake, shared));
-    }
-
-    /// From that time no upload is accepted any more.
-    pub fn last_upload(&mut self, at: Time) {
-        self.shared.state.upload_cutoff = at;
-    }
 }
 
 impl Listener for MysqlListener {
--- a/src/listener/mysql/session.rs
+++ b/src/listener/mysql/session.rs
@@ -259,8 +259,7 @@
     pub(super) fn end(&mut self, now: Time, sequence: u8, error: &MysqlError, shared: &mut Shared) -> Flow {
         shared.state.bad_requests += 1;
         self.send(sequence, &[error.encode()]);
-        self.deadline = now + shared.state.limits.clients.linger_timeout;
-        shared.state.schedule_check(self.deadline, self.token);
+        self.deadline = shared.state.begin_linger(now, self.token);
         Flow::Finish
     }
 }
--- a/src/listener/server/mod.rs
+++ b/src/listener/server/mod.rs
@@ -3,9 +3,11 @@
 mod accept;
 mod client;
 mod state;
+mod uploads;
 
 pub use client::{ClientConnection, EvictionRank};
 pub use state::ListenerState;
+pub use uploads::{UploadConnection, Uploads};
 
 use crate::core::ListenerEvent;
 use crate::failpoints;
@@ -56,7 +58,7 @@
 
     /// Whether every answer is written and no body is arriving.
     pub fn idle(&mut self) -> bool {
-        self.connections.is_flushed() && self.state().open_uploads == 0
+        self.connections.is_flushed() && self.state().uploads.is_idle()
     }
 
     /// Stops accepting: another process has the listening socket as well. Each connection is closed with its next answer.
--- a/src/listener/server/state.rs
+++ b/src/listener/server/state.rs
@@ -1,5 +1,7 @@
 //! What the connections of one listener share, whatever protocol they speak.
 
+use super::Uploads;
+use crate::body_store;
 use crate::core::{ListenerEvent, Request};
 use crate::limits::Limits;
 use crate::net::{Time, TimerQueue, Token};
@@ -25,10 +27,8 @@
     pub handed_over: bool,
     /// Requests that were rejected because they could not be decoded, since the start.
     pub bad_requests: u64,
-    /// Bodies that are arriving.
-    pub open_uploads: usize,
-    /// From this time no upload is accepted any more: the process is about to end.
-    pub upload_cutoff: Time,
+    /// Bodies that go into the body store.
+    pub uploads: Uploads,
 }
 
 impl ListenerState {
@@ -43,11 +43,16 @@
             shutting_down: false,
             handed_over: false,
             bad_requests: 0,
-            open_uploads: 0,
-            upload_cutoff: Time::INFINITY,
+            uploads: Uploads::new(None),
         }
     }
 
+    /// The same listener with uploads into this body store, where the deployment has one.
+    #[must_use]
+    pub fn with_body_store(self, store: Option<body_store::Shared>) -> Self {
+        Self { uploads: Uploads::new(store), ..self }
+    }
+
     /// Whether a request of this id has no answer yet.
     pub fn is_open(&self, id: &RequestId) -> bool {
         self.open_requests.contains_key(id)
@@ -70,6 +75,13 @@
         self.events.push_back(ListenerEvent::Rejected(class));
     }
 
+    /// A connection is being closed: the client has a while to read its answer. Returns the connection's deadline.
+    pub fn begin_linger(&mut self, now: Time, connection: Token) -> Time {
+        let deadline = now + self.limits.clients.linger_timeout;
+        self.schedule_check(deadline, connection);
+        deadline
+    }
+
     /// Has the deadline of a connection checked at that time.
     pub fn schedule_check(&mut self, at: Time, connection: Token) {
         self.timers.set(at, connection);
