--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,6 +1,7 @@
 //! Why the daemon could not start, or could not go on.
 
 use crate::config::ConfigError;
+use crate::mysql::config::MysqlConfigError;
 use crate::store::StoreError;
 use std::io;
 use std::net::SocketAddr;
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -20,8 +20,8 @@
 use crate::discovery::endpoint_json::InitialEndpoints;
 use crate::discovery::{Discovery, Endpoint, EndpointChanges};
 use crate::limits::Limits;
-use crate::listener::http::{HttpListener, Names};
-use crate::listener::mysql::MysqlListener;
+use crate::listener::http::{HttpListener, HttpListenerOptions, Names};
+use crate::listener::mysql::{MysqlListener, MysqlListenerOptions};
 use crate::mysql::{self, config::Mysql};
 use crate::net::{inherited, Clock, Poller, SuspendDetector, Time, Token};
 use crate::store::{self, LoopContext, Store};
@@ -93,17 +93,17 @@
 
     fn open_http_listener(&self, config: &Config) -> Result<OpenHttpListener, DaemonError> {
         let listen_error = |source| DaemonError::Listen { address: config.listen_address, source };
-        let socket =
-            config.inherited_listener.map_or_else(|| TcpListener::bind(config.listen_address), inherited);
-        let listener = HttpListener::open(
-            Owner::HttpListener.number(),
-            HTTP_ROUTE,
-            socket.map_err(listen_error)?,
-            request_names(&config.settings),
-            self.body_store.clone(),
-            self.poller.clone(),
-            self.limits.clone(),
-        );
+        let bind = || TcpListener::bind(config.listen_address);
+        let socket = config.inherited_listener.map_or_else(bind, inherited);
+        let listener = HttpListener::open(HttpListenerOptions {
+            owner: Owner::HttpListener.number(),
+            route: HTTP_ROUTE,
+            socket: socket.map_err(listen_error)?,
+            names: request_names(&config.settings),
+            body_store: self.body_store.clone(),
+            poller: self.poller.clone(),
+            limits: self.limits.clone(),
+        });
         let listener = listener.map_err(listen_error)?;
         let address = listener.address().map_err(listen_error)?;
         Ok(OpenHttpListener { listener, address })
@@ -147,7 +147,7 @@
     }
 
     fn open_mysql_route(&self, config: &Config) -> Result<Option<MysqlRoute>, DaemonError> {
-        let file = Mysql::from_file(&config.settings).map_err(DaemonError::File)?;
+        let file = Mysql::from_file(&config.settings)?;
         let Some(file) = file.map(Rc::new) else { return Ok(None) };
         let listen_error = |source| DaemonError::Listen { address: file.listen, source };
         let upstream = MysqlUpstream::new(
@@ -157,15 +157,15 @@
             self.poller.clone(),
             self.limits.clone(),
         );
-        let listener = MysqlListener::open(
-            Owner::MysqlListener.number(),
-            MYSQL_ROUTE,
-            file.clone(),
-            &config.settings,
-            self.body_store.clone(),
-            self.poller.clone(),
-            self.limits.clone(),
-        );
+        let listener = MysqlListener::open(MysqlListenerOptions {
+            owner: Owner::MysqlListener.number(),
+            route: MYSQL_ROUTE,
+            config: file.clone(),
+            settings: &config.settings,
+            body_store: self.body_store.clone(),
+            poller: self.poller.clone(),
+            limits: self.limits.clone(),
+        });
         let listener = listener.map_err(listen_error)?;
         let address = listener.address().map_err(listen_error)?;
         tracing::info!("{} speaks MySQL on {address}", config.name);
