--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -4,7 +4,7 @@
 //!
 //! `plain` is what the door did before: one growing buffer, copied once to send it.
 
-use dahliaspoke_body_store::plan::{ClassRules, Rules};
+use dahliaspoke_body_store::plan::{Budgets, ClassLimits};
 use dahliaspoke_body_store::spool::{Body, Pace, Pull, Spool, Wake};
 use dahliaspoke_body_store::store::{offset, Folder, Segment, Store};
 use hdrhistogram::Histogram;
@@ -65,17 +65,17 @@
 }
 
 fn spool(how: How, store: Option<Arc<dyn Store>>) -> Spool {
-    let class = ClassRules {
-        repeats: true,
+    let class = ClassLimits {
+        repeatable: true,
         priority_weight: 1.0,
         memory_share: if how == How::Memory { 1.0 } else { 0.0 },
-        files_share: 1.0,
-        largest: 64 * MB,
-        pass: true,
+        file_share: 1.0,
+        max_bytes: 64 * MB,
+        pass_through: true,
     };
-    let files = if how == How::File { 1024 * MB } else { 0 };
-    let rules = Rules { memory: 512 * MB, files, chunks: 64, classes: vec![class] };
-    Spool::new(rules, Pace { hangs: 60.0, again: 1.0 }, store, 2).expect("a descriptor")
+    let file_bytes = if how == How::File { 1024 * MB } else { 0 };
+    let budgets = Budgets { memory_bytes: 512 * MB, file_bytes, window_chunks: 64, classes: vec![class] };
+    Spool::new(budgets, Pace { hangs: 60.0, again: 1.0 }, store, 2).expect("a descriptor")
 }
 
 /// Waits for the disk where there is nothing else to do.
--- /dev/null
+++ b/crates/body-store/src/plan/admission.rs
@@ -0,0 +1,139 @@
+//! Admission: whether a body is taken, and in which tier it begins.
+
+use super::{BodyId, BodyState, Plan, Refusal, Tier, FILE_WINDOW_CHUNKS, PASSED_WINDOW_CHUNKS};
+
+/// Largest share of the memory that one body may use: a few large ones must not send all others to files.
+const MAX_BODY_SHARE: f64 = 0.25;
+/// By which factor the reservation of a body of unknown length grows.
+const GROWTH_FACTOR: u64 = 2;
+
+/// A body that was admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Admission {
+    /// The body.
+    pub id: BodyId,
+    /// The tier that it begins in.
+    pub tier: Tier,
+}
+
+impl Plan {
+    /// Admits a body of `length` bytes, whose request ends at `deadline` (seconds on the caller's clock, as `now`). All its
+    /// length is reserved at once, so that a body which has begun to arrive does not run out of capacity.
+    ///
+    /// # Errors
+    /// [`Refusal::TooLarge`] above the largest size of its class, [`Refusal::NoRoom`] where no tier can take it.
+    pub fn admit(
+        &mut self,
+        now: f64,
+        class: usize,
+        length: u64,
+        deadline: f64,
+    ) -> Result<Admission, Refusal> {
+        if length > self.largest(class) {
+            self.usage.counters_mut(class).too_large += 1;
+            return Err(Refusal::TooLarge);
+        }
+        let Some(tier) = self.tier_for(now, class, length) else {
+            return Err(self.reject(class));
+        };
+        Ok(self.insert(BodyState::new(class, length, deadline, tier)))
+    }
+
+    /// Admits a body of unknown length, for which `length` bytes are reserved at first: in a file if possible, else in
+    /// memory. It is never passed on. [`Plan::extend`] reserves more as it arrives; [`Plan::set_length`] releases the rest.
+    ///
+    /// # Errors
+    /// [`Refusal::NoRoom`] where neither tier can take that many bytes.
+    pub fn admit_unknown_length(
+        &mut self,
+        now: f64,
+        class: usize,
+        length: u64,
+        deadline: f64,
+    ) -> Result<Admission, Refusal> {
+        let length = length.min(self.largest(class));
+        let tier = if self.file_has_capacity(now, class, length) {
+            Tier::File
+        } else if self.usage.fits(Tier::Memory, class, length) {
+            Tier::Memory
+        } else {
+            return Err(self.reject(class));
+        };
+        let body = BodyState { length_unknown: true, ..BodyState::new(class, length, deadline, tier) };
+        Ok(self.insert(body))
+    }
+
+    /// Doubles what is reserved for a body of unknown length, up to the largest size of its class. Returns what is reserved
+    /// then (bytes).
+    ///
+    /// # Errors
+    /// [`Refusal::TooLarge`] if the largest size is reserved already, [`Refusal::NoRoom`] if its tier has no capacity.
+    pub fn extend(&mut self, id: BodyId) -> Result<u64, Refusal> {
+        let Some(body) = self.bodies.get(&id) else { return Err(Refusal::NoRoom) };
+        let (class, tier, reserved) = (body.class, body.tier, body.length);
+        let length = (GROWTH_FACTOR * reserved).min(self.largest(class));
+        if length == reserved {
+            self.usage.counters_mut(class).too_large += 1;
+            return Err(Refusal::TooLarge);
+        }
+        if !self.usage.fits(tier, class, length - reserved) {
+            return Err(self.reject(class));
+        }
+        self.resize(id, length);
+        Ok(length)
+    }
+
+    /// A body of unknown length has ended, with `length` bytes, which are no more than were reserved.
+    pub fn set_length(&mut self, id: BodyId, length: u64) {
+        self.resize(id, length);
+        if let Some(body) = self.bodies.get_mut(&id) {
+            body.length_unknown = false;
+        }
+    }
+
+    fn tier_for(&self, now: f64, class: usize, length: u64) -> Option<Tier> {
+        let max_in_memory = (MAX_BODY_SHARE * self.usage.memory_bytes() as f64) as u64;
+        if length <= max_in_memory && self.usage.fits(Tier::Memory, class, length) {
+            return Some(Tier::Memory);
+        }
+        if self.file_has_capacity(now, class, length) {
+            return Some(Tier::File);
+        }
+        let passes =
+            self.usage.limits(class).pass_through && self.usage.has_arrival_window(PASSED_WINDOW_CHUNKS);
+        passes.then_some(Tier::Passed)
+    }
+
+    fn file_has_capacity(&self, now: f64, class: usize, length: u64) -> bool {
+        self.usage.has_arrival_window(FILE_WINDOW_CHUNKS)
+            && now >= self.files_suspended_until
+            && self.usage.fits(Tier::File, class, length)
+    }
+
+    fn insert(&mut self, mut body: BodyState) -> Admission {
+        self.last_id += 1;
+        body.window_chunks = match body.tier {
+            Tier::Memory => 0,
+            Tier::File => FILE_WINDOW_CHUNKS,
+            Tier::Passed => PASSED_WINDOW_CHUNKS,
+        };
+        let admission = Admission { id: self.last_id, tier: body.tier };
+        self.usage.take_arrival_window(body.window_chunks);
+        self.usage.add(body.class, body.tier, body.length);
+        self.usage.count_taken(body.class, body.tier);
+        self.bodies.insert(self.last_id, body);
+        admission
+    }
+
+    fn reject(&mut self, class: usize) -> Refusal {
+        self.usage.counters_mut(class).rejected += 1;
+        Refusal::NoRoom
+    }
+
+    fn resize(&mut self, id: BodyId, length: u64) {
+        let Some(body) = self.bodies.get_mut(&id) else { return };
+        let reserved = std::mem::replace(&mut body.length, length);
+        self.usage.remove(body.class, body.tier, reserved);
+        self.usage.add(body.class, body.tier, length);
+    }
+}
--- a/crates/body-store/src/spool.rs
+++ b/crates/body-store/src/spool.rs
@@ -4,7 +4,9 @@
 //! A body is a row of chunks. Each is in memory, or on its way to a slot of the store, or there with its sum.
 //! A chunk that is read back with another sum is never handed out: the body is lost from then on.
 
-use crate::plan::{BodyId, Figures, Held, Plan, Refusal, Rules, Tier, REPLAY, TO_FILE};
+use crate::plan::{
+    BodyId, BodyState, Budgets, ClassCounters, Plan, Refusal, Tier, FILE_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
+};
 use crate::store::{Store, CHUNK};
 use rustix::event::{eventfd, EventfdFlags};
 use std::cell::RefCell;
@@ -22,11 +24,11 @@
 /// What is set aside at first for a body whose length is not known (bytes); doubled as it fills.
 const OPEN: u64 = 256 << 10;
 /// Chunks that are read ahead of a reader, its own among them.
-const AHEAD: usize = REPLAY / 2;
+const AHEAD: usize = REPLAY_WINDOW_CHUNKS / 2;
 
 /// Bytes of whole chunks that a body which is passed on may hold; one more chunk is filled.
-fn window(held: &Held) -> usize {
-    held.window.saturating_sub(1) * CHUNK
+fn window(held: &BodyState) -> usize {
+    held.window_chunks.saturating_sub(1) * CHUNK
 }
 
 /// Times of the spool (seconds).
@@ -322,11 +324,17 @@
     ///
     /// # Errors
     /// Where the kernel gives no descriptor to be woken by.
-    pub fn new(rules: Rules, pace: Pace, store: Option<Arc<dyn Store>>, threads: usize) -> io::Result<Self> {
+    pub fn new(
+        budgets: Budgets,
+        pace: Pace,
+        store: Option<Arc<dyn Store>>,
+        threads: usize,
+    ) -> io::Result<Self> {
         let bell = Arc::new(eventfd(0, EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC)?);
-        let rules = Rules { files: if store.is_some() { rules.files } else { 0 }, ..rules };
+        let file_bytes = if store.is_some() { budgets.file_bytes } else { 0 };
+        let budgets = Budgets { file_bytes, ..budgets };
         Ok(Self {
-            plan: Plan::new(rules),
+            plan: Plan::new(budgets),
             pace,
             disk: store.map(|store| Disk::start(store, threads, &bell)),
             bell,
@@ -347,8 +355,8 @@
 
     /// What has happened so far, by class.
     #[must_use]
-    pub fn figures(&self) -> &[Figures] {
-        self.plan.figures()
+    pub fn figures(&self) -> &[ClassCounters] {
+        self.plan.counters()
     }
 
     /// What has been decided, to look at.
@@ -382,8 +390,8 @@
         deadline: f64,
     ) -> Result<(Body, Tier), Refusal> {
         self.collect(now);
-        let (id, tier) = self.plan.admit(now, class, length, deadline)?;
-        Ok((self.hold(id, length, false), tier))
+        let admission = self.plan.admit(now, class, length, deadline)?;
+        Ok((self.hold(admission.id, length, false), admission.tier))
     }
 
     /// The same for a body whose length is not known: [`Spool::end`] tells it. It is kept, or not taken.
@@ -392,8 +400,8 @@
     /// Where there is no room.
     pub fn admit_open(&mut self, now: f64, class: usize, deadline: f64) -> Result<Body, Refusal> {
         self.collect(now);
-        let (id, _) = self.plan.admit_open(now, class, OPEN, deadline)?;
-        let length = self.plan.get(id).map_or(0, |held| held.length);
+        let id = self.plan.admit_unknown_length(now, class, OPEN, deadline)?.id;
+        let length = self.plan.body(id).map_or(0, |held| held.length);
         Ok(self.hold(id, length, true))
     }
 
@@ -406,7 +414,7 @@
     pub fn end(&mut self, now: f64, id: BodyId) {
         let Some(content) = self.contents.get_mut(&id).filter(|c| c.open) else { return };
         (content.open, content.length) = (false, content.came);
-        self.plan.end(id, content.came);
+        self.plan.set_length(id, content.came);
         self.seal(now, id);
         self.settle(now, id);
     }
@@ -423,12 +431,14 @@
             };
             content.length = length;
         }
-        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.get(id)) else { return 0 };
+        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.body(id)) else { return 0 };
         let rest = (content.length - content.came) as usize;
         let room = match held.tier {
             Tier::Memory => rest,
             Tier::File if content.unwritable => 0,
-            Tier::File => (TO_FILE * CHUNK).saturating_sub(content.writing * CHUNK + content.last.len()),
+            Tier::File => {
+                (FILE_WINDOW_CHUNKS * CHUNK).saturating_sub(content.writing * CHUNK + content.last.len())
+            }
             // What its reader has had can make room.
             Tier::Passed => {
                 let unread = content.unread(&self.readings).1 + content.last.len();
@@ -443,7 +453,7 @@
     /// Whether all of a body is here and kept.
     #[must_use]
     pub fn is_kept(&self, id: BodyId) -> bool {
-        self.plan.get(id).is_some_and(|held| held.whole && held.tier != Tier::Passed)
+        self.plan.body(id).is_some_and(|held| held.complete && held.tier != Tier::Passed)
     }
 
     /// The largest body that a class may have (bytes).
@@ -489,7 +499,7 @@
                 self.seal(now, id);
             }
         }
-        let passed = self.plan.get(id).is_some_and(|held| held.tier == Tier::Passed);
+        let passed = self.plan.body(id).is_some_and(|held| held.tier == Tier::Passed);
         if passed {
             self.wake_readers(id);
         }
@@ -499,12 +509,12 @@
     /// A body that is here whole is kept: at once in memory; in a file, where its window is held until then, once
     /// all of it is there.
     fn settle(&mut self, now: f64, id: BodyId) {
-        let Some((content, held)) = self.contents.get(&id).zip(self.plan.get(id)) else { return };
+        let Some((content, held)) = self.contents.get(&id).zip(self.plan.body(id)) else { return };
         let (tier, lost) = (held.tier, content.lost || content.unwritable && held.tier == Tier::File);
-        if held.whole || lost || !content.is_whole() || tier == Tier::File && content.writing > 0 {
+        if held.complete || lost || !content.is_whole() || tier == Tier::File && content.writing > 0 {
             return;
         }
-        self.plan.whole(id);
+        self.plan.mark_complete(id);
         if tier != Tier::Passed {
             self.wakes.push_back(Wake::Kept(id));
         }
@@ -514,7 +524,7 @@
 
     /// The chunk that was coming in is a chunk now.
     fn seal(&mut self, now: f64, id: BodyId) {
-        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.get(id)) else { return };
+        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.body(id)) else { return };
         if content.last.is_empty() {
             return;
         }
@@ -533,7 +543,7 @@
 
     /// A body that is passed on keeps what its window holds; what its reader has had goes first.
     fn make_way(&mut self, id: BodyId) {
-        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.get(id)) else { return };
+        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.body(id)) else { return };
         let read = content.unread(&self.readings).0;
         let mut here: usize = content.chunks.iter().map(Chunk::resident).sum();
         let was = content.spent;
@@ -564,7 +574,7 @@
 
     /// Moves bodies to files while memory is nearly full.
     fn demote(&mut self, now: f64) {
-        while let Some(id) = self.plan.demote(now) {
+        while let Some(id) = self.plan.start_demotion(now) {
             let count = self.contents.get(&id).map_or(0, |c| c.chunks.len());
             (0..count).for_each(|at| self.write(now, id, at));
         }
@@ -575,18 +585,18 @@
     pub fn reader(&mut self, now: f64, body: &Body) -> Option<Reader> {
         self.collect(now);
         let id = body.id();
-        if !self.plan.readable(id) {
+        if !self.plan.can_read(id) {
             return None;
         }
         let content = self.contents.get_mut(&id).filter(|c| !c.spent && !c.lost)?;
         if std::mem::replace(&mut content.ever_read, true) {
-            self.plan.replayed(id);
+            self.plan.count_replay(id);
         }
         self.last_reader += 1;
         let reader = self.last_reader;
         content.readers.push(reader);
-        let filed = self.plan.get(id).is_some_and(|held| held.tier == Tier::File);
-        let queued = !self.plan.read(id);
+        let filed = self.plan.body(id).is_some_and(|held| held.tier == Tier::File);
+        let queued = !self.plan.start_read(id);
         self.readings.insert(reader, Reading { body: id, at: 0, windowed: filed && !queued, queued });
         if queued {
             self.line.push_back(reader);
@@ -606,7 +616,7 @@
             if content.is_whole() {
                 return Pull::End;
             }
-            let passed = self.plan.get(id).is_some_and(|held| held.tier == Tier::Passed);
+            let passed = self.plan.body(id).is_some_and(|held| held.tier == Tier::Passed);
             if !passed || content.last.is_empty() {
                 return Pull::Wait;
             }
@@ -681,13 +691,13 @@
     pub fn on_timer(&mut self, now: f64) {
         self.collect(now);
         while self.next().is_some_and(|at| at <= now) {
-            self.plan.files_fail(now + self.pace.again);
+            self.plan.suspend_files(now + self.pace.again);
             // Nothing that is on its way there can be counted on: its bytes may be there, or never will.
             let stuck: Vec<BodyId> = self.contents.iter().filter(|c| c.1.writing > 0).map(|c| *c.0).collect();
             for id in stuck {
                 let Some(content) = self.contents.get_mut(&id) else { continue };
                 content.unwritable = true;
-                let coming = self.plan.get(id).is_some_and(|h| h.tier == Tier::File && !h.whole);
+                let coming = self.plan.body(id).is_some_and(|h| h.tier == Tier::File && !h.complete);
                 if coming {
                     content.lost = true;
                     self.wakes.push_back(Wake::Lost(id));
@@ -719,9 +729,9 @@
 
     fn wrote(&mut self, now: f64, id: BodyId, at: usize, slot: u32, done: bool) {
         if !done {
-            self.plan.files_fail(now + self.pace.again);
+            self.plan.suspend_files(now + self.pace.again);
         }
-        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.get(id)) else {
+        let Some((content, held)) = self.contents.get_mut(&id).zip(self.plan.body(id)) else {
             return self.give_back(now, id, vec![slot]);
         };
         content.writing -= 1;
@@ -730,13 +740,13 @@
         let chunk = &mut content.chunks[at];
         if let State::Writing(bytes) = &chunk.state {
             chunk.state = match done {
-                true if held.moving => State::Written(bytes.clone(), slot),
+                true if held.demoting => State::Written(bytes.clone(), slot),
                 true => State::Slot(slot),
                 false => State::Memory(bytes.clone()),
             };
         }
         let (unwritable, lost, whole) = (content.unwritable, content.lost, content.is_whole());
-        let (moving, coming) = (held.moving, held.tier == Tier::File && !held.whole && !lost);
+        let (moving, coming) = (held.demoting, held.tier == Tier::File && !held.complete && !lost);
         if !done {
             self.give_back(now, id, vec![slot]);
         }
@@ -761,10 +771,10 @@
         if !settled {
             return;
         }
-        if self.plan.fall(id) {
+        if self.plan.fall_back_to_passing(id) {
             self.wakes.push_back(Wake::Passed(id));
             if self.contents.get(&id).is_some_and(Content::is_whole) {
-                self.plan.whole(id);
+                self.plan.mark_complete(id);
             }
         } else if let Some(content) = self.contents.get_mut(&id) {
             content.lost = true;
@@ -789,7 +799,7 @@
                 }
             }
         }
-        self.plan.moved(id, done);
+        self.plan.finish_demotion(id, done);
         if !slots.is_empty() {
             self.give_back(now, id, slots);
         }
@@ -807,7 +817,7 @@
             _ => {
                 content.lost = true;
                 content.loaded.clear();
-                self.plan.spoilt(id);
+                self.plan.count_corrupt(id);
                 self.wakes.push_back(Wake::Spent(id));
             }
         }
@@ -841,7 +851,7 @@
         let Some(reading) = self.readings.remove(&reader) else { return };
         self.line.retain(|waits| *waits != reader);
         if !reading.queued {
-            self.plan.read_over(reading.body, reading.windowed);
+            self.plan.end_read(reading.body, reading.windowed);
         }
         if let Some(content) = self.contents.get_mut(&reading.body) {
             content.readers.retain(|r| *r != reader);
@@ -854,7 +864,7 @@
 
     fn close(&mut self, now: f64, id: BodyId) {
         let Some(content) = self.contents.remove(&id) else { return };
-        self.plan.close(id);
+        self.plan.release(id);
         let slots: Vec<u32> = content
             .chunks
             .iter()
@@ -875,7 +885,7 @@
                 self.line.pop_front();
                 continue;
             };
-            if !self.plan.read(reading.body) {
+            if !self.plan.start_read(reading.body) {
                 return;
             }
             self.line.pop_front();
--- a/crates/body-store/tests/spool.rs
+++ b/crates/body-store/tests/spool.rs
@@ -93,21 +93,22 @@
     now: f64,
 }
 
-fn rules(memory: u64) -> Rules {
-    let class = |repeats, pass| ClassRules {
-        repeats,
+fn budgets(memory_bytes: u64) -> Budgets {
+    let class = |repeatable, pass_through| ClassLimits {
+        repeatable,
         priority_weight: 1.0,
         memory_share: 1.0,
-        files_share: 1.0,
-        largest: 64 * MB,
-        pass,
+        file_share: 1.0,
+        max_bytes: 64 * MB,
+        pass_through,
     };
-    Rules { memory, files: 64 * MB, chunks: 32, classes: vec![class(true, true), class(false, false)] }
+    let classes = vec![class(true, true), class(false, false)];
+    Budgets { memory_bytes, file_bytes: 64 * MB, window_chunks: 32, classes }
 }
 
 fn world(memory: u64) -> World {
     let disk = Arc::new(Faulty::default());
-    let spool = Spool::new(rules(memory), PACE, Some(disk.clone()), 2).expect("a descriptor");
+    let spool = Spool::new(budgets(memory), PACE, Some(disk.clone()), 2).expect("a descriptor");
     World { spool, disk, now: 0.0 }
 }
 
@@ -140,7 +141,7 @@
                     return Some(wake);
                 }
             }
-            let passed = self.spool.plan().get(body.id()).is_some_and(|b| b.tier == Tier::Passed);
+            let passed = self.spool.plan().body(body.id()).is_some_and(|b| b.tier == Tier::Passed);
             if bytes.is_empty() && passed || room == 0 && self.is_stuck() {
                 return None;
             }
@@ -167,18 +168,22 @@
         }
     }
 
+    fn is_empty(&self) -> bool {
+        let plan = self.spool.plan();
+        plan.used() == UsedBytes::default() && plan.windows() == UsedWindows::default()
+    }
+
     /// Nothing is left, on the disk or here, once what was asked for is done.
     fn settle(&mut self) {
         for _ in 0..50_000 {
             self.turn();
-            let held = self.spool.plan().used() != [0, 0] || self.spool.plan().windows() != (0, 0);
-            if !held && self.spool.is_quiet() {
+            if self.is_empty() && self.spool.is_quiet() {
                 break;
             }
         }
         assert_eq!(self.disk.slots.lock().expect("held").len(), 0, "left on the disk");
-        assert_eq!(self.spool.plan().used(), [0, 0]);
-        assert_eq!(self.spool.plan().windows(), (0, 0));
+        assert_eq!(self.spool.plan().used(), UsedBytes::default());
+        assert_eq!(self.spool.plan().windows(), UsedWindows::default());
         assert_eq!(self.spool.resident(), 0);
     }
 }
@@ -217,7 +222,10 @@
             Pull::Wait => world.turn(),
             Pull::Lost => panic!("lost"),
         }
-        assert!(world.spool.resident() <= (2 * REPLAY * CHUNK) as u64, "each holds a window at most");
+        assert!(
+            world.spool.resident() <= (2 * REPLAY_WINDOW_CHUNKS * CHUNK) as u64,
+            "each holds a window at most"
+        );
         if ended == [true; 2] {
             break;
         }
@@ -241,7 +249,7 @@
     assert_eq!(world.send(&body, &coming), Some(Wake::Passed(body.id())));
     // It is passed on from its start: what is in the file first, then what comes.
     let reader = world.spool.reader(0.0, &body).expect("all of it is here so far");
-    let sent = world.spool.plan().get(body.id()).is_some_and(|b| !b.whole);
+    let sent = world.spool.plan().body(body.id()).is_some_and(|b| !b.complete);
     assert!(sent, "it had not come whole");
     let mut at = coming.len() - (coming.len() as u64 - came(&world, &body)) as usize;
     let (mut out, mut spent) = (Vec::new(), false);
@@ -258,7 +266,7 @@
         while let Some(wake) = world.spool.take() {
             spent |= wake == Wake::Spent(body.id());
         }
-        assert!(world.spool.resident() <= (PASSED * CHUNK) as u64);
+        assert!(world.spool.resident() <= (PASSED_WINDOW_CHUNKS * CHUNK) as u64);
     }
     assert!(out == coming, "not altered");
     assert!(spent, "the caller is told that it cannot be repeated");
@@ -285,7 +293,7 @@
 fn the_real_full_device_is_met_the_same_way() {
     let file = std::fs::OpenOptions::new().read(true).write(true).open("/dev/full").expect("it is there");
     let store = Arc::new(Segment::on(file));
-    let mut spool = Spool::new(rules(MB), PACE, Some(store), 2).expect("a descriptor");
+    let mut spool = Spool::new(budgets(MB), PACE, Some(store), 2).expect("a descriptor");
     let (body, tier) = spool.admit(0.0, 0, MB, 9.0).expect("room");
     assert_eq!(tier, Tier::File);
     spool.push(0.0, body.id(), &pattern(5, CHUNK));
@@ -320,7 +328,7 @@
     assert_eq!(world.send(&body, &text), None, "its sender waits");
     assert_eq!(
         world.spool.resident(),
-        (TO_FILE * CHUNK) as u64,
+        (FILE_WINDOW_CHUNKS * CHUNK) as u64,
         "one chunk waits for the disk beside the next"
     );
     assert!(world.spool.next().is_some_and(|at| at == PACE.hangs));
@@ -346,7 +354,7 @@
         world.disk.unreadable.store(!flips, Ordering::SeqCst);
         let got = world.read(&body).expect_err("lost");
         assert!(text.starts_with(&got), "what went out before was good");
-        assert_eq!(world.spool.figures()[0].spoilt, 1);
+        assert_eq!(world.spool.figures()[0].corrupt, 1);
         let mut wakes = std::iter::from_fn(|| world.spool.take());
         assert!(wakes.any(|wake| wake == Wake::Spent(body.id())));
         assert!(world.spool.reader(0.0, &body).is_none(), "and not tried again");
@@ -366,7 +374,7 @@
             body
         })
         .collect();
-    while world.spool.plan().used() != [3 * MB, MB] {
+    while world.spool.plan().used() != (UsedBytes { memory: 3 * MB, file: MB }) {
         world.turn();
     }
     assert_eq!(world.spool.figures()[0].demoted, 1);
@@ -376,7 +384,7 @@
     let (last, tier) = world.admit(0, more.len()).expect("room");
     assert_eq!(tier, Tier::Memory);
     assert_eq!(world.send(&last, &more), Some(Wake::Kept(last.id())));
-    while world.spool.plan().used() != [4 * MB, MB] {
+    while world.spool.plan().used() != (UsedBytes { memory: 4 * MB, file: MB }) {
         world.turn();
     }
     for (body, text) in bodies.iter().chain([&last]).zip(texts.iter().chain([&more])) {
@@ -394,7 +402,7 @@
     let (body, _) = world.admit(0, text.len()).expect("room");
     world.send(&body, &text);
     let readers: Vec<Reader> = (0..9).map(|_| world.spool.reader(0.0, &body).expect("here")).collect();
-    assert_eq!(world.spool.plan().windows(), (0, 8 * REPLAY));
+    assert_eq!(world.spool.plan().windows(), UsedWindows { arrivals: 0, replays: 8 * REPLAY_WINDOW_CHUNKS });
     assert_eq!(world.spool.pull(0.0, &readers[8]), Pull::Wait);
     let last = readers[8].id;
     let mut readers = readers;
@@ -439,9 +447,9 @@
         world.turn();
     }
     assert!(world.spool.reader(0.0, &body).is_none(), "it may go on");
-    assert_eq!(world.spool.plan().used(), [0, 8 * MB]);
+    assert_eq!(world.spool.plan().used(), UsedBytes { memory: 0, file: 8 * MB });
     world.spool.end(0.0, body.id());
-    assert_eq!(world.spool.plan().used(), [0, text.len() as u64]);
+    assert_eq!(world.spool.plan().used(), UsedBytes { memory: 0, file: text.len() as u64 });
     while !std::iter::from_fn(|| world.spool.take()).any(|wake| wake == Wake::Kept(body.id())) {
         world.turn();
     }
@@ -455,7 +463,7 @@
         world.turn();
         wakes.extend(std::iter::from_fn(|| world.spool.take()).filter(|wake| *wake == Wake::Lost(body.id())));
     }
-    assert_eq!(world.spool.figures()[0].refused + world.spool.figures()[0].too_large, 1);
+    assert_eq!(world.spool.figures()[0].rejected + world.spool.figures()[0].too_large, 1);
     drop(body);
     world.spool.on_timer(0.0);
     world.settle();
@@ -544,8 +552,8 @@
             }
             let windows = world.spool.plan().windows();
             // What has fallen is read back from its file in the window that it came with.
-            let fallen = world.spool.figures()[0].bodies[Tier::Passed as usize] * (REPLAY * CHUNK) as u64;
-            let bound = 2 * MB + ((windows.0 + windows.1) * CHUNK) as u64 + fallen;
+            let fallen = world.spool.figures()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK) as u64;
+            let bound = 2 * MB + ((windows.arrivals + windows.replays) * CHUNK) as u64 + fallen;
             prop_assert!(world.spool.resident() <= bound, "{} over {bound}", world.spool.resident());
         }
         drop((bodies, readers));
--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -4,7 +4,9 @@
 use crate::limits::Limits;
 use crate::net::{EventHandler, Ready, Time};
 use dahliaspoke::policy::{Idempotency, Settings};
-use dahliaspoke_body_store::plan::{ClassRules, Figures, Rules, Tier, PASSED, REPLAY};
+use dahliaspoke_body_store::plan::{
+    Budgets, ClassCounters, ClassLimits, Tier, PASSED_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
+};
 use dahliaspoke_body_store::spool::{Pace, Spool};
 use dahliaspoke_body_store::store::{Folder, Segment, Store, CHUNK};
 use serde::Deserialize;
@@ -39,7 +41,7 @@
 /// Part of the memory that windows have.
 const WINDOWS: f64 = 0.25;
 /// Chunks without which a body that is passed on and a replay could not go beside each other.
-const CHUNKS_LEAST: f64 = 2.0 * (PASSED + REPLAY) as f64;
+const CHUNKS_LEAST: f64 = 2.0 * (PASSED_WINDOW_CHUNKS + REPLAY_WINDOW_CHUNKS) as f64;
 /// Threads that call the disk.
 const THREADS: usize = 2;
 /// Files are tried again so long after one could not be written (s).
@@ -142,27 +144,27 @@
         limits.bodies.retry_after = settings.retry_after;
     }
 
-    fn rules(&self, settings: &Settings) -> Rules {
+    fn rules(&self, settings: &Settings) -> Budgets {
         let bytes = |mb: &Spanned<f64>| (mb.get_ref() * MB) as u64;
         let share = |share: &Option<Spanned<f64>>| share.as_ref().map_or(1.0, |s| *s.get_ref());
         let none = Class::default();
         let classes = settings.classes.iter().map(|class| {
             let own = self.class.iter().find(|(name, _)| *name.get_ref() == class.name).map(|c| c.1);
             let own = own.unwrap_or(&none);
-            ClassRules {
-                repeats: class.idempotency != Idempotency::Never,
+            ClassLimits {
+                repeatable: class.idempotency != Idempotency::Never,
                 priority_weight: class.priority_weight,
                 memory_share: share(&own.memory_share),
-                files_share: share(&own.files_share),
-                largest: own.largest_mb.as_ref().map_or(bytes(&self.largest_mb), bytes),
-                pass: own.pass.unwrap_or(true),
+                file_share: share(&own.files_share),
+                max_bytes: own.largest_mb.as_ref().map_or(bytes(&self.largest_mb), bytes),
+                pass_through: own.pass.unwrap_or(true),
             }
         });
         let memory = bytes(&self.memory_mb) as f64;
-        Rules {
-            memory: ((1.0 - WINDOWS) * memory) as u64,
-            files: self.files_mb.as_ref().map_or(0, bytes),
-            chunks: (WINDOWS * memory / CHUNK as f64) as usize,
+        Budgets {
+            memory_bytes: ((1.0 - WINDOWS) * memory) as u64,
+            file_bytes: self.files_mb.as_ref().map_or(0, bytes),
+            window_chunks: (WINDOWS * memory / CHUNK as f64) as usize,
             classes: classes.collect(),
         }
     }
@@ -183,17 +185,16 @@
 }
 
 /// The figures of one class, for operators.
-pub fn figures(class: &str, figures: &Figures, mut line: impl FnMut(&str, u64)) {
+pub fn figures(class: &str, figures: &ClassCounters, mut line: impl FnMut(&str, u64)) {
     for (tier, name) in [(Tier::Memory, "memory"), (Tier::File, "file"), (Tier::Passed, "passed")] {
-        let at = tier as usize;
-        line(&format!("bodies.{name}.held.{class}"), figures.bodies[at]);
-        line(&format!("bodies.{name}.bytes.{class}"), figures.held[at]);
-        line(&format!("bodies.{name}.taken.{class}"), figures.taken[at]);
+        line(&format!("bodies.{name}.held.{class}"), figures.held_bodies.get(tier));
+        line(&format!("bodies.{name}.bytes.{class}"), figures.held_bytes.get(tier));
+        line(&format!("bodies.{name}.taken.{class}"), figures.taken.get(tier));
     }
     line(&format!("bodies.demoted.{class}"), figures.demoted);
     line(&format!("bodies.dropped.{class}"), figures.dropped);
     line(&format!("bodies.replayed.{class}"), figures.replayed);
-    line(&format!("bodies.refused.{class}"), figures.refused);
+    line(&format!("bodies.refused.{class}"), figures.rejected);
     line(&format!("bodies.too_large.{class}"), figures.too_large);
-    line(&format!("bodies.spoilt.{class}"), figures.spoilt);
+    line(&format!("bodies.spoilt.{class}"), figures.corrupt);
 }
