--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -5,8 +5,8 @@
 //! `plain` is what the door did before: one growing buffer, copied once to send it.
 
 use dahliaspoke_body_store::plan::{Budgets, ClassLimits};
-use dahliaspoke_body_store::spool::{Body, Pace, Pull, Spool, Wake};
-use dahliaspoke_body_store::store::{offset, Folder, Segment, Store};
+use dahliaspoke_body_store::storage::{slot_offset, ChunkStorage, SegmentFile, StorageFolder};
+use dahliaspoke_body_store::{Body, BodyStore, Pace, Pull, Wake};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::fs::File;
@@ -23,12 +23,12 @@
 
 /// A file a body: the option that was measured and not taken (`docs/body-store-design.md`).
 struct Files {
-    folder: Folder,
+    folder: StorageFolder,
     files: Mutex<HashMap<u64, Arc<File>>>,
 }
 
 impl Files {
-    fn open(folder: Folder) -> Self {
+    fn open(folder: StorageFolder) -> Self {
         Self { folder, files: Mutex::default() }
     }
 
@@ -37,22 +37,22 @@
         if let Some(file) = files.get(&body) {
             return Ok(file.clone());
         }
-        let file = Arc::new(self.folder.file()?);
+        let file = Arc::new(self.folder.create_file()?);
         files.insert(body, file.clone());
         Ok(file)
     }
 }
 
-impl Store for Files {
+impl ChunkStorage for Files {
     fn write(&self, body: u64, slot: u32, bytes: &[u8]) -> io::Result<()> {
-        self.file(body)?.write_all_at(bytes, offset(slot))
+        self.file(body)?.write_all_at(bytes, slot_offset(slot))
     }
 
-    fn read(&self, body: u64, slot: u32, into: &mut [u8]) -> io::Result<()> {
-        self.file(body)?.read_exact_at(into, offset(slot))
+    fn read(&self, body: u64, slot: u32, buffer: &mut [u8]) -> io::Result<()> {
+        self.file(body)?.read_exact_at(buffer, slot_offset(slot))
     }
 
-    fn end(&self, body: u64, _: &[u32]) {
+    fn release(&self, body: u64, _: &[u32]) {
         self.files.lock().unwrap_or_else(PoisonError::into_inner).remove(&body);
     }
 }
@@ -64,7 +64,7 @@
     Passed,
 }
 
-fn spool(how: How, store: Option<Arc<dyn Store>>) -> Spool {
+fn spool(how: How, store: Option<Arc<dyn ChunkStorage>>) -> BodyStore {
     let class = ClassLimits {
         repeatable: true,
         priority_weight: 1.0,
@@ -75,17 +75,17 @@
     };
     let file_bytes = if how == How::File { 1024 * MB } else { 0 };
     let budgets = Budgets { memory_bytes: 512 * MB, file_bytes, window_chunks: 64, classes: vec![class] };
-    Spool::new(budgets, Pace { hangs: 60.0, again: 1.0 }, store, 2).expect("a descriptor")
+    BodyStore::new(budgets, Pace { hangs: 60.0, again: 1.0 }, store, 2).expect("a descriptor")
 }
 
 /// Waits for the disk where there is nothing else to do.
-fn wait(spool: &mut Spool) {
+fn wait(spool: &mut BodyStore) {
     while spool.take().is_some() {}
     spool.on_ready(0.0);
     std::thread::yield_now();
 }
 
-fn read(spool: &mut Spool, body: &Body) -> u64 {
+fn read(spool: &mut BodyStore, body: &Body) -> u64 {
     let reader = spool.reader(0.0, body).expect("here");
     let mut count = 0;
     loop {
@@ -98,7 +98,7 @@
     }
 }
 
-fn one(spool: &mut Spool, how: How, length: u64, piece: &[u8], reads: usize) {
+fn one(spool: &mut BodyStore, how: How, length: u64, piece: &[u8], reads: usize) {
     let (body, _) = spool.admit(0.0, 0, length, 1.0).expect("room");
     let mut left = length as usize;
     if how == How::Passed {
@@ -160,7 +160,7 @@
 fn main() {
     let piece: Vec<u8> = (0..READ).map(|n| n as u8).collect();
     let folder = tempfile::tempdir().expect("a folder");
-    let open = || Folder::open(folder.path()).expect("a folder");
+    let open = || StorageFolder::open(folder.path()).expect("a folder");
     for length in [64 << 10, MB, 16 * MB] {
         run("plain", length, || {
             let mut buffer = Vec::new();
@@ -173,8 +173,8 @@
             let mut spool = spool(how, None);
             run(name, length, || one(&mut spool, how, length, &piece, reads));
         }
-        let stores: [(&str, Arc<dyn Store>); 2] = [
-            ("segment", Arc::new(Segment::open(open()).expect("a file"))),
+        let stores: [(&str, Arc<dyn ChunkStorage>); 2] = [
+            ("segment", Arc::new(SegmentFile::open(open()).expect("a file"))),
             ("a file a body", Arc::new(Files::open(open()))),
         ];
         for (name, store) in stores {
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -1,15 +1,23 @@
-//! Keeps the bodies of requests, so that a further attempt has them again: in memory, then in files, then not
-//! at all.
+//! Keeps the bodies of requests, so that a retry can send them again: in memory, in files, or not at all.
 //!
-//! - [`plan`] decides where a body is kept and what gives way: pure, without I/O or clock.
-//! - [`spool`] carries that out: chunks in memory, files on threads of their own, readers that replay. The
-//!   caller's loop never waits for a disk: it asks, and is woken.
-//! - [`store`] is the disk: one segment file for all bodies, or a file a body.
+//! - [`plan`] decides where a body is kept and which one moves when capacity runs short. Pure, without I/O or clock.
+//! - [`store`] carries that out: chunks in memory and in files, readers that replay them. [`BodyStore`] is the way in. The
+//!   event loop never waits for a disk.
+//! - `io_threads` are the threads that call the disk, and their tasks.
+//! - [`storage`] is the disk: slots for chunks in a file without a name.
 //!
-//! Who owns a body holds a [`spool::Body`]; it is kept until the last copy of that is dropped.
+//! Who owns a body holds a [`Body`]; it is kept until the last clone of that is dropped.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod io_threads;
 pub mod plan;
-pub mod spool;
+pub mod storage;
 pub mod store;
+
+pub use store::{Body, BodyStore, Bytes, Pace, Pull, Reader, ReaderId, Wake};
+
+/// The former path of the store's types, until their callers use the new one.
+pub mod spool {
+    pub use crate::store::{Body, Bytes, Pull, Reader, Wake};
+}
--- /dev/null
+++ b/crates/body-store/src/store/replay.rs
@@ -0,0 +1,186 @@
+//! Readers, each from the start of its body, and chunks that are read back for them from files.
+
+use super::content::ChunkState;
+use super::{Body, BodyStore, Bytes, Pull, Reader, ReaderId, Wake};
+use crate::io_threads::{ChunkRead, IoTask};
+use crate::plan::{BodyId, Tier, REPLAY_WINDOW_CHUNKS};
+use std::io;
+use std::sync::Arc;
+
+/// Chunks that are read ahead for a reader, its next one among them.
+const READ_AHEAD_CHUNKS: usize = REPLAY_WINDOW_CHUNKS / 2;
+
+/// Where a reader is.
+pub(super) struct ReaderState {
+    pub(super) body: BodyId,
+    /// Index of the chunk that it gets next.
+    pub(super) next_chunk: usize,
+    /// It holds a window.
+    pub(super) has_window: bool,
+    /// It waits for a window.
+    pub(super) waits_for_window: bool,
+}
+
+/// What is known of the chunk that a reader gets next.
+enum NextChunk {
+    Found(Bytes),
+    /// It has to be read back.
+    InFile,
+    /// There is none, for the reason that the reader is told.
+    Absent(Pull),
+}
+
+impl BodyStore {
+    /// Begins to read a body from its start. `None` where bytes of it are gone, where it is not complete, or where it is passed
+    /// on and has its reader.
+    pub fn reader(&mut self, now: f64, body: &Body) -> Option<Reader> {
+        self.release_dropped(now);
+        let id = body.id();
+        if !self.plan.can_read(id) {
+            return None;
+        }
+        let content = self.contents.get_mut(&id).filter(|content| !content.has_discarded && !content.lost)?;
+        if std::mem::replace(&mut content.was_read, true) {
+            self.plan.count_replay(id);
+        }
+        self.last_reader += 1;
+        content.readers.push(self.last_reader);
+        let needs_window = self.plan.body(id).is_some_and(|body| body.tier == Tier::File);
+        let started = self.plan.start_read(id);
+        if !started {
+            self.waiting_readers.push_back(self.last_reader);
+        }
+        let has_window = needs_window && started;
+        let state = ReaderState { body: id, next_chunk: 0, has_window, waits_for_window: !started };
+        self.readers.insert(self.last_reader, state);
+        Some(Reader::new(self.last_reader, self.dropped.clone()))
+    }
+
+    /// The next bytes for a reader.
+    pub fn pull(&mut self, now: f64, reader: &Reader) -> Pull {
+        let Some(state) = self.readers.get(&reader.id) else { return Pull::Lost };
+        if state.waits_for_window {
+            return Pull::Wait;
+        }
+        let (id, chunk) = (state.body, state.next_chunk);
+        match self.find_chunk(now, id, chunk) {
+            NextChunk::Found(bytes) => {
+                self.advance(reader.id);
+                self.load(now, id, chunk + 1);
+                self.notify_sender(id);
+                Pull::Bytes(bytes)
+            }
+            NextChunk::InFile => {
+                self.load(now, id, chunk);
+                Pull::Wait
+            }
+            NextChunk::Absent(reason) => reason,
+        }
+    }
+
+    /// Finds the chunk of a body. Of one that is passed on, what has arrived becomes a chunk, however little it is.
+    fn find_chunk(&mut self, now: f64, id: BodyId, chunk: usize) -> NextChunk {
+        let Some(content) = self.contents.get(&id).filter(|content| !content.lost) else {
+            return NextChunk::Absent(Pull::Lost);
+        };
+        if chunk >= content.chunks.len() {
+            if content.has_arrived() {
+                return NextChunk::Absent(Pull::End);
+            }
+            if !self.is_passed(id) || content.partial.is_empty() {
+                return NextChunk::Absent(Pull::Wait);
+            }
+            self.end_chunk(now, id);
+        }
+        let Some(content) = self.contents.get(&id) else { return NextChunk::Absent(Pull::Lost) };
+        match &content.chunks[chunk].state {
+            ChunkState::Memory(bytes) | ChunkState::Writing(bytes) | ChunkState::Written { bytes, .. } => {
+                NextChunk::Found(bytes.clone())
+            }
+            ChunkState::File(_) => {
+                content.loaded.get(&chunk).cloned().map_or(NextChunk::InFile, NextChunk::Found)
+            }
+            ChunkState::Discarded => NextChunk::Absent(Pull::Lost),
+        }
+    }
+
+    /// A reader has had its next chunk.
+    fn advance(&mut self, reader: ReaderId) {
+        let Some(state) = self.readers.get_mut(&reader) else { return };
+        state.next_chunk += 1;
+        let body = state.body;
+        self.unload(body);
+    }
+
+    /// Has chunks read back ahead of a reader, from `first` on.
+    fn load(&mut self, now: f64, body: BodyId, first: usize) {
+        let Some((io, content)) = self.io.as_mut().zip(self.contents.get_mut(&body)) else { return };
+        let end = (first + READ_AHEAD_CHUNKS).min(content.chunks.len());
+        for chunk in first..end {
+            let ChunkState::File(slot) = content.chunks[chunk].state else { continue };
+            if content.loaded.contains_key(&chunk) || content.loading.contains(&chunk) {
+                continue;
+            }
+            content.loading.push(chunk);
+            let buffer = vec![0; content.chunks[chunk].length];
+            io.submit(now, IoTask::Read { read: ChunkRead { body, chunk, slot }, buffer });
+        }
+    }
+
+    /// Drops chunks that were read back and that no reader needs soon.
+    pub(super) fn unload(&mut self, id: BodyId) {
+        let Some(content) = self.contents.get_mut(&id).filter(|content| !content.loaded.is_empty()) else {
+            return;
+        };
+        let readers = content.readers.iter().filter_map(|reader| self.readers.get(reader));
+        let positions: Vec<usize> = readers.map(|reader| reader.next_chunk).collect();
+        let is_needed = |chunk: &usize| {
+            positions.iter().any(|position| (*position..position + READ_AHEAD_CHUNKS).contains(chunk))
+        };
+        content.loaded.retain(|chunk, _| is_needed(chunk));
+    }
+
+    /// A read has completed. Bytes with another checksum than was written are never handed out.
+    pub(super) fn on_read(&mut self, read: ChunkRead, result: io::Result<Vec<u8>>) {
+        let ChunkRead { body: id, chunk, .. } = read;
+        let Some(content) = self.contents.get_mut(&id) else { return };
+        content.loading.retain(|loading| *loading != chunk);
+        match result {
+            Ok(bytes) if crc32fast::hash(&bytes) == content.chunks[chunk].checksum => {
+                content.loaded.insert(chunk, Arc::new(bytes));
+                self.unload(id);
+            }
+            _ if content.lost => {}
+            _ => {
+                content.lost = true;
+                content.loaded.clear();
+                self.plan.count_corrupt(id);
+                self.events.push_back(Wake::Spent(id));
+            }
+        }
+        self.notify_readers(id);
+    }
+
+    /// Tells the readers of a body that they may find bytes.
+    pub(super) fn notify_readers(&mut self, id: BodyId) {
+        let Some(content) = self.contents.get(&id) else { return };
+        self.events.extend(content.readers.iter().map(|reader| Wake::Data(*reader)));
+    }
+
+    /// Gives windows that are free to readers that wait for one, in their order.
+    pub(super) fn start_waiting_readers(&mut self) {
+        while let Some(&reader) = self.waiting_readers.front() {
+            let Some(state) = self.readers.get_mut(&reader) else {
+                self.waiting_readers.pop_front();
+                continue;
+            };
+            if !self.plan.start_read(state.body) {
+                return;
+            }
+            self.waiting_readers.pop_front();
+            state.waits_for_window = false;
+            state.has_window = true;
+            self.events.push_back(Wake::Data(reader));
+        }
+    }
+}
--- a/crates/body-store/tests/spool.rs
+++ b/crates/body-store/tests/spool.rs
@@ -2,7 +2,7 @@
 //! clock says when a call hangs, and the disk waits for the test.
 
 use dahliaspoke_body_store::plan::*;
-use dahliaspoke_body_store::spool::*;
+use dahliaspoke_body_store::storage::*;
 use dahliaspoke_body_store::store::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Store for Faulty {
+impl ChunkStorage for Faulty {
     fn write(&self, _: u64, slot: u32, bytes: &[u8]) -> io::Result<()> {
         self.wait();
         if self.full.load(Ordering::SeqCst) {
@@ -65,22 +65,22 @@
         Ok(())
     }
 
-    fn read(&self, _: u64, slot: u32, into: &mut [u8]) -> io::Result<()> {
+    fn read(&self, _: u64, slot: u32, buffer: &mut [u8]) -> io::Result<()> {
         self.wait();
         if self.unreadable.load(Ordering::SeqCst) {
             return Err(io::Error::from_raw_os_error(5)); // EIO
         }
         let slots = self.slots.lock().expect("held");
-        let held = slots.get(&slot).filter(|held| held.len() >= into.len());
-        into.copy_from_slice(&held.ok_or(io::ErrorKind::UnexpectedEof)?[..into.len()]);
+        let held = slots.get(&slot).filter(|held| held.len() >= buffer.len());
+        buffer.copy_from_slice(&held.ok_or(io::ErrorKind::UnexpectedEof)?[..buffer.len()]);
         if self.flips.load(Ordering::SeqCst) {
-            let middle = into.len() / 2;
-            into[middle] ^= 1;
+            let middle = buffer.len() / 2;
+            buffer[middle] ^= 1;
         }
         Ok(())
     }
 
-    fn end(&self, _: u64, slots: &[u32]) {
+    fn release(&self, _: u64, slots: &[u32]) {
         let mut held = self.slots.lock().expect("held");
         slots.iter().for_each(|slot| drop(held.remove(slot)));
         self.ended.fetch_add(1, Ordering::SeqCst);
@@ -88,7 +88,7 @@
 }
 
 struct World {
-    spool: Spool,
+    spool: BodyStore,
     disk: Arc<Faulty>,
     now: f64,
 }
@@ -108,7 +108,7 @@
 
 fn world(memory: u64) -> World {
     let disk = Arc::new(Faulty::default());
-    let spool = Spool::new(budgets(memory), PACE, Some(disk.clone()), 2).expect("a descriptor");
+    let spool = BodyStore::new(budgets(memory), PACE, Some(disk.clone()), 2).expect("a descriptor");
     World { spool, disk, now: 0.0 }
 }
 
@@ -177,14 +177,14 @@
     fn settle(&mut self) {
         for _ in 0..50_000 {
             self.turn();
-            if self.is_empty() && self.spool.is_quiet() {
+            if self.is_empty() && self.spool.is_idle() {
                 break;
             }
         }
         assert_eq!(self.disk.slots.lock().expect("held").len(), 0, "left on the disk");
         assert_eq!(self.spool.plan().used(), UsedBytes::default());
         assert_eq!(self.spool.plan().windows(), UsedWindows::default());
-        assert_eq!(self.spool.resident(), 0);
+        assert_eq!(self.spool.resident_bytes(), 0);
     }
 }
 
@@ -195,7 +195,7 @@
     let (body, tier) = world.admit(0, text.len()).expect("room");
     assert_eq!(tier, Tier::File);
     assert_eq!(world.send(&body, &text), Some(Wake::Kept(body.id())));
-    assert_eq!(world.spool.resident(), 0, "all of it is in the file");
+    assert_eq!(world.spool.resident_bytes(), 0, "all of it is in the file");
     for _ in 0..3 {
         assert!(world.read(&body) == Ok(text.clone()));
     }
@@ -223,7 +223,7 @@
             Pull::Lost => panic!("lost"),
         }
         assert!(
-            world.spool.resident() <= (2 * REPLAY_WINDOW_CHUNKS * CHUNK) as u64,
+            world.spool.resident_bytes() <= (2 * REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64,
             "each holds a window at most"
         );
         if ended == [true; 2] {
@@ -266,7 +266,7 @@
         while let Some(wake) = world.spool.take() {
             spent |= wake == Wake::Spent(body.id());
         }
-        assert!(world.spool.resident() <= (PASSED_WINDOW_CHUNKS * CHUNK) as u64);
+        assert!(world.spool.resident_bytes() <= (PASSED_WINDOW_CHUNKS * CHUNK_BYTES) as u64);
     }
     assert!(out == coming, "not altered");
     assert!(spent, "the caller is told that it cannot be repeated");
@@ -292,11 +292,11 @@
 #[test]
 fn the_real_full_device_is_met_the_same_way() {
     let file = std::fs::OpenOptions::new().read(true).write(true).open("/dev/full").expect("it is there");
-    let store = Arc::new(Segment::on(file));
-    let mut spool = Spool::new(budgets(MB), PACE, Some(store), 2).expect("a descriptor");
+    let store = Arc::new(SegmentFile::from_file(file));
+    let mut spool = BodyStore::new(budgets(MB), PACE, Some(store), 2).expect("a descriptor");
     let (body, tier) = spool.admit(0.0, 0, MB, 9.0).expect("room");
     assert_eq!(tier, Tier::File);
-    spool.push(0.0, body.id(), &pattern(5, CHUNK));
+    spool.push(0.0, body.id(), &pattern(5, CHUNK_BYTES));
     let wake = loop {
         spool.on_ready(0.0);
         match spool.take() {
@@ -306,7 +306,7 @@
     };
     assert_eq!(wake, Wake::Passed(body.id()));
     let reader = spool.reader(0.0, &body).expect("all of it is here");
-    assert!(spool.pull(0.0, &reader) == Pull::Bytes(Arc::new(pattern(5, CHUNK))));
+    assert!(spool.pull(0.0, &reader) == Pull::Bytes(Arc::new(pattern(5, CHUNK_BYTES))));
 }
 
 #[test]
@@ -327,8 +327,8 @@
     let (body, _) = world.admit(0, text.len()).expect("room");
     assert_eq!(world.send(&body, &text), None, "its sender waits");
     assert_eq!(
-        world.spool.resident(),
-        (FILE_WINDOW_CHUNKS * CHUNK) as u64,
+        world.spool.resident_bytes(),
+        (FILE_WINDOW_CHUNKS * CHUNK_BYTES) as u64,
         "one chunk waits for the disk beside the next"
     );
     assert!(world.spool.next().is_some_and(|at| at == PACE.hangs));
@@ -417,20 +417,20 @@
 fn a_folder_holds_nothing_once_it_is_open_and_is_cleaned_of_what_a_crash_left() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("body-4711-0"), b"left behind").expect("written");
-    let held = Folder::open(folder.path()).expect("a folder");
+    let held = StorageFolder::open(folder.path()).expect("a folder");
     let names = || -> Vec<String> {
         let entries = std::fs::read_dir(folder.path()).expect("readable");
         entries.map(|e| e.expect("readable").file_name().to_string_lossy().into_owned()).collect()
     };
     assert_eq!(names(), ["bodies.lock"]);
-    let segment = Segment::open(held).expect("a file");
+    let segment = SegmentFile::open(held).expect("a file");
     segment.write(1, 3, b"abc").expect("written");
     let mut back = [0; 3];
     segment.read(1, 3, &mut back).expect("read");
     assert_eq!((&back, names()), (b"abc", vec!["bodies.lock".into()]));
     // Another process that lives must not lose what it has between two calls.
     std::fs::write(folder.path().join("body-4712-0"), b"").expect("written");
-    Folder::open(folder.path()).expect("beside the first");
+    StorageFolder::open(folder.path()).expect("beside the first");
     assert_eq!(names().len(), 2);
 }
 
@@ -552,9 +552,9 @@
             }
             let windows = world.spool.plan().windows();
             // What has fallen is read back from its file in the window that it came with.
-            let fallen = world.spool.figures()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK) as u64;
-            let bound = 2 * MB + ((windows.arrivals + windows.replays) * CHUNK) as u64 + fallen;
-            prop_assert!(world.spool.resident() <= bound, "{} over {bound}", world.spool.resident());
+            let fallen = world.spool.figures()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
+            let bound = 2 * MB + ((windows.arrivals + windows.replays) * CHUNK_BYTES) as u64 + fallen;
+            prop_assert!(world.spool.resident_bytes() <= bound, "{} over {bound}", world.spool.resident_bytes());
         }
         drop((bodies, readers));
         world.spool.on_timer(world.now);
--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -7,8 +7,8 @@
 use dahliaspoke_body_store::plan::{
     Budgets, ClassCounters, ClassLimits, Tier, PASSED_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
 };
-use dahliaspoke_body_store::spool::{Pace, Spool};
-use dahliaspoke_body_store::store::{Folder, Segment, Store, CHUNK};
+use dahliaspoke_body_store::storage::{ChunkStorage, SegmentFile, StorageFolder, CHUNK_BYTES};
+use dahliaspoke_body_store::{BodyStore, Pace};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 pub const FILE: &str = "deploy/bodies.toml";
 
 /// The spool, as fronts and links share it.
-pub type Shared = Rc<RefCell<Spool>>;
+pub type Shared = Rc<RefCell<BodyStore>>;
 
 impl EventHandler for Shared {
     fn next_deadline(&mut self) -> Option<Time> {
@@ -108,7 +108,7 @@
             }
             _ => Ok(()),
         };
-        let least = CHUNKS_LEAST * CHUNK as f64 / WINDOWS / MB;
+        let least = CHUNKS_LEAST * CHUNK_BYTES as f64 / WINDOWS / MB;
         within("memory_mb", Some(&self.memory_mb), least, 1e6)?;
         within("largest_mb", Some(&self.largest_mb), 0.001, 4_000.0)?;
         within("above_kb", self.above_kb.as_ref(), 0.0, 128.0)?;
@@ -164,22 +164,22 @@
         Budgets {
             memory_bytes: ((1.0 - WINDOWS) * memory) as u64,
             file_bytes: self.files_mb.as_ref().map_or(0, bytes),
-            window_chunks: (WINDOWS * memory / CHUNK as f64) as usize,
+            window_chunks: (WINDOWS * memory / CHUNK_BYTES as f64) as usize,
             classes: classes.collect(),
         }
     }
 
     /// Opens the spool.
     pub fn open(&self, settings: &Settings) -> Result<Shared, String> {
-        let store: Option<Arc<dyn Store>> = match (&self.files_mb, &self.folder) {
+        let store: Option<Arc<dyn ChunkStorage>> = match (&self.files_mb, &self.folder) {
             (Some(_), Some(path)) => {
-                let segment = Folder::open(path).and_then(Segment::open);
+                let segment = StorageFolder::open(path).and_then(SegmentFile::open);
                 Some(Arc::new(segment.map_err(|e| format!("{FILE}: {}: {e}", path.display()))?))
             }
             _ => None,
         };
         let pace = Pace { hangs: self.disk_hangs_ms.get_ref() / 1000.0, again: AGAIN };
-        let spool = Spool::new(self.rules(settings), pace, store, THREADS);
+        let spool = BodyStore::new(self.rules(settings), pace, store, THREADS);
         spool.map(|spool| Rc::new(RefCell::new(spool))).map_err(|e| format!("{FILE}: {e}"))
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -14,7 +14,6 @@
     ("src/listener/mysql/mod.rs", 696),
     ("src/upstream/mysql/mod.rs", 605),
     ("src/upstream/resp/mod.rs", 787),
-    ("crates/body-store/src/spool.rs", 886),
     ("crates/simulator/src/engine.rs", 430),
     ("crates/simulator/src/world.rs", 896),
 ];
