--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -1,9 +1,9 @@
-//! The file that has large bodies kept for further attempts: `deploy/bodies.toml`.
+//! The body store of the daemon: its configuration file, `deploy/bodies.toml`, what follows from it, and its statistics.
 
-use crate::config::{self, line_of};
+use crate::config::{line_number, read_optional_with_text, ConfigError};
 use crate::limits::Limits;
 use crate::net::{EventHandler, Ready, Time};
-use dahliaspoke::policy::{Idempotency, Settings};
+use dahliaspoke::policy::{ClassSettings, Idempotency, Settings};
 use dahliaspoke_body_store::plan::{
     Budgets, ClassCounters, ClassLimits, Tier, PASSED_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
 };
@@ -12,15 +12,38 @@
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::path::PathBuf;
+use std::io;
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
+use thiserror::Error;
 use toml::Spanned;
 
 /// Where the file is, from the folder that the daemon is started in.
 pub const FILE: &str = "deploy/bodies.toml";
 
-/// The spool, as fronts and links share it.
+const BYTES_PER_KB: f64 = 1024.0;
+const BYTES_PER_MB: f64 = 1024.0 * BYTES_PER_KB;
+const MS_PER_SECOND: f64 = 1000.0;
+
+/// Share of `memory_mb` that windows have; bodies have the rest.
+const WINDOW_SHARE: f64 = 0.25;
+/// Fewest chunks for windows (chunks): half of them hold a body that is passed on beside a replay.
+const MIN_WINDOW_CHUNKS: f64 = 2.0 * (PASSED_WINDOW_CHUNKS + REPLAY_WINDOW_CHUNKS) as f64;
+/// Threads that call the disk.
+const IO_THREADS: usize = 2;
+/// Files are tried again so long after one could not be written (s).
+const FILE_RETRY_DELAY: f64 = 1.0;
+
+/// `stall_ms` where the file has none.
+const DEFAULT_STALL_MS: f64 = 5_000.0;
+/// `upload_ms` where the file has none.
+const DEFAULT_UPLOAD_MS: f64 = 60_000.0;
+/// `disk_hangs_ms` where the file has none.
+const DEFAULT_DISK_HANGS_MS: f64 = 2_000.0;
+
+/// The body store, as listeners and upstreams share it.
 pub type Shared = Rc<RefCell<BodyStore>>;
 
 impl EventHandler for Shared {
@@ -37,164 +60,255 @@
     }
 }
 
-const MB: f64 = 1024.0 * 1024.0;
-/// Part of the memory that windows have.
-const WINDOWS: f64 = 0.25;
-/// Chunks without which a body that is passed on and a replay could not go beside each other.
-const CHUNKS_LEAST: f64 = 2.0 * (PASSED_WINDOW_CHUNKS + REPLAY_WINDOW_CHUNKS) as f64;
-/// Threads that call the disk.
-const THREADS: usize = 2;
-/// Files are tried again so long after one could not be written (s).
-const AGAIN: f64 = 1.0;
+/// Why the file was not accepted, or the body store could not be opened.
+#[derive(Debug, Error)]
+pub enum BodyStoreError {
+    /// The file could not be read or parsed.
+    #[error(transparent)]
+    File(#[from] ConfigError),
+    /// A number is too small or too large.
+    #[error("{FILE}: line {line}: {key} is {value}, not between {least} and {most}")]
+    OutOfRange {
+        /// The line, from 1.
+        line: usize,
+        /// The key, with the names of its tables.
+        key: String,
+        /// Its value.
+        value: f64,
+        /// The least value that is accepted.
+        least: f64,
+        /// The greatest value that is accepted.
+        most: f64,
+    },
+    /// Files are wanted, and there is no folder for them.
+    #[error("{FILE}: line {line}: files_mb needs a folder to have them in")]
+    NoFolder {
+        /// The line of `files_mb`, from 1.
+        line: usize,
+    },
+    /// A table is for a class that the settings do not have.
+    #[error("{FILE}: line {line}: no class is called {name}")]
+    UnknownClass {
+        /// The line, from 1.
+        line: usize,
+        /// The name of the table.
+        name: String,
+    },
+    /// No file can be created in the folder.
+    #[error("{FILE}: {}: {source}", path.display())]
+    Folder {
+        /// The folder.
+        path: PathBuf,
+        /// The reason.
+        source: io::Error,
+    },
+    /// The system has no descriptor for the waker.
+    #[error("{FILE}: {0}")]
+    Waker(#[source] io::Error),
+}
 
+/// The content of the file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bodies {
-    /// Bodies and what goes by, in memory.
+    /// Memory for bodies and windows (MB).
     memory_mb: Spanned<f64>,
-    /// The largest body of any class.
+    /// The largest body of any class (MB).
     largest_mb: Spanned<f64>,
-    /// Bodies above this go through here; without it, those that the door itself does not hold.
+    /// Bodies above this go to the body store (KB); without it, those that the listener itself does not hold.
     above_kb: Option<Spanned<f64>>,
-    /// Bodies in files; none without it.
+    /// Files for bodies (MB); none without it.
     files_mb: Option<Spanned<f64>>,
+    /// Where the files are.
     folder: Option<PathBuf>,
-    #[serde(default = "stall")]
+    /// Longest pause of a sender (ms).
+    #[serde(default = "default_stall_ms")]
     stall_ms: Spanned<f64>,
-    #[serde(default = "upload")]
+    /// Longest time that a body may take to arrive (ms).
+    #[serde(default = "default_upload_ms")]
     upload_ms: Spanned<f64>,
-    #[serde(default = "hangs")]
+    /// A write that takes longer than this counts as one that hangs (ms).
+    #[serde(default = "default_disk_hangs_ms")]
     disk_hangs_ms: Spanned<f64>,
+    /// By the name of the class.
     #[serde(default)]
-    class: BTreeMap<Spanned<String>, Class>,
+    class: BTreeMap<Spanned<String>, ClassTable>,
 }
 
-fn stall() -> Spanned<f64> {
-    Spanned::new(0..0, 5_000.0)
+fn default_stall_ms() -> Spanned<f64> {
+    Spanned::new(0..0, DEFAULT_STALL_MS)
 }
 
-fn upload() -> Spanned<f64> {
-    Spanned::new(0..0, 60_000.0)
+fn default_upload_ms() -> Spanned<f64> {
+    Spanned::new(0..0, DEFAULT_UPLOAD_MS)
 }
 
-fn hangs() -> Spanned<f64> {
-    Spanned::new(0..0, 2_000.0)
+fn default_disk_hangs_ms() -> Spanned<f64> {
+    Spanned::new(0..0, DEFAULT_DISK_HANGS_MS)
 }
 
-/// What a class may use; absent values are all of it.
+/// What one class may use. A share that is absent is all of it.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Class {
+struct ClassTable {
+    /// Largest share of the memory (0 to 1).
     memory_share: Option<Spanned<f64>>,
+    /// Largest share of the files (0 to 1).
     files_share: Option<Spanned<f64>>,
+    /// The largest body (MB).
     largest_mb: Option<Spanned<f64>>,
-    /// Bodies that fit nowhere may be passed on without being kept; if not, they are turned away.
+    /// Bodies that fit nowhere may be passed on without being kept; if not, they are rejected.
     pass: Option<bool>,
 }
 
+/// The text of the file, to report lines of it.
+struct FileText<'a>(&'a str);
+
+impl FileText<'_> {
+    /// The line in which a value begins, from 1.
+    fn line_of<T>(&self, value: &Spanned<T>) -> usize {
+        line_number(self.0, value.span().start)
+    }
+
+    /// Checks that a value is in its range, if there is one.
+    fn check_range(
+        &self,
+        key: &str,
+        value: Option<&Spanned<f64>>,
+        range: RangeInclusive<f64>,
+    ) -> Result<(), BodyStoreError> {
+        let Some(value) = value.filter(|value| !range.contains(value.get_ref())) else { return Ok(()) };
+        Err(BodyStoreError::OutOfRange {
+            line: self.line_of(value),
+            key: key.into(),
+            value: *value.get_ref(),
+            least: *range.start(),
+            most: *range.end(),
+        })
+    }
+}
+
 impl Bodies {
-    /// The file's content, checked; `None` where there is no file.
-    pub fn from_file(settings: &Settings) -> Result<Option<Self>, String> {
-        let Some((bodies, text)) = config::optional_with_text::<Self>(FILE)? else { return Ok(None) };
-        bodies.check(settings, &text).map_err(|e| format!("{FILE}: {e}"))?;
-        Ok(Some(bodies))
+    /// Reads and checks the file; `None` where there is none: the body store is off then.
+    ///
+    /// # Errors
+    /// What is wrong with the file, in one line with line and key.
+    pub fn from_file(settings: &Settings) -> Result<Option<Self>, BodyStoreError> {
+        let Some(file) = read_optional_with_text::<Self>(FILE)? else { return Ok(None) };
+        let text = FileText(&file.text);
+        file.content.check_numbers(&text)?;
+        file.content.check_folder(&text)?;
+        file.content.check_classes(settings, &text)?;
+        Ok(Some(file.content))
     }
 
-    fn check(&self, settings: &Settings, text: &str) -> Result<(), String> {
-        let within = |key: &str, value: Option<&Spanned<f64>>, least: f64, most: f64| match value {
-            Some(value) if !(least..=most).contains(value.get_ref()) => {
-                let line = line_of(text, value.span().start);
-                Err(format!("line {line}: {key} is {}, not between {least} and {most}", value.get_ref()))
-            }
+    fn check_numbers(&self, text: &FileText) -> Result<(), BodyStoreError> {
+        let min_memory_mb = MIN_WINDOW_CHUNKS * CHUNK_BYTES as f64 / WINDOW_SHARE / BYTES_PER_MB;
+        text.check_range("memory_mb", Some(&self.memory_mb), min_memory_mb..=1e6)?;
+        text.check_range("largest_mb", Some(&self.largest_mb), 0.001..=4_000.0)?;
+        text.check_range("above_kb", self.above_kb.as_ref(), 0.0..=128.0)?;
+        text.check_range("files_mb", self.files_mb.as_ref(), 1.0..=1e7)?;
+        text.check_range("stall_ms", Some(&self.stall_ms), 1.0..=1e6)?;
+        text.check_range("upload_ms", Some(&self.upload_ms), 1.0..=1e7)?;
+        text.check_range("disk_hangs_ms", Some(&self.disk_hangs_ms), 1.0..=1e6)
+    }
+
+    fn check_folder(&self, text: &FileText) -> Result<(), BodyStoreError> {
+        match (&self.files_mb, &self.folder) {
+            (Some(files), None) => Err(BodyStoreError::NoFolder { line: text.line_of(files) }),
             _ => Ok(()),
-        };
-        let least = CHUNKS_LEAST * CHUNK_BYTES as f64 / WINDOWS / MB;
-        within("memory_mb", Some(&self.memory_mb), least, 1e6)?;
-        within("largest_mb", Some(&self.largest_mb), 0.001, 4_000.0)?;
-        within("above_kb", self.above_kb.as_ref(), 0.0, 128.0)?;
-        within("files_mb", self.files_mb.as_ref(), 1.0, 1e7)?;
-        within("stall_ms", Some(&self.stall_ms), 1.0, 1e6)?;
-        within("upload_ms", Some(&self.upload_ms), 1.0, 1e7)?;
-        within("disk_hangs_ms", Some(&self.disk_hangs_ms), 1.0, 1e6)?;
-        if let (Some(files), None) = (&self.files_mb, &self.folder) {
-            let line = line_of(text, files.span().start);
-            return Err(format!("line {line}: files_mb needs a folder to have them in"));
         }
-        for (name, class) in &self.class {
-            let line = line_of(text, name.span().start);
-            let name = name.get_ref();
-            if settings.classes.iter().all(|c| c.name != *name) {
-                return Err(format!("line {line}: no class is called {name}"));
+    }
+
+    fn check_classes(&self, settings: &Settings, text: &FileText) -> Result<(), BodyStoreError> {
+        for (spanned_name, table) in &self.class {
+            let name = spanned_name.get_ref();
+            if settings.classes.iter().all(|class| class.name != *name) {
+                let line = text.line_of(spanned_name);
+                return Err(BodyStoreError::UnknownClass { line, name: name.clone() });
             }
             let key = |key: &str| format!("class.{name}.{key}");
-            within(&key("memory_share"), class.memory_share.as_ref(), 0.0, 1.0)?;
-            within(&key("files_share"), class.files_share.as_ref(), 0.0, 1.0)?;
-            within(&key("largest_mb"), class.largest_mb.as_ref(), 0.001, *self.largest_mb.get_ref())?;
+            let max_mb = *self.largest_mb.get_ref();
+            text.check_range(&key("memory_share"), table.memory_share.as_ref(), 0.0..=1.0)?;
+            text.check_range(&key("files_share"), table.files_share.as_ref(), 0.0..=1.0)?;
+            text.check_range(&key("largest_mb"), table.largest_mb.as_ref(), 0.001..=max_mb)?;
         }
         Ok(())
     }
 
-    /// What the file says of sizes and times.
+    /// Sets the limits of the listeners that follow from the file.
     pub fn limit(&self, settings: &Settings, limits: &mut Limits) {
-        let above = self.above_kb.as_ref().map_or(usize::MAX, |kb| (kb.get_ref() * 1024.0) as usize);
+        let above = self.above_kb.as_ref().map_or(usize::MAX, |kb| (kb.get_ref() * BYTES_PER_KB) as usize);
         limits.bodies.max_inline_bytes = above.min(limits.http.max_body_bytes);
-        limits.bodies.max_bytes = (self.largest_mb.get_ref() * MB) as usize;
-        limits.bodies.stall_timeout = self.stall_ms.get_ref() / 1000.0;
-        limits.bodies.upload_timeout = self.upload_ms.get_ref() / 1000.0;
+        limits.bodies.max_bytes = (self.largest_mb.get_ref() * BYTES_PER_MB) as usize;
+        limits.bodies.stall_timeout = self.stall_ms.get_ref() / MS_PER_SECOND;
+        limits.bodies.upload_timeout = self.upload_ms.get_ref() / MS_PER_SECOND;
         limits.bodies.retry_after = settings.retry_after;
     }
 
-    fn rules(&self, settings: &Settings) -> Budgets {
-        let bytes = |mb: &Spanned<f64>| (mb.get_ref() * MB) as u64;
-        let share = |share: &Option<Spanned<f64>>| share.as_ref().map_or(1.0, |s| *s.get_ref());
-        let none = Class::default();
-        let classes = settings.classes.iter().map(|class| {
-            let own = self.class.iter().find(|(name, _)| *name.get_ref() == class.name).map(|c| c.1);
-            let own = own.unwrap_or(&none);
-            ClassLimits {
-                repeatable: class.idempotency != Idempotency::Never,
-                priority_weight: class.priority_weight,
-                memory_share: share(&own.memory_share),
-                file_share: share(&own.files_share),
-                max_bytes: own.largest_mb.as_ref().map_or(bytes(&self.largest_mb), bytes),
-                pass_through: own.pass.unwrap_or(true),
-            }
-        });
-        let memory = bytes(&self.memory_mb) as f64;
+    /// Opens the body store.
+    ///
+    /// # Errors
+    /// [`BodyStoreError::Folder`] or [`BodyStoreError::Waker`].
+    pub fn open(&self, settings: &Settings) -> Result<Shared, BodyStoreError> {
+        let storage = match (&self.files_mb, &self.folder) {
+            (Some(_), Some(path)) => Some(open_storage(path)?),
+            _ => None,
+        };
+        let pace = Pace { hangs: self.disk_hangs_ms.get_ref() / MS_PER_SECOND, again: FILE_RETRY_DELAY };
+        let store = BodyStore::new(self.budgets(settings), pace, storage, IO_THREADS);
+        Ok(Rc::new(RefCell::new(store.map_err(BodyStoreError::Waker)?)))
+    }
+
+    fn budgets(&self, settings: &Settings) -> Budgets {
+        let memory_bytes = bytes(&self.memory_mb) as f64;
         Budgets {
-            memory_bytes: ((1.0 - WINDOWS) * memory) as u64,
+            memory_bytes: ((1.0 - WINDOW_SHARE) * memory_bytes) as u64,
             file_bytes: self.files_mb.as_ref().map_or(0, bytes),
-            window_chunks: (WINDOWS * memory / CHUNK_BYTES as f64) as usize,
-            classes: classes.collect(),
+            window_chunks: (WINDOW_SHARE * memory_bytes / CHUNK_BYTES as f64) as usize,
+            classes: settings.classes.iter().map(|class| self.class_limits(class)).collect(),
         }
     }
 
-    /// Opens the spool.
-    pub fn open(&self, settings: &Settings) -> Result<Shared, String> {
-        let store: Option<Arc<dyn ChunkStorage>> = match (&self.files_mb, &self.folder) {
-            (Some(_), Some(path)) => {
-                let segment = StorageFolder::open(path).and_then(SegmentFile::open);
-                Some(Arc::new(segment.map_err(|e| format!("{FILE}: {}: {e}", path.display()))?))
-            }
-            _ => None,
-        };
-        let pace = Pace { hangs: self.disk_hangs_ms.get_ref() / 1000.0, again: AGAIN };
-        let spool = BodyStore::new(self.rules(settings), pace, store, THREADS);
-        spool.map(|spool| Rc::new(RefCell::new(spool))).map_err(|e| format!("{FILE}: {e}"))
+    fn class_limits(&self, class: &ClassSettings) -> ClassLimits {
+        let default = ClassTable::default();
+        let named = self.class.iter().find(|(name, _)| *name.get_ref() == class.name);
+        let table = named.map_or(&default, |(_, table)| table);
+        ClassLimits {
+            repeatable: class.idempotency != Idempotency::Never,
+            priority_weight: class.priority_weight,
+            memory_share: share(table.memory_share.as_ref()),
+            file_share: share(table.files_share.as_ref()),
+            max_bytes: bytes(table.largest_mb.as_ref().unwrap_or(&self.largest_mb)),
+            pass_through: table.pass.unwrap_or(true),
+        }
     }
 }
 
-/// The figures of one class, for operators.
-pub fn figures(class: &str, figures: &ClassCounters, mut line: impl FnMut(&str, u64)) {
+fn bytes(mb: &Spanned<f64>) -> u64 {
+    (mb.get_ref() * BYTES_PER_MB) as u64
+}
+
+fn share(value: Option<&Spanned<f64>>) -> f64 {
+    value.map_or(1.0, |share| *share.get_ref())
+}
+
+fn open_storage(path: &Path) -> Result<Arc<dyn ChunkStorage>, BodyStoreError> {
+    let segment = StorageFolder::open(path).and_then(SegmentFile::open);
+    Ok(Arc::new(segment.map_err(|source| BodyStoreError::Folder { path: path.into(), source })?))
+}
+
+/// Reports the statistics of one class, name and value each.
+pub fn figures(class: &str, counters: &ClassCounters, mut report: impl FnMut(&str, u64)) {
     for (tier, name) in [(Tier::Memory, "memory"), (Tier::File, "file"), (Tier::Passed, "passed")] {
-        line(&format!("bodies.{name}.held.{class}"), figures.held_bodies.get(tier));
-        line(&format!("bodies.{name}.bytes.{class}"), figures.held_bytes.get(tier));
-        line(&format!("bodies.{name}.taken.{class}"), figures.taken.get(tier));
+        report(&format!("bodies.{name}.held.{class}"), counters.held_bodies.get(tier));
+        report(&format!("bodies.{name}.bytes.{class}"), counters.held_bytes.get(tier));
+        report(&format!("bodies.{name}.taken.{class}"), counters.taken.get(tier));
     }
-    line(&format!("bodies.demoted.{class}"), figures.demoted);
-    line(&format!("bodies.dropped.{class}"), figures.dropped);
-    line(&format!("bodies.replayed.{class}"), figures.replayed);
-    line(&format!("bodies.refused.{class}"), figures.rejected);
-    line(&format!("bodies.too_large.{class}"), figures.too_large);
-    line(&format!("bodies.spoilt.{class}"), figures.corrupt);
+    report(&format!("bodies.demoted.{class}"), counters.demoted);
+    report(&format!("bodies.dropped.{class}"), counters.dropped);
+    report(&format!("bodies.replayed.{class}"), counters.replayed);
+    report(&format!("bodies.refused.{class}"), counters.rejected);
+    report(&format!("bodies.too_large.{class}"), counters.too_large);
+    report(&format!("bodies.spoilt.{class}"), counters.corrupt);
 }
--- a/src/config/compat.rs
+++ b/src/config/compat.rs
@@ -1,6 +1,6 @@
 //! Former names, and errors as texts, for callers that are not typed yet. All of it goes with the last of them.
 
-use super::{line_number, parse_toml, read_optional, read_optional_with_text, Config, ConfigError};
+use super::{parse_toml, read_optional, Config, ConfigError};
 use serde::de::DeserializeOwned;
 
 impl From<ConfigError> for String {
@@ -35,14 +35,6 @@
     read_optional(path)
 }
 
-/// [`read_optional_with_text`] by its former name, with a tuple of content and text.
-///
-/// # Errors
-/// As [`read_optional_with_text`].
-pub fn optional_with_text<T: DeserializeOwned>(path: &str) -> Result<Option<(T, String)>, ConfigError> {
-    Ok(read_optional_with_text(path)?.map(|file| (file.content, file.text)))
-}
-
 /// [`parse_toml`] with a text for an error.
 ///
 /// # Errors
@@ -50,8 +42,3 @@
 pub fn parsed<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, String> {
     Ok(parse_toml(path, text)?)
 }
-
-/// [`line_number`] by its former name.
-pub fn line_of(text: &str, offset: usize) -> usize {
-    line_number(text, offset)
-}
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,7 +5,7 @@
 mod error;
 mod toml_file;
 
-pub use compat::{line_of, optional, optional_with_text, parsed};
+pub use compat::{optional, parsed};
 pub use error::ConfigError;
 pub use toml_file::{line_number, parse_toml, read_optional, read_optional_with_text};
 
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -197,10 +197,10 @@
 
 /// Opens the body store, where the deployment has its file, and sets the limits that follow from it.
 fn open_body_store(config: &mut Config) -> Result<Option<body_store::Shared>, DaemonError> {
-    let file = Bodies::from_file(&config.settings).map_err(DaemonError::File)?;
+    let file = Bodies::from_file(&config.settings).map_err(|error| DaemonError::File(error.to_string()))?;
     let Some(file) = file else { return Ok(None) };
     file.limit(&config.settings, &mut config.limits);
-    let opened = file.open(&config.settings).map_err(DaemonError::File)?;
+    let opened = file.open(&config.settings).map_err(|error| DaemonError::File(error.to_string()))?;
     Ok(Some(opened))
 }
 
