--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo bench -p dahliaspoke-body-store
 //!
-//! `plain` is what the door did before: one growing buffer, copied once to send it.
+//! `plain` is what the listener did before: one growing buffer, copied once to send it.
 
 use dahliaspoke_body_store::plan::{Budgets, ClassLimits};
 use dahliaspoke_body_store::storage::{slot_offset, ChunkStorage, SegmentFile, StorageFolder};
@@ -17,17 +17,18 @@
 use std::time::Instant;
 
 const MB: u64 = 1 << 20;
-/// What one read from a socket brings.
-const READ: usize = 16 << 10;
-const BYTES: u64 = 512 * MB;
+/// What one read from a socket returns (bytes).
+const SOCKET_READ_BYTES: usize = 16 << 10;
+/// What each measurement sends in all (bytes).
+const TOTAL_BYTES: u64 = 512 * MB;
 
 /// A file a body: the option that was measured and not taken (`docs/body-store-design.md`).
-struct Files {
+struct FilePerBody {
     folder: StorageFolder,
     files: Mutex<HashMap<u64, Arc<File>>>,
 }
 
-impl Files {
+impl FilePerBody {
     fn open(folder: StorageFolder) -> Self {
         Self { folder, files: Mutex::default() }
     }
@@ -43,7 +44,7 @@
     }
 }
 
-impl ChunkStorage for Files {
+impl ChunkStorage for FilePerBody {
     fn write(&self, body: u64, slot: u32, bytes: &[u8]) -> io::Result<()> {
         self.file(body)?.write_all_at(bytes, slot_offset(slot))
     }
@@ -58,79 +59,79 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum How {
+enum Mode {
     Memory,
     File,
     Passed,
 }
 
-fn spool(how: How, store: Option<Arc<dyn ChunkStorage>>) -> BodyStore {
+fn open_store(mode: Mode, storage: Option<Arc<dyn ChunkStorage>>) -> BodyStore {
     let class = ClassLimits {
         repeatable: true,
         priority_weight: 1.0,
-        memory_share: if how == How::Memory { 1.0 } else { 0.0 },
+        memory_share: if mode == Mode::Memory { 1.0 } else { 0.0 },
         file_share: 1.0,
         max_bytes: 64 * MB,
         pass_through: true,
     };
-    let file_bytes = if how == How::File { 1024 * MB } else { 0 };
+    let file_bytes = if mode == Mode::File { 1024 * MB } else { 0 };
     let budgets = Budgets { memory_bytes: 512 * MB, file_bytes, window_chunks: 64, classes: vec![class] };
-    BodyStore::new(budgets, Pace { hangs: 60.0, again: 1.0 }, store, 2).expect("a descriptor")
+    BodyStore::new(budgets, Pace { hangs: 60.0, again: 1.0 }, storage, 2).expect("a descriptor")
 }
 
 /// Waits for the disk where there is nothing else to do.
-fn wait(spool: &mut BodyStore) {
-    while spool.take().is_some() {}
-    spool.on_ready(0.0);
+fn wait(store: &mut BodyStore) {
+    while store.take().is_some() {}
+    store.on_ready(0.0);
     std::thread::yield_now();
 }
 
-fn read(spool: &mut BodyStore, body: &Body) -> u64 {
-    let reader = spool.reader(0.0, body).expect("here");
+fn read(store: &mut BodyStore, body: &Body) -> u64 {
+    let reader = store.reader(0.0, body).expect("here");
     let mut count = 0;
     loop {
-        match spool.pull(0.0, &reader) {
+        match store.pull(0.0, &reader) {
             Pull::Bytes(bytes) => count += black_box(&bytes).len() as u64,
-            Pull::Wait => wait(spool),
+            Pull::Wait => wait(store),
             Pull::End => return count,
             Pull::Lost => panic!("lost"),
         }
     }
 }
 
-fn one(spool: &mut BodyStore, how: How, length: u64, piece: &[u8], reads: usize) {
-    let (body, _) = spool.admit(0.0, 0, length, 1.0).expect("room");
+fn send_and_read(store: &mut BodyStore, mode: Mode, length: u64, piece: &[u8], reads: usize) {
+    let (body, _) = store.admit(0.0, 0, length, 1.0).expect("room");
     let mut left = length as usize;
-    if how == How::Passed {
-        let reader = spool.reader(0.0, &body).expect("here");
+    if mode == Mode::Passed {
+        let reader = store.reader(0.0, &body).expect("here");
         loop {
-            let count = spool.room(body.id()).min(left).min(piece.len());
-            spool.push(0.0, body.id(), &piece[..count]);
+            let count = store.room(body.id()).min(left).min(piece.len());
+            store.push(0.0, body.id(), &piece[..count]);
             left -= count;
-            match spool.pull(0.0, &reader) {
+            match store.pull(0.0, &reader) {
                 Pull::Bytes(bytes) => drop(black_box(bytes)),
                 Pull::End => return,
                 Pull::Wait => {}
                 Pull::Lost => panic!("lost"),
             }
-            while spool.take().is_some() {}
+            while store.take().is_some() {}
         }
     }
     let mut kept = false;
     while !kept {
-        let count = spool.room(body.id()).min(left).min(piece.len());
-        spool.push(0.0, body.id(), &piece[..count]);
+        let count = store.room(body.id()).min(left).min(piece.len());
+        store.push(0.0, body.id(), &piece[..count]);
         left -= count;
-        while let Some(wake) = spool.take() {
+        while let Some(wake) = store.take() {
             kept |= matches!(wake, Wake::Kept(_));
         }
         if count == 0 && !kept {
-            spool.on_ready(0.0);
+            store.on_ready(0.0);
             std::thread::yield_now();
         }
     }
     for _ in 0..reads {
-        assert_eq!(read(spool, &body), length);
+        assert_eq!(read(store, &body), length);
     }
 }
 
@@ -145,7 +146,7 @@
 }
 
 fn run(name: &str, length: u64, mut body: impl FnMut()) {
-    let count = (BYTES / length).min(4000);
+    let count = (TOTAL_BYTES / length).min(4000);
     (0..count / 10 + 1).for_each(|_| body()); // warm
     let mut times = Histogram::<u64>::new(3).expect("a histogram");
     let began = Instant::now();
@@ -158,30 +159,32 @@
 }
 
 fn main() {
-    let piece: Vec<u8> = (0..READ).map(|n| n as u8).collect();
+    let piece: Vec<u8> = (0..SOCKET_READ_BYTES).map(|n| n as u8).collect();
     let folder = tempfile::tempdir().expect("a folder");
     let open = || StorageFolder::open(folder.path()).expect("a folder");
     for length in [64 << 10, MB, 16 * MB] {
         run("plain", length, || {
             let mut buffer = Vec::new();
-            (0..length as usize / READ).for_each(|_| buffer.extend_from_slice(&piece));
+            (0..length as usize / SOCKET_READ_BYTES).for_each(|_| buffer.extend_from_slice(&piece));
             black_box(buffer.to_vec());
         });
-        for (name, how, reads) in
-            [("passed on", How::Passed, 1), ("memory", How::Memory, 1), ("memory, replayed", How::Memory, 2)]
-        {
-            let mut spool = spool(how, None);
-            run(name, length, || one(&mut spool, how, length, &piece, reads));
+        for (name, mode, reads) in [
+            ("passed on", Mode::Passed, 1),
+            ("memory", Mode::Memory, 1),
+            ("memory, replayed", Mode::Memory, 2),
+        ] {
+            let mut store = open_store(mode, None);
+            run(name, length, || send_and_read(&mut store, mode, length, &piece, reads));
         }
-        let stores: [(&str, Arc<dyn ChunkStorage>); 2] = [
+        let storages: [(&str, Arc<dyn ChunkStorage>); 2] = [
             ("segment", Arc::new(SegmentFile::open(open()).expect("a file"))),
-            ("a file a body", Arc::new(Files::open(open()))),
+            ("a file a body", Arc::new(FilePerBody::open(open()))),
         ];
-        for (name, store) in stores {
+        for (name, storage) in storages {
             for reads in [1, 2] {
-                let mut spool = spool(How::File, Some(store.clone()));
+                let mut store = open_store(Mode::File, Some(storage.clone()));
                 let name = if reads == 1 { name.to_string() } else { format!("{name}, replayed") };
-                run(&name, length, || one(&mut spool, How::File, length, &piece, reads));
+                run(&name, length, || send_and_read(&mut store, Mode::File, length, &piece, reads));
             }
         }
     }
