--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use dahliaspoke_body_store::plan::*;
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest::test_runner::{RngSeed, TestCaseResult};
 
 const MB: u64 = 1 << 20;
 
@@ -23,69 +23,243 @@
 #[derive(Clone, Debug)]
 enum Step {
     Admit { class: usize, length: u64 },
-    Open(usize),
+    AdmitUnknownLength(usize),
     Extend(usize),
-    End(usize, u64),
-    Whole(usize),
-    Demote,
-    Moved(usize, bool),
-    Fail,
-    Fall(usize),
-    Read(usize),
-    ReadOver(usize),
-    Close(usize),
+    SetLength(usize, u64),
+    MarkComplete(usize),
+    StartDemotion,
+    FinishDemotion(usize, bool),
+    SuspendFiles,
+    FallBack(usize),
+    StartRead(usize),
+    EndRead(usize),
+    Release(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let length = prop_oneof![1..64 * 1024u64, 64 * 1024..2 * MB, MB..10 * MB];
     prop_oneof![
         4 => (0..3usize, length).prop_map(|(class, length)| Step::Admit { class, length }),
-        1 => (0..3usize).prop_map(Step::Open),
+        1 => (0..3usize).prop_map(Step::AdmitUnknownLength),
         2 => any::<usize>().prop_map(Step::Extend),
-        1 => (any::<usize>(), any::<u64>()).prop_map(|(at, length)| Step::End(at, length)),
-        4 => any::<usize>().prop_map(Step::Whole),
-        2 => Just(Step::Demote),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(at, done)| Step::Moved(at, done)),
-        1 => Just(Step::Fail),
-        1 => any::<usize>().prop_map(Step::Fall),
-        2 => any::<usize>().prop_map(Step::Read),
-        2 => any::<usize>().prop_map(Step::ReadOver),
-        3 => any::<usize>().prop_map(Step::Close),
+        1 => (any::<usize>(), any::<u64>()).prop_map(|(index, length)| Step::SetLength(index, length)),
+        4 => any::<usize>().prop_map(Step::MarkComplete),
+        2 => Just(Step::StartDemotion),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(index, succeeds)| Step::FinishDemotion(index, succeeds)),
+        1 => Just(Step::SuspendFiles),
+        1 => any::<usize>().prop_map(Step::FallBack),
+        2 => any::<usize>().prop_map(Step::StartRead),
+        2 => any::<usize>().prop_map(Step::EndRead),
+        3 => any::<usize>().prop_map(Step::Release),
     ]
 }
 
-/// The invariants of the plan's page, counted afresh from what is held.
-fn check(plan: &Plan, budgets: &Budgets, held: &[BodyId], replays: usize) {
-    let (mut used, mut arrivals) = (UsedBytes::default(), 0);
-    let mut by_class = vec![UsedBytes::default(); budgets.classes.len()];
-    for body in held.iter().filter_map(|id| plan.body(*id)) {
-        let in_file = body.tier == Tier::File || body.demoting || body.retains_file;
-        for sums in [&mut used, &mut by_class[body.class]] {
-            sums.memory += if body.tier == Tier::Memory { body.length } else { 0 };
-            sums.file += if in_file { body.length } else { 0 };
-        }
-        arrivals += body.window_chunks;
-        assert!(body.tier != Tier::Passed || body.readers <= 1, "a passed body has one reader");
-    }
-    assert_eq!((plan.used(), plan.windows()), (used, UsedWindows { arrivals, replays }));
-    assert!(
-        used.memory <= budgets.memory_bytes && used.file <= budgets.file_bytes,
-        "over the budget: {used:?}"
-    );
-    assert!(
-        arrivals + replays <= budgets.window_chunks && 4 * arrivals <= 3 * budgets.window_chunks,
-        "too many windows"
-    );
-    for (class, sums) in budgets.classes.iter().zip(&by_class) {
-        assert!(
-            sums.memory as f64 <= class.memory_share * budgets.memory_bytes as f64,
-            "a class over its memory"
-        );
-        assert!(sums.file as f64 <= class.file_share * budgets.file_bytes as f64, "a class over its files");
-    }
-    for (counters, sums) in plan.counters().iter().zip(&by_class) {
-        let held = UsedBytes { memory: counters.held_bytes.memory, file: counters.held_bytes.file };
-        assert_eq!(held, *sums, "what operators are told");
+/// A reader that the plan has begun.
+struct ActiveReader {
+    body: BodyId,
+    has_window: bool,
+}
+
+/// A plan and what it was asked for, from which the invariants are counted afresh.
+struct History {
+    budgets: Budgets,
+    plan: Plan,
+    bodies: Vec<BodyId>,
+    readers: Vec<ActiveReader>,
+    now: f64,
+}
+
+impl History {
+    fn new() -> Self {
+        let budgets = budgets();
+        let plan = Plan::new(budgets.clone());
+        Self { budgets, plan, bodies: Vec::new(), readers: Vec::new(), now: 0.0 }
+    }
+
+    /// One of the bodies, if there is one and it is as wanted.
+    fn pick(&self, index: usize, wanted: impl Fn(&BodyState) -> bool) -> Option<BodyId> {
+        let id = *self.bodies.get(index.checked_rem(self.bodies.len())?)?;
+        self.plan.body(id).is_some_and(wanted).then_some(id)
+    }
+
+    fn state(&self, id: BodyId) -> BodyState {
+        self.plan.body(id).expect("held").clone()
+    }
+
+    fn apply(&mut self, step: Step) -> TestCaseResult {
+        match step {
+            Step::Admit { class, length } => self.admit(class, length)?,
+            Step::AdmitUnknownLength(class) => {
+                let admitted = self.plan.admit_unknown_length(self.now, class, 256 << 10, self.now + 5.0);
+                self.bodies.extend(admitted.map(|admission| admission.id));
+            }
+            Step::Extend(index) => self.extend(index)?,
+            Step::SetLength(index, length) => self.set_length(index, length),
+            Step::MarkComplete(index) => {
+                // A body whose length is not known is not complete.
+                if let Some(id) = self.pick(index, |body| !body.length_unknown) {
+                    self.plan.mark_complete(id);
+                }
+            }
+            Step::StartDemotion => self.start_demotion()?,
+            Step::FinishDemotion(index, succeeds) => self.finish_demotion(index, succeeds),
+            Step::SuspendFiles => self.plan.suspend_files(self.now + 1.0),
+            Step::FallBack(index) => self.fall_back(index)?,
+            Step::StartRead(index) => self.start_read(index),
+            Step::EndRead(index) => self.end_read(index),
+            Step::Release(index) => self.release(index),
+        }
+        Ok(())
+    }
+
+    fn admit(&mut self, class: usize, length: u64) -> TestCaseResult {
+        let max_bytes = self.budgets.classes[class].max_bytes;
+        match self.plan.admit(self.now, class, length, self.now + 5.0) {
+            Ok(admission) => self.bodies.push(admission.id),
+            Err(Refusal::TooLarge) => prop_assert!(length > max_bytes),
+            Err(Refusal::NoRoom) => prop_assert!(length <= max_bytes),
+        }
+        Ok(())
+    }
+
+    fn extend(&mut self, index: usize) -> TestCaseResult {
+        let Some(id) = self.pick(index, |body| body.length_unknown) else { return Ok(()) };
+        let before = self.state(id);
+        let max_bytes = self.budgets.classes[before.class].max_bytes;
+        match self.plan.extend(id) {
+            Ok(length) => prop_assert!(length > before.length && length <= max_bytes),
+            Err(Refusal::TooLarge) => prop_assert_eq!(before.length, max_bytes),
+            Err(Refusal::NoRoom) => {}
+        }
+        Ok(())
+    }
+
+    fn set_length(&mut self, index: usize, length: u64) {
+        if let Some(id) = self.pick(index, |body| body.length_unknown) {
+            let reserved = self.state(id).length;
+            self.plan.set_length(id, length % (reserved + 1));
+        }
+    }
+
+    fn start_demotion(&mut self) -> TestCaseResult {
+        let before: Vec<_> = self.bodies.iter().map(|id| self.state(*id)).collect();
+        let Some(id) = self.plan.start_demotion(self.now) else { return Ok(()) };
+        let chosen = self.state(id);
+        prop_assert!(chosen.complete && chosen.readers == 0 && chosen.tier == Tier::Memory);
+        // No other one that could go, and is no larger, is worth less by the byte.
+        let value = |body: &BodyState| self.plan.retention_value(self.now, body);
+        let less = before.iter().filter(|body| {
+            body.tier == Tier::Memory
+                && body.complete
+                && body.readers == 0
+                && !body.demoting
+                && body.class == chosen.class
+                && body.length <= chosen.length
+                && body.deadline <= chosen.deadline
+                && value(body) < value(&chosen)
+        });
+        prop_assert_eq!(less.count(), 0);
+        Ok(())
+    }
+
+    fn finish_demotion(&mut self, index: usize, succeeds: bool) {
+        if let Some(id) = self.pick(index, |body| body.demoting) {
+            let succeeded = succeeds && self.state(id).readers == 0;
+            self.plan.finish_demotion(id, succeeded);
+        }
+    }
+
+    fn fall_back(&mut self, index: usize) -> TestCaseResult {
+        let Some(id) = self.pick(index, |_| true) else { return Ok(()) };
+        let before = self.state(id);
+        let fell = self.plan.fall_back_to_passing(id);
+        let arriving = before.tier == Tier::File && !before.complete && !before.length_unknown;
+        let may = arriving && self.budgets.classes[before.class].pass_through;
+        prop_assert_eq!(fell, may, "one that is complete stays");
+        Ok(())
+    }
+
+    fn start_read(&mut self, index: usize) {
+        let Some(id) = self.pick(index, |_| true).filter(|id| self.plan.can_read(*id)) else { return };
+        let has_window = self.state(id).tier == Tier::File;
+        if self.plan.start_read(id) {
+            self.readers.push(ActiveReader { body: id, has_window });
+        }
+    }
+
+    fn end_read(&mut self, index: usize) {
+        if let Some(index) = index.checked_rem(self.readers.len()) {
+            let reader = self.readers.swap_remove(index);
+            self.plan.end_read(reader.body, reader.has_window);
+        }
+    }
+
+    fn release(&mut self, index: usize) {
+        if let Some(id) = self.pick(index, |_| true) {
+            self.bodies.retain(|other| *other != id);
+            self.plan.release(id);
+            self.plan.release(id); // a second time has no effect
+        }
+    }
+
+    /// Ends all readers, then releases all bodies.
+    fn release_all(&mut self) {
+        for reader in self.readers.drain(..) {
+            self.plan.end_read(reader.body, reader.has_window);
+        }
+        for id in self.bodies.drain(..) {
+            self.plan.release(id);
+        }
+    }
+
+    /// Bytes in use by class, counted from the bodies.
+    fn used_by_class(&self) -> Vec<UsedBytes> {
+        let mut by_class = vec![UsedBytes::default(); self.budgets.classes.len()];
+        for body in self.bodies.iter().filter_map(|id| self.plan.body(*id)) {
+            let in_file = body.tier == Tier::File || body.demoting || body.retains_file;
+            let used = &mut by_class[body.class];
+            used.memory += if body.tier == Tier::Memory { body.length } else { 0 };
+            used.file += if in_file { body.length } else { 0 };
+        }
+        by_class
+    }
+
+    /// Windows in use, counted from the bodies and the readers.
+    fn used_windows(&self) -> UsedWindows {
+        let bodies = self.bodies.iter().filter_map(|id| self.plan.body(*id));
+        let readers_with_window = self.readers.iter().filter(|reader| reader.has_window).count();
+        UsedWindows {
+            arrivals: bodies.map(|body| body.window_chunks).sum(),
+            replays: REPLAY_WINDOW_CHUNKS * readers_with_window,
+        }
+    }
+
+    /// The invariants of the plan's page.
+    fn check(&self) {
+        let by_class = self.used_by_class();
+        let (memory, file) =
+            by_class.iter().fold((0, 0), |sum, used| (sum.0 + used.memory, sum.1 + used.file));
+        let (used, windows) = (UsedBytes { memory, file }, self.used_windows());
+        assert_eq!((self.plan.used(), self.plan.windows()), (used, windows));
+        let budgets = &self.budgets;
+        let within = used.memory <= budgets.memory_bytes && used.file <= budgets.file_bytes;
+        assert!(within, "over the budget: {used:?}");
+        let all_windows = windows.arrivals + windows.replays;
+        let few = all_windows <= budgets.window_chunks && 4 * windows.arrivals <= 3 * budgets.window_chunks;
+        assert!(few, "too many windows");
+        for (class, used) in budgets.classes.iter().zip(&by_class) {
+            let max_memory = class.memory_share * budgets.memory_bytes as f64;
+            let max_file = class.file_share * budgets.file_bytes as f64;
+            assert!(used.memory as f64 <= max_memory, "a class over its memory");
+            assert!(used.file as f64 <= max_file, "a class over its files");
+        }
+        for (counters, used) in self.plan.counters().iter().zip(&by_class) {
+            let held = UsedBytes { memory: counters.held_bytes.memory, file: counters.held_bytes.file };
+            assert_eq!(held, *used, "what operators are told");
+        }
+        for body in self.bodies.iter().filter_map(|id| self.plan.body(*id)) {
+            assert!(body.tier != Tier::Passed || body.readers <= 1, "a passed body has one reader");
+        }
     }
 }
 
@@ -94,98 +268,14 @@
 
     #[test]
     fn the_invariants_hold_whatever_happens(steps in prop::collection::vec(step(), 1..200)) {
-        let budgets = budgets();
-        let mut plan = Plan::new(budgets.clone());
-        let (mut held, mut readers, mut now) = (Vec::<BodyId>::new(), Vec::<(BodyId, bool)>::new(), 0.0);
-        let any = |held: &[BodyId], at: usize| (!held.is_empty()).then(|| held[at % held.len()]);
+        let mut history = History::new();
         for step in steps {
-            now += 0.1;
-            match step {
-                Step::Admit { class, length } => match plan.admit(now, class, length, now + 5.0) {
-                    Ok(admission) => held.push(admission.id),
-                    Err(Refusal::TooLarge) => prop_assert!(length > budgets.classes[class].max_bytes),
-                    Err(Refusal::NoRoom) => prop_assert!(length <= budgets.classes[class].max_bytes),
-                },
-                Step::Open(class) => held.extend(plan.admit_unknown_length(now, class, 256 << 10, now + 5.0).map(|b| b.id)),
-                Step::Extend(at) => {
-                    if let Some(id) = any(&held, at).filter(|id| plan.body(*id).is_some_and(|b| b.length_unknown)) {
-                        let (class, had) = plan.body(id).map(|b| (b.class, b.length)).expect("held");
-                        match plan.extend(id) {
-                            Ok(length) => prop_assert!(length > had && length <= budgets.classes[class].max_bytes),
-                            Err(Refusal::TooLarge) => prop_assert_eq!(had, budgets.classes[class].max_bytes),
-                            Err(Refusal::NoRoom) => {}
-                        }
-                    }
-                }
-                Step::End(at, length) => {
-                    if let Some(id) = any(&held, at).filter(|id| plan.body(*id).is_some_and(|b| b.length_unknown)) {
-                        let had = plan.body(id).map_or(0, |b| b.length);
-                        plan.set_length(id, length % (had + 1));
-                    }
-                }
-                Step::Whole(at) => {
-                    // A body whose length is not known is not whole.
-                    let closed = any(&held, at).filter(|id| plan.body(*id).is_some_and(|b| !b.length_unknown));
-                    closed.into_iter().for_each(|id| plan.mark_complete(id));
-                }
-                Step::Demote => {
-                    let before: Vec<_> = held.iter().filter_map(|id| plan.body(*id).cloned()).collect();
-                    if let Some(id) = plan.start_demotion(now) {
-                        let chosen = plan.body(id).expect("held").clone();
-                        prop_assert!(chosen.complete && chosen.readers == 0 && chosen.tier == Tier::Memory);
-                        // No other one that could go, and is no larger, is worth less by the byte.
-                        let less = before.iter().filter(|b| {
-                            b.tier == Tier::Memory && b.complete && b.readers == 0 && !b.demoting
-                                && b.class == chosen.class && b.length <= chosen.length && b.deadline <= chosen.deadline
-                                && plan.retention_value(now, b) < plan.retention_value(now, &chosen)
-                        });
-                        prop_assert_eq!(less.count(), 0);
-                    }
-                }
-                Step::Moved(at, done) => {
-                    if let Some(id) = any(&held, at).filter(|id| plan.body(*id).is_some_and(|b| b.demoting)) {
-                        let done = done && plan.body(id).is_some_and(|b| b.readers == 0);
-                        plan.finish_demotion(id, done);
-                    }
-                }
-                Step::Fail => plan.suspend_files(now + 1.0),
-                Step::Fall(at) => {
-                    if let Some(id) = any(&held, at) {
-                        let before = plan.body(id).expect("held").clone();
-                        let fell = plan.fall_back_to_passing(id);
-                        let coming = before.tier == Tier::File && !before.complete && !before.length_unknown;
-                        let may = coming && budgets.classes[before.class].pass_through;
-                        prop_assert_eq!(fell, may, "one that is whole stays");
-                    }
-                }
-                Step::Read(at) => {
-                    let free = any(&held, at).filter(|id| plan.can_read(*id));
-                    if let Some(id) = free {
-                        let filed = plan.body(id).is_some_and(|b| b.tier == Tier::File);
-                        if plan.start_read(id) {
-                            readers.push((id, filed));
-                        }
-                    }
-                }
-                Step::ReadOver(at) => {
-                    if !readers.is_empty() {
-                        let (id, windowed) = readers.swap_remove(at % readers.len());
-                        plan.end_read(id, windowed);
-                    }
-                }
-                Step::Close(at) => {
-                    if let Some(id) = any(&held, at) {
-                        held.retain(|other| *other != id);
-                        plan.release(id);
-                        plan.release(id); // a second time is nothing
-                    }
-                }
-            }
-            check(&plan, &budgets, &held, REPLAY_WINDOW_CHUNKS * readers.iter().filter(|r| r.1).count());
+            history.now += 0.1;
+            history.apply(step)?;
+            history.check();
         }
-        // All is given back.
-        readers.drain(..).for_each(|(id, windowed)| plan.end_read(id, windowed));
-        held.drain(..).for_each(|id| plan.release(id));
+        history.release_all();
+        let plan = &history.plan;
         prop_assert_eq!((plan.used(), plan.windows()), (UsedBytes::default(), UsedWindows::default()));
         let nothing = PerTier::default();
         prop_assert!(plan.counters().iter().all(|c| c.held_bytes == nothing && c.held_bodies == nothing));
@@ -249,3 +339,12 @@
     taken.iter().for_each(|id| plan.mark_complete(*id));
     assert_eq!(plan.start_demotion(1.0), Some(taken[1]));
 }
+
+#[test]
+fn of_two_alike_the_larger_one_is_demoted() {
+    let mut plan = Plan::new(budgets());
+    let lengths = [3 * MB / 2, 2 * MB, 2 * MB, 2 * MB];
+    let taken = lengths.map(|length| plan.admit(0.0, 0, length, 9.0).expect("room").id);
+    taken.iter().for_each(|id| plan.mark_complete(*id));
+    assert_eq!(plan.start_demotion(1.0), Some(taken[1]));
+}
