--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,11 +1,9 @@
 //! The configuration that the platform hands to the daemon at its start: a JSON file that an environment variable names.
 //! Files in `deploy/` switch on further parts; [`read_optional`] reads them.
 
-mod compat; // until the callers are typed
 mod error;
 mod toml_file;
 
-pub use compat::{line_of, optional, optional_with_text};
 pub use error::ConfigError;
 pub use toml_file::{line_number, parse_toml, read_optional, read_optional_with_text};
 
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,5 +1,6 @@
 //! Why the daemon could not start, or could not go on.
 
+use crate::body_store::BodyStoreError;
 use crate::config::ConfigError;
 use crate::mysql::config::MysqlConfigError;
 use crate::store::StoreError;
@@ -43,9 +44,12 @@
     /// The configuration, or a value of the store that stands in for it, is wrong.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// A file under `deploy/` for `MySQL` or the body store is wrong, or the body store could not be opened.
-    #[error("{0}")]
-    File(String),
+    /// The file of the `MySQL` listener is wrong.
+    #[error(transparent)]
+    Mysql(#[from] MysqlConfigError),
+    /// The file of the body store is wrong, or the body store could not be opened.
+    #[error(transparent)]
+    BodyStore(#[from] BodyStoreError),
     /// The replicated store could not be opened.
     #[error(transparent)]
     Store(#[from] StoreError),
--- a/src/log.rs
+++ b/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! An event's `at` is the daemon's own clock (Unix seconds), and its `part` the component that logs; both may be absent.
 
-use crate::config::optional;
+use crate::config::{read_optional, ConfigError};
 use serde::Deserialize;
 use std::fmt::{self, Write};
 use thiserror::Error;
@@ -35,8 +35,8 @@
 #[derive(Debug, Error)]
 pub enum LogError {
     /// The file is wrong; the text names file, line and key.
-    #[error("{0}")]
-    Configuration(String),
+    #[error(transparent)]
+    Configuration(#[from] ConfigError),
 }
 
 /// Writes the program's events to standard output from here on.
@@ -44,7 +44,7 @@
 /// # Errors
 /// Where [`FILE`] is wrong.
 pub fn init() -> Result<(), LogError> {
-    let config = optional(FILE).map_err(|error| LogError::Configuration(error.to_string()))?;
+    let config = read_optional(FILE)?;
     let Config { format } = config.unwrap_or_default();
     // A second call in one process, as tests may make, keeps the first subscriber.
     let _ = tracing_subscriber::fmt().event_format(format).with_writer(std::io::stdout).try_init();
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -27,10 +27,3 @@
     #[error("epoll: {0}")]
     Poller(io::Error),
 }
-
-// until the callers are typed
-impl From<StoreError> for String {
-    fn from(error: StoreError) -> Self {
-        error.to_string()
-    }
-}
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -10,8 +10,6 @@
 const LONGER: &[(&str, usize)] = &[
     ("src/upstream/mysql/mod.rs", 605),
     ("src/upstream/resp/mod.rs", 787),
-    ("crates/body-store/src/plan.rs", 472),
-    ("crates/body-store/src/spool.rs", 886),
     ("crates/simulator/src/engine.rs", 430),
     ("crates/simulator/src/world.rs", 896),
 ];
