--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -3,7 +3,7 @@
 
 mod sending;
 
-use super::{ended_by, Engines};
+use super::{engines::Engines, events::outcome_of_close};
 use crate::body_store;
 use crate::core::{Attempt, AttemptOutcome, QueryPayload, Upstream, UpstreamEvent};
 use crate::limits::Limits;
@@ -138,9 +138,9 @@
     pub fn engine(&mut self, told: Time, id: &EngineId, lifecycle: Lifecycle, address: Option<IpAddr>) {
         let address = self.shared.config.engine.address(id, address);
         let closes = told + self.shared.limits.engines.drain_grace;
-        let Some(closes) = self.engines.follow(id, lifecycle, address, closes) else { return };
+        let Some(closes) = self.engines.update(id, lifecycle, address, closes) else { return };
         self.shared.timers.set(closes, TimerEvent::Drained(id.clone()));
-        for token in self.engines.get(id).map(|e| e.lines.clone()).unwrap_or_default() {
+        for token in self.engines.get(id).map(|e| e.connections.clone()).unwrap_or_default() {
             let running = self.table.get(token).and_then(|line| line.running.as_mut());
             running.into_iter().for_each(|run| run.by = run.by.min(closes));
         }
@@ -160,15 +160,15 @@
     /// The grace of a drain has passed: what still waits for a connection must not begin there.
     fn drained(&mut self, now: Time, id: &EngineId) {
         let Some(engine) = self.engines.get_mut(id).filter(|e| e.is_closed(now)) else { return };
-        engine.lines.retain(|token| self.table.get(*token).is_some());
-        for token in engine.lines.clone() {
+        engine.connections.retain(|token| self.table.get(*token).is_some());
+        for token in engine.connections.clone() {
             let Some(line) = self.table.get(token) else { continue };
             // Idle ones go as well: sessions have moved on.
             if line.running.is_none() || line.is_unsent() {
                 self.table.close(now, token, &mut self.shared);
             }
         }
-        if !self.engines.forget(now, id) {
+        if !self.engines.remove_closed(now, id) {
             self.shared
                 .timers
                 .set(now + self.shared.limits.engines.idle_timeout, TimerEvent::Drained(id.clone()));
@@ -180,9 +180,9 @@
         let limits = self.shared.limits.clone();
         let engine = self.engines.get_mut(&call.engine).filter(|e| !e.is_closed(now))?;
         let table = &mut self.table;
-        engine.lines.retain(|token| table.get(*token).is_some());
+        engine.connections.retain(|token| table.get(*token).is_some());
         let mut best = None;
-        for token in &engine.lines {
+        for token in &engine.connections {
             let Some(line) = table.get(*token).filter(|line| matches!(line.stage, Stage::Idle)) else {
                 continue;
             };
@@ -194,7 +194,7 @@
         if best.is_some() {
             return best;
         }
-        if engine.lines.len() >= limits.engines.max_mysql_connections_per_engine
+        if engine.connections.len() >= limits.engines.max_mysql_connections_per_engine
             || table.len() >= limits.engines.max_connections
         {
             return None;
@@ -212,7 +212,7 @@
         };
         let token = table.add(|token| Some(line(token))).ok()??;
         self.shared.timers.set(until, TimerEvent::Connection(token));
-        engine.lines.push(token);
+        engine.connections.push(token);
         Some(token)
     }
 }
@@ -238,7 +238,7 @@
 
 impl Upstream for MysqlUpstream {
     fn start(&mut self, now: Time, call: Attempt) {
-        let closes = self.engines.get(&call.engine).and_then(|e| e.closes).unwrap_or(Time::INFINITY);
+        let closes = self.engines.drain_deadline(&call.engine);
         let by = call.send_deadline.min(closes).min(self.valid_until);
         if by <= now {
             return self.shared.news.push_back(UpstreamEvent::ended(
@@ -348,7 +348,7 @@
         let unsent = self.is_unsent();
         self.end_sending(shared);
         if let Some(run) = self.running.take() {
-            let ending = ended_by(&self.channel, unsent);
+            let ending = outcome_of_close(&self.channel, unsent);
             shared.news.push_back(UpstreamEvent::ended(&run.id, run.attempt, ending));
         }
     }
--- /dev/null
+++ b/src/upstream/pool.rs
@@ -0,0 +1,127 @@
+//! The connections of one upstream to all engines.
+
+use super::engines::Engines;
+use super::events::{AttemptKey, EventQueue};
+use crate::core::UpstreamEvent;
+use crate::net::{Connection, ConnectionSlab, Flow, Poller, Time, Token};
+use dahliaspoke::policy::{EngineId, Lifecycle};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// A connection to an engine, as its pool handles it.
+pub trait EngineConnection: Connection {
+    /// Attempts that have gone out complete here.
+    fn sent_attempts(&self) -> u64;
+
+    /// Lets no attempt here begin to go out at `deadline` or later. Called when the engine begins to drain.
+    fn limit_send_deadlines(&mut self, deadline: Time);
+
+    /// Queues more of the body that goes out here. Called when its reader may have found something.
+    fn continue_body(&mut self, now: Time, shared: &mut Self::Shared) -> Flow;
+}
+
+/// How many connections there may be.
+#[derive(Clone, Copy, Debug)]
+pub struct PoolLimits {
+    /// Connections to one engine.
+    pub per_engine: usize,
+    /// Connections to all engines.
+    pub total: usize,
+}
+
+/// The connections of one upstream, the engines that they belong to, and the attempts that are out on them.
+pub struct ConnectionPool<C> {
+    /// The connections.
+    pub slab: ConnectionSlab<C>,
+    /// The engines.
+    pub engines: Engines,
+    /// The connection of every attempt that is out.
+    pub attempts: HashMap<AttemptKey, Token>,
+    /// The end of the endpoint set's lease: nothing begins to be sent from then on.
+    pub lease_end: Time,
+}
+
+impl<C: EngineConnection> ConnectionPool<C> {
+    /// An empty pool, whose descriptors the poller reports to the event handler `owner`.
+    pub fn new(owner: u8, poller: Rc<Poller>) -> Self {
+        Self {
+            slab: ConnectionSlab::new(owner, poller),
+            engines: Engines::default(),
+            attempts: HashMap::new(),
+            lease_end: Time::INFINITY,
+        }
+    }
+
+    /// Removes the oldest event. An attempt that it reports as ended is out no more.
+    pub fn next_event(&mut self, events: &mut EventQueue) -> Option<UpstreamEvent> {
+        let event = events.pop()?;
+        if let UpstreamEvent::AttemptEnd { id, attempt, .. } = &event {
+            self.attempts.remove(&AttemptKey::new(id, *attempt));
+        }
+        Some(event)
+    }
+
+    /// Applies what the endpoint set says of an engine, see [`Engines::update`]. Where the engine begins to drain, its
+    /// attempts may not begin to go out after the deadline, which is returned.
+    pub fn update_engine(
+        &mut self,
+        id: &EngineId,
+        lifecycle: Lifecycle,
+        address: Option<SocketAddr>,
+        drain_deadline: Time,
+    ) -> Option<Time> {
+        let deadline = self.engines.update(id, lifecycle, address, drain_deadline)?;
+        for token in self.connections_of(id) {
+            if let Some(connection) = self.slab.get(token) {
+                connection.limit_send_deadlines(deadline);
+            }
+        }
+        Some(deadline)
+    }
+
+    /// The connections to an engine; some may have ended.
+    pub fn connections_of(&self, id: &EngineId) -> Vec<Token> {
+        self.engines.get(id).map(|engine| engine.connections.clone()).unwrap_or_default()
+    }
+
+    /// Removes connections that have ended from those of their engine.
+    pub fn remove_ended(&mut self, id: &EngineId) {
+        let slab = &mut self.slab;
+        if let Some(engine) = self.engines.get_mut(id) {
+            engine.connections.retain(|token| slab.get(*token).is_some());
+        }
+    }
+
+    /// Whether a further connection to an engine may be opened.
+    pub fn has_room(&self, id: &EngineId, limits: PoolLimits) -> bool {
+        let connections = self.engines.get(id).map_or(0, |engine| engine.connections.len());
+        connections < limits.per_engine && self.slab.len() < limits.total
+    }
+
+    /// Adds the connection that `make` builds around its own token. `None` where the system refuses to watch it.
+    pub fn add(&mut self, id: &EngineId, make: impl FnOnce(Token) -> C) -> Option<Token> {
+        let token = self.slab.add(|token| Some(make(token))).ok().flatten()?;
+        if let Some(engine) = self.engines.get_mut(id) {
+            engine.connections.push(token);
+        }
+        Some(token)
+    }
+
+    /// Sends on what a connection has queued, and closes it where it has to.
+    pub fn settle(&mut self, now: Time, token: Token, shared: &mut C::Shared) {
+        self.slab.settle(now, token, Flow::Open, shared);
+    }
+
+    /// Sends more of the body that goes out on a connection.
+    pub fn continue_body(&mut self, now: Time, token: Token, shared: &mut C::Shared) {
+        let Some(connection) = self.slab.get(token) else { return };
+        let flow = connection.continue_body(now, shared);
+        self.slab.settle(now, token, flow, shared);
+    }
+
+    /// Attempts that have gone out complete on connections that are still open.
+    pub fn sent_attempts(&self) -> u64 {
+        self.slab.all().map(EngineConnection::sent_attempts).sum()
+    }
+}
--- /dev/null
+++ b/src/upstream/resp/connection.rs
@@ -0,0 +1,229 @@
+//! One connection to an engine.
+
+use super::attempt::{OutgoingBody, RunningAttempt};
+use super::command;
+use super::reply::{self, DecodedReply};
+use super::shared::{Shared, TimerEvent};
+use crate::core::AttemptOutcome;
+use crate::limits::EngineLimits;
+use crate::net::resp::Malformed;
+use crate::net::{BufferedStream, Connection, Flow, Time, Token};
+use crate::upstream::events::outcome_of_close;
+use crate::upstream::pool::EngineConnection;
+use dahliaspoke::policy::{EngineId, RequestId};
+use dahliaspoke_body_store::spool::Pull;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// An id that no attempt may use on a connection: an answer to an earlier attempt may still come.
+struct BarredId {
+    id: RequestId,
+    until: Time,
+}
+
+/// A connection to an engine; it belongs to the engine's id, never to the address.
+pub struct RespConnection {
+    /// The socket.
+    pub stream: BufferedStream,
+    /// Its own token.
+    pub token: Token,
+    /// The engine.
+    pub engine: EngineId,
+    /// Where the engine was when this was opened.
+    pub address: SocketAddr,
+    /// The attempts that are out here.
+    pub attempts: HashMap<RequestId, RunningAttempt>,
+    barred_ids: Vec<BarredId>,
+    /// While it connects, when it is given up; later, when it has been idle too long.
+    pub idle_deadline: Time,
+    /// When an answer that has begun must be complete; infinity while none has.
+    pub answer_deadline: Time,
+    /// When bytes last came.
+    pub last_received: Time,
+    /// An attempt that was sent here found no answer: nothing more is sent.
+    pub is_suspect: bool,
+    /// The large body that goes out here: nothing else can until it is out.
+    pub outgoing_body: Option<OutgoingBody>,
+}
+
+impl RespConnection {
+    /// A connection that was opened now; the caller sets `idle_deadline` to when it must be up.
+    pub fn new(
+        now: Time,
+        token: Token,
+        stream: BufferedStream,
+        engine: EngineId,
+        address: SocketAddr,
+    ) -> Self {
+        Self {
+            stream,
+            token,
+            engine,
+            address,
+            attempts: HashMap::new(),
+            barred_ids: Vec::new(),
+            idle_deadline: now,
+            answer_deadline: Time::INFINITY,
+            last_received: now,
+            is_suspect: false,
+            outgoing_body: None,
+        }
+    }
+
+    /// Whether the body of that request goes out here and is not complete.
+    pub fn sends_body_of(&self, id: &RequestId) -> bool {
+        self.outgoing_body.as_ref().is_some_and(|body| body.id == *id)
+    }
+
+    /// Lets no attempt use that id here until late answers to this one cannot come any more.
+    pub fn bar_id(&mut self, now: Time, id: &RequestId, limits: &EngineLimits) {
+        self.barred_ids.push(BarredId { id: id.clone(), until: now + limits.late_answer_window });
+    }
+
+    /// Whether a late answer to an earlier attempt of that id may still come.
+    pub fn is_barred(&self, now: Time, id: &RequestId) -> bool {
+        self.barred_ids.iter().any(|barred| barred.until > now && barred.id == *id)
+    }
+
+    /// Whether a further attempt of that id may go out here; `has_body` where its statement is a large
+    /// body, which has the connection to itself.
+    pub fn accepts(&mut self, now: Time, id: &RequestId, has_body: bool, limits: &EngineLimits) -> bool {
+        self.barred_ids.retain(|barred| barred.until > now);
+        let has_room = self.attempts.len() < limits.max_streams
+            && self.stream.queued() < limits.max_unwritten_bytes
+            && (!has_body || self.attempts.is_empty());
+        let is_usable = !self.is_suspect && self.outgoing_body.is_none();
+        has_room && is_usable && !self.attempts.contains_key(id) && !self.is_barred(now, id)
+    }
+
+    /// Forgets the body that went out here.
+    fn end_body(&mut self, shared: &mut Shared) {
+        if let Some(body) = self.outgoing_body.take() {
+            shared.bodies.remove(body.reader.id);
+        }
+    }
+
+    /// Sets until when an answer that has begun must go on.
+    fn update_answer_deadline(&mut self, now: Time, read: usize, shared: &mut Shared) {
+        let is_receiving = self.attempts.values().any(RunningAttempt::is_receiving);
+        if self.stream.input.is_empty() && !is_receiving {
+            self.answer_deadline = Time::INFINITY;
+        } else if read > 0 || self.answer_deadline == Time::INFINITY {
+            self.answer_deadline = now + shared.limits.results.stall_timeout;
+            shared.timers.set(self.answer_deadline, TimerEvent::Answer(self.token));
+        }
+    }
+}
+
+impl EngineConnection for RespConnection {
+    fn sent_attempts(&self) -> u64 {
+        self.stream.whole
+    }
+
+    fn limit_send_deadlines(&mut self, deadline: Time) {
+        for running in self.attempts.values_mut() {
+            running.pending.send_deadline = running.pending.send_deadline.min(deadline);
+        }
+    }
+
+    fn continue_body(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        let (Some(body), Some(store)) = (&mut self.outgoing_body, shared.bodies.store().cloned()) else {
+            return Flow::Open;
+        };
+        let max_queued = shared.limits.engines.max_queued_body_bytes;
+        while !self.stream.connecting && self.stream.queued() < max_queued {
+            let pulled = store.borrow_mut().pull(now, &body.reader);
+            match pulled {
+                Pull::Bytes(bytes) => drop(self.stream.push_shared(bytes)),
+                Pull::Wait => {
+                    body.waits_for_bytes = true;
+                    return Flow::Open;
+                }
+                Pull::End => {
+                    self.stream.push_counted(command::BODY_END.to_vec());
+                    self.end_body(shared);
+                    return Flow::Open;
+                }
+                // The engine must not take a part for the whole.
+                Pull::Lost => return Flow::Close,
+            }
+        }
+        body.waits_for_bytes = false;
+        Flow::Open
+    }
+}
+
+impl Connection for RespConnection {
+    type Shared = Shared;
+
+    const ANSWERS: bool = true;
+
+    fn channel(&mut self) -> &mut BufferedStream {
+        &mut self.stream
+    }
+
+    fn readable(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        self.last_received = now;
+        let mut read = 0;
+        let flow = loop {
+            match reply::decode(&self.stream.input[read..], &shared.limits) {
+                Ok(Some(DecodedReply { reply, length })) => {
+                    read += length;
+                    if self.handle_reply(now, reply, shared).is_err() {
+                        break Flow::Close;
+                    }
+                }
+                Ok(None) => break Flow::Open,
+                Err(Malformed) => break Flow::Close,
+            }
+        };
+        self.stream.input.drain(..read);
+        self.update_answer_deadline(now, read, shared);
+        flow
+    }
+
+    fn writable(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        self.idle_deadline = now + shared.limits.engines.idle_timeout;
+        if self.attempts.is_empty() {
+            shared.idle.push(self.token);
+        }
+        self.continue_body(now, shared)
+    }
+
+    /// Attempts whose time to begin is over stay here: the process may have been suspended since they were queued.
+    fn before_write(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        let (stream, body) = (&mut self.stream, &self.outgoing_body);
+        let mut flow = Flow::Open;
+        self.attempts.retain(|id, running| {
+            let is_late = running.pending.send_deadline <= now && stream.take_back(running.message_tag);
+            if is_late {
+                shared.events.attempt_ended(id, running.number(), AttemptOutcome::Unsent);
+                if body.as_ref().is_some_and(|body| body.id == *id) {
+                    flow = Flow::Close; // what is queued of its body must not go out
+                }
+            }
+            !is_late
+        });
+        flow
+    }
+
+    fn has_more(&self) -> bool {
+        self.outgoing_body.as_ref().is_some_and(|body| !body.waits_for_bytes)
+    }
+
+    /// What was still unsent never ran; the rest may have.
+    fn closed(&mut self, _: Time, shared: &mut Shared) {
+        shared.sent_attempts += self.stream.whole;
+        self.end_body(shared);
+        for (id, running) in self.attempts.drain() {
+            let is_unsent = self.stream.take_back(running.message_tag);
+            let was_up = !self.stream.connecting || self.stream.reset;
+            if is_unsent && was_up && running.pending.moves < shared.limits.engines.max_moves {
+                shared.moved.push(running.pending);
+                continue;
+            }
+            let outcome = outcome_of_close(&self.stream, is_unsent);
+            shared.events.attempt_ended(&id, running.number(), outcome);
+        }
+    }
+}
--- a/src/upstream/resp/reply.rs
+++ b/src/upstream/resp/reply.rs
@@ -1,128 +1,99 @@
-//! An engine's answers.
+//! An engine's answers, decoded.
 
+use super::fields::Fields;
 use crate::core::AttemptReport;
 use crate::limits::Limits;
 use crate::net::resp::{self, Malformed, Most};
-use dahliaspoke::policy::{LoadReport, Progress};
+use dahliaspoke::policy::Progress;
 
 /// What an answer says.
 #[derive(Debug, PartialEq)]
-pub enum Word {
+pub enum ReplyKind {
+    /// The first page of a result.
     Data {
+        /// Pages of the result.
         total: usize,
     },
+    /// The engine rejects the attempt.
     Full,
+    /// The attempt failed.
     Failed,
+    /// The attempt's time was over before it could run.
     Expired,
-    UpstreamEvent(Option<Progress>),
+    /// What the running attempt reports of itself; `None` for kinds that are not known here.
+    Progress(Option<Progress>),
+    /// A further page of a result.
     Page {
+        /// Its index, from 0.
         index: usize,
     },
-    /// The answer to a probe.
+    /// The answer to a health probe.
     Health,
 }
 
 /// One answer of an engine.
 #[derive(Debug)]
 pub struct Reply {
+    /// The request's id.
     pub id: String,
-    pub word: Word,
-    pub told: AttemptReport,
+    /// What it says.
+    pub kind: ReplyKind,
+    /// What the engine reports with it.
+    pub report: AttemptReport,
+    /// Rows, where it is a page.
     pub body: Vec<u8>,
 }
 
-/// Values in an answer: its id, its word, its fields, its body.
+/// An answer, and how much of the input it was.
+#[derive(Debug)]
+pub struct DecodedReply {
+    /// The answer.
+    pub reply: Reply,
+    /// Its bytes in the input.
+    pub length: usize,
+}
+
+/// Values in an answer: its id, its kind, its fields, its body.
 const VALUES: usize = 4;
 /// Columns of every row.
 const COLUMNS: usize = 3;
 
-/// The answer at the start of the input and the bytes it took, once all of it is here.
-pub fn read(input: &[u8], limits: &Limits) -> Result<Option<(Reply, usize)>, Malformed> {
-    let Some((values, length)) =
-        resp::read(input, Most { values: VALUES, bytes: limits.results.max_frame_bytes })?
-    else {
-        return Ok(None);
-    };
+/// The answer at the start of the input, once all of it is here.
+///
+/// # Errors
+/// Where the bytes are no answer, or a too large one.
+pub fn decode(input: &[u8], limits: &Limits) -> Result<Option<DecodedReply>, Malformed> {
+    let bounds = Most { values: VALUES, bytes: limits.results.max_frame_bytes };
+    let Some((values, length)) = resp::read(input, bounds)? else { return Ok(None) };
     let values = values.try_into().map_err(|_| Malformed)?;
-    Ok(Some((reply(values)?, length)))
+    Ok(Some(DecodedReply { reply: decode_values(values)?, length }))
 }
 
-fn reply([id, word, fields, body]: [&[u8]; VALUES]) -> Result<Reply, Malformed> {
+fn decode_values([id, kind, fields, body]: [&[u8]; VALUES]) -> Result<Reply, Malformed> {
     let text = |bytes| std::str::from_utf8(bytes).map_err(|_| Malformed);
     let fields = Fields(text(fields)?);
-    let word = match text(word)? {
-        "data" => Word::Data { total: fields.count("total")? },
-        "full" => Word::Full,
-        "failed" => Word::Failed,
-        "moot" => Word::Expired,
-        "news" => Word::UpstreamEvent(fields.progress()?),
-        "page" => Word::Page { index: fields.count("index")? },
-        "well" | "ill" => Word::Health,
+    let kind = match text(kind)? {
+        "data" => ReplyKind::Data { total: fields.count("total")? },
+        "full" => ReplyKind::Full,
+        "failed" => ReplyKind::Failed,
+        "moot" => ReplyKind::Expired,
+        "news" => ReplyKind::Progress(fields.progress()?),
+        "page" => ReplyKind::Page { index: fields.count("index")? },
+        "well" | "ill" => ReplyKind::Health,
         _ => return Err(Malformed),
     };
-    let rows = matches!(word, Word::Data { .. } | Word::Page { .. });
-    if rows && !is_table(text(body)?) {
+    let has_rows = matches!(kind, ReplyKind::Data { .. } | ReplyKind::Page { .. });
+    if has_rows && !is_table(text(body)?) {
         return Err(Malformed);
     }
-    Ok(Reply { id: text(id)?.into(), word, told: fields.told()?, body: body.to_vec() })
+    Ok(Reply { id: text(id)?.into(), kind, report: fields.attempt_report()?, body: body.to_vec() })
 }
 
-/// Whole rows of the wire's three text columns: spoilt ones must not be passed on.
+/// Whether these are complete rows of the wire's three text columns: corrupt ones must not be passed on.
 fn is_table(body: &str) -> bool {
-    let whole = body.is_empty() || body.ends_with('\n');
-    let row = |row: &str| row.matches('\t').count() == COLUMNS - 1;
-    whole && body.split_terminator('\n').all(row) && !body.contains(['\r', '\0', char::REPLACEMENT_CHARACTER])
-}
-
-/// `name=value,name=value`, or `-` for none.
-struct Fields<'a>(&'a str);
-
-impl<'a> Fields<'a> {
-    fn get(&self, name: &str) -> Option<&'a str> {
-        let named = |field: &'a str| field.split_once('=').filter(|(n, _)| *n == name).map(|(_, v)| v);
-        self.0.split(',').find_map(named)
-    }
-
-    fn count(&self, name: &str) -> Result<usize, Malformed> {
-        self.get(name).and_then(|v| v.parse().ok()).ok_or(Malformed)
-    }
-
-    fn progress(&self) -> Result<Option<Progress>, Malformed> {
-        let Some(kind) = self.get("n") else { return Ok(None) };
-        let value = number(self.get("datum").ok_or(Malformed)?)?;
-        Ok(match kind {
-            "p" => Some(Progress::Done(value)),
-            "s" => Some(Progress::Spills(value)),
-            "w" if value == 2.0 => Some(Progress::WaitsForLoad),
-            "w" => Some(Progress::WaitsForMemory),
-            _ => None, // kinds to come
-        })
-    }
-
-    fn told(&self) -> Result<AttemptReport, Malformed> {
-        // The result counts, whatever is said of its cost: a figure that cannot be one is as good as none.
-        let cost = |name| self.get(name).and_then(|v| number(v).ok()).filter(|cost| *cost >= 0.0);
-        Ok(AttemptReport { work: cost("elapsed"), memory: cost("rss"), load: self.report()? })
-    }
-
-    fn report(&self) -> Result<Option<LoadReport>, Malformed> {
-        let Some(load) = self.get("l") else { return Ok(None) };
-        let mut report = LoadReport::default();
-        for item in load.split(';').filter(|item| !item.is_empty()) {
-            let (name, value) = item.split_once(':').ok_or(Malformed)?;
-            let place = match name {
-                "util" | "busy" => &mut report.util,
-                "queue" | "q" => &mut report.queue,
-                "x0" => &mut report.memory,
-                "x1" => &mut report.disk,
-                _ => continue,
-            };
-            *place = Some(number(value)?);
-        }
-        Ok(Some(report))
-    }
-}
-
-fn number(text: &str) -> Result<f64, Malformed> {
-    text.parse::<f64>().ok().filter(|n| n.is_finite()).ok_or(Malformed)
+    let is_complete = body.is_empty() || body.ends_with('\n');
+    let is_row = |row: &str| row.matches('\t').count() == COLUMNS - 1;
+    is_complete
+        && body.split_terminator('\n').all(is_row)
+        && !body.contains(['\r', '\0', char::REPLACEMENT_CHARACTER])
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -13,7 +13,6 @@
     ("src/listener/mysql/large.rs", 542),
     ("src/listener/mysql/mod.rs", 696),
     ("src/upstream/mysql/mod.rs", 605),
-    ("src/upstream/resp/mod.rs", 787),
     ("crates/body-store/src/plan.rs", 472),
     ("crates/body-store/src/spool.rs", 886),
     ("crates/simulator/src/engine.rs", 430),
