--- a/src/net/acceptor.rs
+++ b/src/net/acceptor.rs
@@ -1,6 +1,6 @@
-//! A listening socket that takes connections only while there is room.
+//! A listening socket that accepts connections only while there is capacity.
 
-use super::poller::polled;
+use super::poller::{poll_now, Interest};
 use super::{BufferedStream, Poller, Token};
 use rustix::event::PollFlags;
 use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
@@ -9,11 +9,14 @@
 use std::os::fd::RawFd;
 use std::rc::Rc;
 
-/// The listening socket that the platform holds and this process has inherited under that number. A copy is
-/// asked of the kernel by way of the process itself: a number alone proves no ownership.
+/// The listening socket that this process has inherited under that descriptor number. A copy is asked of the kernel by way of
+/// the process itself: a number alone proves no ownership.
+///
+/// # Errors
+/// Where the number is no descriptor, or its socket does not listen.
 pub fn inherited(number: RawFd) -> io::Result<TcpListener> {
-    let myself = pidfd_open(getpid(), PidfdFlags::empty())?;
-    let socket = TcpListener::from(pidfd_getfd(myself, number, PidfdGetfdFlags::empty())?);
+    let own_process = pidfd_open(getpid(), PidfdFlags::empty())?;
+    let socket = TcpListener::from(pidfd_getfd(own_process, number, PidfdGetfdFlags::empty())?);
     if rustix::net::sockopt::socket_acceptconn(&socket)? {
         Ok(socket)
     } else {
@@ -21,72 +24,89 @@
     }
 }
 
-/// Connections that may wait in the kernel's line.
-const LINE: i32 = 4096;
+/// Connections that may wait in the kernel's queue to be accepted. The standard library's own backlog is short: a burst would
+/// fill it, and who connects then waits a second and more.
+const BACKLOG: i32 = 4096;
 
+/// A listening socket that the poller watches.
 pub struct Acceptor {
     socket: TcpListener,
     token: Token,
     poller: Rc<Poller>,
-    armed: bool,
+    /// Whether the poller reports connections that wait.
+    is_accepting: bool,
 }
 
 impl Acceptor {
-    /// The place in a listener's token, which no connection has.
+    /// The slot in a listening socket's token, which no connection has.
     pub const SLOT: u32 = u32::MAX;
 
-    pub fn new(part: u8, socket: TcpListener, poller: Rc<Poller>) -> io::Result<Self> {
+    /// Accepts on a socket, whose token names the event handler `owner`.
+    ///
+    /// # Errors
+    /// Where the system refuses to listen, or to watch the socket.
+    pub fn new(owner: u8, socket: TcpListener, poller: Rc<Poller>) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        // The library's own line is short: a crowd would fill it, and who comes then waits a second and more.
-        rustix::net::listen(&socket, LINE)?;
-        let token = Token::new(part, Self::SLOT, 0);
+        rustix::net::listen(&socket, BACKLOG)?;
+        let token = Token::new(owner, Self::SLOT, 0);
         poller.add(&socket, token, false)?;
-        Ok(Self { socket, token, poller, armed: true })
+        Ok(Self { socket, token, poller, is_accepting: true })
     }
 
+    /// Where it listens.
+    ///
+    /// # Errors
+    /// Where the system does not tell.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next connection that waits, if there is one. Fails where one waits and the system has no descriptor or
-    /// memory for it: it waits on.
+    /// The next connection that waits, if there is one.
+    ///
+    /// # Errors
+    /// Where one waits and the system has no descriptor or memory for it: it waits on.
     pub fn accept(&self) -> io::Result<Option<BufferedStream>> {
         loop {
             match self.socket.accept() {
                 Ok((stream, _)) => {
-                    // One that broke before it was taken is passed over.
+                    // One that broke before it was accepted is passed over.
                     if let Ok(stream) = BufferedStream::accepted(stream) {
                         return Ok(Some(stream));
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                // The kernel looks for a descriptor before it looks whether anybody waits.
-                Err(_) if !self.is_waited_for() => return Ok(None),
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
+                // The kernel looks for a descriptor before it looks whether a connection waits.
+                Err(_) if !self.has_waiting() => return Ok(None),
+                Err(error) => return Err(error),
             }
         }
     }
 
-    /// Whether a connection waits in the kernel's line.
-    fn is_waited_for(&self) -> bool {
-        polled(&self.socket, PollFlags::IN).intersects(PollFlags::IN)
+    /// Whether a connection waits in the kernel's queue.
+    fn has_waiting(&self) -> bool {
+        poll_now(&self.socket, PollFlags::IN).intersects(PollFlags::IN)
     }
 
-    /// Names the socket to its part.
+    /// The token of the listening socket.
     pub fn token(&self) -> Token {
         self.token
     }
 
+    /// Whether the poller reports connections that wait.
     pub fn is_armed(&self) -> bool {
-        self.armed
+        self.is_accepting
     }
 
-    /// While there is no room, connections wait in the kernel's line, and epoll does not tell of them.
-    pub fn room(&mut self, room: bool) {
-        // A change that the kernel refuses is asked for again at the next turn.
-        if room != self.armed && self.poller.change(&self.socket, self.token, room, false).is_ok() {
-            self.armed = room;
+    /// Sets whether connections are accepted. While there is no capacity they wait in the kernel's queue, and the poller does
+    /// not report them. A change that the kernel refuses is not made; the caller asks again in the loop's next iteration.
+    pub fn room(&mut self, accepting: bool) {
+        if accepting == self.is_accepting {
+            return;
+        }
+        let interest = Interest { readable: accepting, writable: false };
+        if self.poller.modify(&self.socket, self.token, interest).is_ok() {
+            self.is_accepting = accepting;
         }
     }
 }
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -1,28 +1,31 @@
-//! Pauses between tries, each twice as long as the one before, up to a bound.
+//! Exponential backoff: delays between tries, each twice as long as the one before, up to a bound.
 
 use super::Time;
 
-/// The pauses of one thing that is tried again and again (s).
+const GROWTH: f64 = 2.0;
+
+/// The delays of one thing that is tried again and again (s).
 pub struct Backoff {
     first: Time,
     next: Time,
-    most: Time,
+    max: Time,
 }
 
 impl Backoff {
-    pub fn new(first: Time, most: Time) -> Self {
-        Self { first, next: first, most }
+    /// Starts with the delay `first` and never exceeds `max` (s).
+    pub fn new(first: Time, max: Time) -> Self {
+        Self { first, next: first, max }
     }
 
-    /// Whether no pause was taken yet.
+    /// Whether no delay has been taken yet.
     pub fn is_first(&self) -> bool {
         self.next <= self.first
     }
 
-    /// The pause before the next try.
+    /// The delay before the next try (s).
     pub fn next_pause(&mut self) -> Time {
-        let pause = self.next;
-        self.next = (2.0 * pause).min(self.most);
-        pause
+        let delay = self.next;
+        self.next = (GROWTH * delay).min(self.max);
+        delay
     }
 }
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -1,11 +1,12 @@
-//! RESP arrays of bulk strings.
+//! RESP arrays of bulk strings, as engines and the store's members speak them.
 
 /// The bytes are no array of bulk strings, or one that is too large.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Bytes of a length line; longer ones are no lengths.
-const LENGTH: usize = 16;
+/// Bytes of a line that holds a length; longer ones are no lengths.
+const MAX_LENGTH_LINE: usize = 16;
+const LINE_END: &[u8] = b"\r\n";
 
 /// An array, encoded.
 pub fn array(values: &[&[u8]]) -> Vec<u8> {
@@ -16,7 +17,7 @@
     out
 }
 
-/// The beginning of an array whose last value, of that length, is still to come; a line end goes behind it.
+/// The beginning of an array whose last value, of that length (bytes), is still to come; a line end goes behind it.
 pub fn head(values: &[&[u8]], length: u64) -> Vec<u8> {
     let mut out = format!("*{}\r\n", values.len() + 1).into_bytes();
     for value in values {
@@ -30,13 +31,15 @@
 pub fn bulk(out: &mut Vec<u8>, value: &[u8]) {
     out.extend_from_slice(format!("${}\r\n", value.len()).as_bytes());
     out.extend_from_slice(value);
-    out.extend_from_slice(b"\r\n");
+    out.extend_from_slice(LINE_END);
 }
 
 /// Bounds of an array that is read.
 #[derive(Clone, Copy)]
 pub struct Most {
+    /// Values of the array.
     pub values: usize,
+    /// Bytes of one value.
     pub bytes: usize,
 }
 
@@ -44,44 +47,58 @@
 pub type Array<'a> = (Vec<&'a [u8]>, usize);
 
 /// The array at the start of the input and the bytes it took, once all of it is here.
-pub fn read(input: &[u8], most: Most) -> Result<Option<Array<'_>>, Malformed> {
-    let Some((count, mut at)) = line(input, 0, b'*')? else { return Ok(None) };
-    if count == 0 || count > most.values {
+///
+/// # Errors
+/// Where the input begins with no array of bulk strings, or with one beyond the bounds.
+pub fn read(input: &[u8], bounds: Most) -> Result<Option<Array<'_>>, Malformed> {
+    let Some(LengthLine { number: count, end: mut at }) = read_length(input, 0, b'*')? else {
+        return Ok(None);
+    };
+    if count == 0 || count > bounds.values {
         return Err(Malformed);
     }
     let mut values = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((length, start)) = line(input, at, b'$')? else { return Ok(None) };
-        if length > most.bytes {
+        let Some(LengthLine { number: length, end: start }) = read_length(input, at, b'$')? else {
+            return Ok(None);
+        };
+        if length > bounds.bytes {
             return Err(Malformed);
         }
         let end = start + length;
-        match input.get(end..end + 2) {
-            Some(b"\r\n") => {}
+        match input.get(end..end + LINE_END.len()) {
+            Some(LINE_END) => {}
             Some(_) => return Err(Malformed),
             None => return Ok(None),
         }
         values.push(&input[start..end]);
-        at = end + 2;
+        at = end + LINE_END.len();
     }
     Ok(Some((values, at)))
 }
 
-/// A line of a mark and a number at `at`: the number, and where the next line starts.
-fn line(input: &[u8], at: usize, mark: u8) -> Result<Option<(usize, usize)>, Malformed> {
-    let rest = &input[at.min(input.len())..];
+/// A line that holds a type and a length.
+struct LengthLine {
+    number: usize,
+    /// Where the next line starts.
+    end: usize,
+}
+
+/// The line of that type (`*` or `$`) at `start`, once all of it is here.
+fn read_length(input: &[u8], start: usize, kind: u8) -> Result<Option<LengthLine>, Malformed> {
+    let rest = &input[start.min(input.len())..];
     let Some(first) = rest.first() else { return Ok(None) };
-    if *first != mark {
+    if *first != kind {
         return Err(Malformed);
     }
-    let window = &rest[..rest.len().min(LENGTH)];
-    let Some(end) = window.windows(2).position(|w| w == b"\r\n") else {
-        return if rest.len() >= LENGTH { Err(Malformed) } else { Ok(None) };
+    let window = &rest[..rest.len().min(MAX_LENGTH_LINE)];
+    let Some(length) = window.windows(LINE_END.len()).position(|bytes| bytes == LINE_END) else {
+        return if rest.len() >= MAX_LENGTH_LINE { Err(Malformed) } else { Ok(None) };
     };
-    let digits = &window[1..end];
+    let digits = &window[1..length];
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(Malformed);
     }
-    let number = std::str::from_utf8(digits).ok().and_then(|d| d.parse().ok()).ok_or(Malformed)?;
-    Ok(Some((number, at + end + 2)))
+    let number = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse().ok()).ok_or(Malformed)?;
+    Ok(Some(LengthLine { number, end: start + length + LINE_END.len() }))
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,161 +1,128 @@
-//! A socket with its two buffers. Output is kept in whole messages, so that one of which no byte has gone
-//! out can still be taken back.
+//! A non-blocking TCP socket with its input and output buffers.
 
-use super::poller::polled;
+use super::output::{MessageBytes, OutputQueue};
+use super::poller::poll_now;
 use rustix::event::PollFlags;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
-use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::ops::Deref;
 use std::sync::Arc;
 
 /// Bytes asked of the kernel in one read.
-const READ: usize = 16 << 10;
+const READ_BYTES: usize = 16 << 10;
 
-/// What a read brought.
-pub enum Fill {
+/// What a read has brought.
+pub enum ReadStatus {
+    /// Bytes, now in the input.
     Bytes,
-    Nothing,
-    End,
+    /// None are here yet.
+    WouldBlock,
+    /// The peer has ended its side.
+    Ended,
 }
 
-struct Message {
-    tag: u64,
-    counts: bool,
-    bytes: Bytes,
-}
-
-/// Bytes that are sent.
-enum Bytes {
-    Own(Vec<u8>),
-    /// Kept by others as well: not copied.
-    Shared(Arc<Vec<u8>>),
-}
-
-impl Deref for Bytes {
-    type Target = [u8];
-
-    fn deref(&self) -> &[u8] {
-        match self {
-            Bytes::Own(bytes) => bytes,
-            Bytes::Shared(bytes) => bytes,
-        }
-    }
-}
-
-/// A non-blocking TCP connection.
+/// A non-blocking TCP connection. Nothing that is queued goes out before [`flush`](Self::flush).
 pub struct BufferedStream {
+    /// The socket.
     pub stream: TcpStream,
+    /// What has been read and not dealt with.
     pub input: Vec<u8>,
-    output: VecDeque<Message>,
-    written: usize,
-    queued: usize,
-    next_tag: u64,
-    pub connecting: bool,
-    /// Bytes that have come.
+    output: OutputQueue,
+    /// It is not connected yet; nothing is written.
+    pub is_connecting: bool,
+    /// Bytes that have been read since it was opened.
     pub received: u64,
-    /// Messages that count, of those that have gone out whole.
-    pub whole: u64,
-    /// It was reset before it came up here: its peer had taken it.
-    pub reset: bool,
+    /// It was reset while it connected: the peer's machine had accepted it.
+    pub was_reset: bool,
     /// Nobody listens where it was to connect to.
-    pub refused: bool,
+    pub was_refused: bool,
 }
 
 impl BufferedStream {
     /// Around a socket that was accepted.
+    ///
+    /// # Errors
+    /// Where the system refuses its options: it has ended already.
     pub fn accepted(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Ok(Self::around(stream, false))
+        Ok(Self::new(stream, false))
     }
 
-    /// Begins to connect.
-    pub fn connect(to: SocketAddr) -> io::Result<Self> {
-        let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    /// Begins to connect. The socket becomes writable once that is decided; then [`finish_connect`](Self::finish_connect)
+    /// tells how.
+    ///
+    /// # Errors
+    /// Where there is no descriptor, port or memory for it, or the system knows at once that it cannot connect.
+    pub fn connect(address: SocketAddr) -> io::Result<Self> {
+        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
-        match rustix::net::connect(&socket, &to) {
+        match rustix::net::connect(&socket, &address) {
             Ok(()) | Err(rustix::io::Errno::INPROGRESS) => {}
             Err(error) => return Err(error.into()),
         }
         let stream = TcpStream::from(socket);
         stream.set_nodelay(true)?;
-        Ok(Self::around(stream, true))
+        Ok(Self::new(stream, true))
     }
 
-    fn around(stream: TcpStream, connecting: bool) -> Self {
+    fn new(stream: TcpStream, is_connecting: bool) -> Self {
         Self {
             stream,
             input: Vec::new(),
-            output: VecDeque::new(),
-            written: 0,
-            queued: 0,
-            next_tag: 0,
-            connecting,
+            output: OutputQueue::default(),
+            is_connecting,
             received: 0,
-            whole: 0,
-            reset: false,
-            refused: false,
+            was_reset: false,
+            was_refused: false,
         }
     }
 
-    /// Queues a message and returns the tag by which it can be taken back.
+    /// Queues a message and returns the tag by which it can be withdrawn.
     pub fn push(&mut self, bytes: Vec<u8>) -> u64 {
-        self.queue(Bytes::Own(bytes), false)
+        self.output.push(MessageBytes::Owned(bytes), false)
     }
 
-    /// The same for one that counts.
+    /// The same for a message that [`counted_sent`](Self::counted_sent) counts.
     pub fn push_counted(&mut self, bytes: Vec<u8>) -> u64 {
-        self.queue(Bytes::Own(bytes), true)
+        self.output.push(MessageBytes::Owned(bytes), true)
     }
 
     /// The same for bytes that others keep as well.
     pub fn push_shared(&mut self, bytes: Arc<Vec<u8>>) -> u64 {
-        self.queue(Bytes::Shared(bytes), false)
-    }
-
-    fn queue(&mut self, bytes: Bytes, counts: bool) -> u64 {
-        self.next_tag += 1;
-        self.queued += bytes.len();
-        self.output.push_back(Message { tag: self.next_tag, counts, bytes });
-        self.next_tag
+        self.output.push(MessageBytes::Shared(bytes), false)
     }
 
     /// Bytes that have not gone out.
     pub fn queued(&self) -> usize {
-        self.queued - self.written
+        self.output.queued()
     }
 
-    /// Takes a message back, if none of its bytes has gone out.
-    pub fn take_back(&mut self, tag: u64) -> bool {
-        let Ok(at) = self.output.binary_search_by_key(&tag, |m| m.tag) else { return false };
-        if at == 0 && self.written > 0 {
-            return false;
-        }
-        self.output.remove(at).map(|m| self.queued -= m.bytes.len()).is_some()
+    /// Counted messages that have gone out complete.
+    pub fn counted_sent(&self) -> u64 {
+        self.output.counted_sent()
+    }
+
+    /// Removes a message from the output, if none of its bytes has gone out. Returns whether it was removed.
+    pub fn withdraw(&mut self, tag: u64) -> bool {
+        self.output.withdraw(tag)
     }
 
     /// Writes what the socket takes.
+    ///
+    /// # Errors
+    /// Where the socket takes no bytes any more.
     pub fn flush(&mut self) -> io::Result<()> {
-        if self.connecting {
+        if self.is_connecting {
             return Ok(());
         }
-        while let Some(front) = self.output.front() {
-            match self.stream.write(&front.bytes[self.written..]) {
-                Ok(count) => {
-                    self.written += count;
-                    if self.written == front.bytes.len() {
-                        self.whole += u64::from(front.counts);
-                        self.queued -= self.written;
-                        self.written = 0;
-                        self.output.pop_front();
-                    }
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+        while let Some(bytes) = self.output.next_bytes() {
+            match self.stream.write(bytes) {
+                Ok(count) => self.output.advance(count),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
         Ok(())
@@ -168,38 +135,45 @@
 
     /// Whether the peer has ended its side or is gone, whatever bytes of it are still unread.
     pub fn has_ended(&self) -> bool {
-        polled(&self.stream, PollFlags::RDHUP).intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        poll_now(&self.stream, PollFlags::RDHUP)
+            .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
     }
 
-    /// Reads once.
-    pub fn fill(&mut self) -> io::Result<Fill> {
+    /// Reads once, and appends what has come to the input.
+    ///
+    /// # Errors
+    /// Where the connection is broken.
+    pub fn read_once(&mut self) -> io::Result<ReadStatus> {
         // Read elsewhere first: a connection holds no more memory than what has come.
-        let mut buffer = [0; READ];
+        let mut buffer = [0; READ_BYTES];
         match self.stream.read(&mut buffer) {
-            Ok(0) => Ok(Fill::End),
+            Ok(0) => Ok(ReadStatus::Ended),
             Ok(count) => {
                 self.received += count as u64;
                 self.input.extend_from_slice(&buffer[..count]);
-                Ok(Fill::Bytes)
+                Ok(ReadStatus::Bytes)
             }
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
-                Ok(Fill::Nothing)
+            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+                Ok(ReadStatus::WouldBlock)
             }
-            Err(e) => Err(e),
+            Err(error) => Err(error),
         }
     }
 
-    /// The socket became writable while it connected: it is up, or it failed.
-    pub fn connected(&mut self) -> io::Result<()> {
+    /// The socket became writable while it connected: it is connected, or it failed.
+    ///
+    /// # Errors
+    /// How it failed.
+    pub fn finish_connect(&mut self) -> io::Result<()> {
         let error = rustix::net::sockopt::socket_error(&self.stream)?;
-        self.reset = error == Err(rustix::io::Errno::CONNRESET);
-        self.refused = error == Err(rustix::io::Errno::CONNREFUSED);
-        self.connecting = error.is_err();
+        self.was_reset = error == Err(rustix::io::Errno::CONNRESET);
+        self.was_refused = error == Err(rustix::io::Errno::CONNREFUSED);
+        self.is_connecting = error.is_err();
         Ok(error?)
     }
 
-    /// Nothing more will be written.
-    pub fn finish_writing(&self) {
+    /// Ends our side: nothing more will be written.
+    pub fn shutdown_write(&self) {
         // The peer may have gone already; the descriptor is closed in any case.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
--- a/src/net/suspend.rs
+++ b/src/net/suspend.rs
@@ -2,35 +2,43 @@
 
 use super::Time;
 
-/// What a process slept over it has to make up for: the list is old, and what waits in its sockets may have come at any
-/// time since it last looked.
+/// What was read after a suspension may have waited in its socket ever since the loop last ran.
+struct Backlog {
+    /// Since when it may have waited.
+    since: Time,
+    /// What is read from then on has come since.
+    until: Time,
+}
+
+/// Notices suspensions. After one the endpoint set is old, and what waits in the sockets may have come at any time since the
+/// loop last ran.
 pub struct SuspendDetector {
-    /// When the loop last ran.
-    looked: Time,
-    /// Since when what is read may have waited, and until when that counts.
-    waited: (Time, Time),
+    last_run: Time,
+    backlog: Backlog,
 }
 
 impl SuspendDetector {
+    /// The loop begins to run now.
     pub fn new(now: Time) -> Self {
-        Self { looked: now, waited: (now, now) }
+        Self { last_run: now, backlog: Backlog { since: now, until: now } }
     }
 
-    /// The loop runs; it may have waited on purpose until `due`. True where it is later by more than `most` (s).
-    pub fn woke(&mut self, now: Time, due: Option<Time>, most: f64) -> bool {
-        let slept = now - due.unwrap_or(self.looked).max(self.looked) > most;
-        if slept {
-            // A line of connections is taken in two turns of the loop or more.
-            self.waited = (self.looked, now + most);
+    /// The loop runs; it may have waited on purpose until `due`. Returns whether it is later by more than `threshold` (s).
+    pub fn woke(&mut self, now: Time, due: Option<Time>, threshold: f64) -> bool {
+        let expected = due.unwrap_or(self.last_run).max(self.last_run);
+        let was_suspended = now - expected > threshold;
+        if was_suspended {
+            // A queue of connections takes two iterations of the loop or more.
+            self.backlog = Backlog { since: self.last_run, until: now + threshold };
         }
-        self.looked = now;
-        slept
+        self.last_run = now;
+        was_suspended
     }
 
     /// When what is read now has come, at the earliest.
     pub fn came(&self, now: Time) -> Time {
-        if now < self.waited.1 {
-            self.waited.0
+        if now < self.backlog.until {
+            self.backlog.since
         } else {
             now
         }
--- a/src/net/timers.rs
+++ b/src/net/timers.rs
@@ -1,58 +1,61 @@
-//! A heap of absolute times. An alarm cannot be taken back: its owner looks whether it still matters.
+//! Timers: a heap of points in time.
 
 use super::Time;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-struct Entry<T> {
+struct Timer<T> {
     at: Time,
-    turn: u64,
-    on_timer: T,
+    /// The order in which timers were set.
+    sequence: u64,
+    event: T,
 }
 
-impl<T> PartialEq for Entry<T> {
+impl<T> PartialEq for Timer<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl<T> Eq for Entry<T> {}
-impl<T> PartialOrd for Entry<T> {
+impl<T> Eq for Timer<T> {}
+impl<T> PartialOrd for Timer<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Entry<T> {
+impl<T> Ord for Timer<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.turn.cmp(&other.turn))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
-/// Alarms by time; those of one time in the order they were set.
+/// Events by the time at which they are due; those of one time in the order in which they were set. A timer cannot be
+/// cancelled: its owner checks whether it still matters when it is due.
 pub struct TimerQueue<T> {
-    heap: BinaryHeap<Reverse<Entry<T>>>,
-    turn: u64,
+    heap: BinaryHeap<Reverse<Timer<T>>>,
+    last_sequence: u64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), turn: 0 }
+        Self { heap: BinaryHeap::new(), last_sequence: 0 }
     }
 }
 
 impl<T> TimerQueue<T> {
-    pub fn set(&mut self, at: Time, on_timer: T) {
-        self.turn += 1;
-        self.heap.push(Reverse(Entry { at, turn: self.turn, on_timer }));
+    /// Makes an event due at that time.
+    pub fn set(&mut self, at: Time, event: T) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse(Timer { at, sequence: self.last_sequence, event }));
     }
 
-    /// When the nearest alarm is due.
+    /// When the next event is due; `None` for never.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.heap.peek().map(|entry| entry.0.at)
+        self.heap.peek().map(|timer| timer.0.at)
     }
 
-    /// Takes out one alarm that is due.
+    /// Removes the next event, if it is due by now.
     pub fn due(&mut self, now: Time) -> Option<T> {
         self.next_deadline().filter(|at| *at <= now)?;
-        self.heap.pop().map(|entry| entry.0.on_timer)
+        self.heap.pop().map(|timer| timer.0.event)
     }
 }
--- a/src/upstream/events.rs
+++ b/src/upstream/events.rs
@@ -51,7 +51,7 @@
 /// How an attempt ends with its connection; `unsent` where no byte of it went out.
 pub fn outcome_of_close(stream: &BufferedStream, unsent: bool) -> AttemptOutcome {
     match unsent {
-        true if stream.refused => AttemptOutcome::ConnectionRefused,
+        true if stream.was_refused => AttemptOutcome::ConnectionRefused,
         true => AttemptOutcome::Unsent,
         false => AttemptOutcome::Reset,
     }
--- a/src/upstream/mysql/connection.rs
+++ b/src/upstream/mysql/connection.rs
@@ -79,7 +79,7 @@
     /// there is. A PREPARE runs nothing.
     pub fn withdraw(&mut self) -> bool {
         let Some(running) = &self.running else { return false };
-        running.message_tag.is_none_or(|tag| self.stream.take_back(tag))
+        running.message_tag.is_none_or(|tag| self.stream.withdraw(tag))
     }
 
     /// Queues what runs the attempt, or first what prepares its statement.
@@ -202,7 +202,7 @@
 
 impl EngineConnection for MysqlConnection {
     fn sent_attempts(&self) -> u64 {
-        self.stream.whole
+        self.stream.counted_sent()
     }
 
     fn limit_send_deadlines(&mut self, deadline: Time) {
@@ -238,7 +238,7 @@
 impl Connection for MysqlConnection {
     type Shared = Shared;
 
-    const ANSWERS: bool = true;
+    const PEER_ANSWERS: bool = true;
 
     fn channel(&mut self) -> &mut BufferedStream {
         &mut self.stream
@@ -277,7 +277,7 @@
 
     /// What was not begun never ran; the rest may have.
     fn closed(&mut self, _: Time, shared: &mut Shared) {
-        shared.sent_attempts += self.stream.whole;
+        shared.sent_attempts += self.stream.counted_sent();
         let is_unsent = self.withdraw();
         self.end_large_command(shared);
         if let Some(running) = self.running.take() {
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -117,7 +117,7 @@
 
 impl EngineConnection for RespConnection {
     fn sent_attempts(&self) -> u64 {
-        self.stream.whole
+        self.stream.counted_sent()
     }
 
     fn limit_send_deadlines(&mut self, deadline: Time) {
@@ -131,7 +131,7 @@
             return Flow::Open;
         };
         let max_queued = shared.limits.engines.max_queued_body_bytes;
-        while !self.stream.connecting && self.stream.queued() < max_queued {
+        while !self.stream.is_connecting && self.stream.queued() < max_queued {
             let pulled = store.borrow_mut().pull(now, &body.reader);
             match pulled {
                 Pull::Bytes(bytes) => drop(self.stream.push_shared(bytes)),
@@ -156,7 +156,7 @@
 impl Connection for RespConnection {
     type Shared = Shared;
 
-    const ANSWERS: bool = true;
+    const PEER_ANSWERS: bool = true;
 
     fn channel(&mut self) -> &mut BufferedStream {
         &mut self.stream
@@ -195,7 +195,7 @@
         let (stream, body) = (&mut self.stream, &self.outgoing_body);
         let mut flow = Flow::Open;
         self.attempts.retain(|id, running| {
-            let is_late = running.pending.send_deadline <= now && stream.take_back(running.message_tag);
+            let is_late = running.pending.send_deadline <= now && stream.withdraw(running.message_tag);
             if is_late {
                 shared.events.attempt_ended(id, running.number(), AttemptOutcome::Unsent);
                 if body.as_ref().is_some_and(|body| body.id == *id) {
@@ -213,11 +213,11 @@
 
     /// What was still unsent never ran; the rest may have.
     fn closed(&mut self, _: Time, shared: &mut Shared) {
-        shared.sent_attempts += self.stream.whole;
+        shared.sent_attempts += self.stream.counted_sent();
         self.end_body(shared);
         for (id, running) in self.attempts.drain() {
-            let is_unsent = self.stream.take_back(running.message_tag);
-            let was_up = !self.stream.connecting || self.stream.reset;
+            let is_unsent = self.stream.withdraw(running.message_tag);
+            let was_up = !self.stream.is_connecting || self.stream.was_reset;
             if is_unsent && was_up && running.pending.moves < shared.limits.engines.max_moves {
                 shared.moved.push(running.pending);
                 continue;
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -103,10 +103,10 @@
         let Some(token) = self.pool.attempts.remove(key) else { return false };
         let Some(connection) = self.pool.slab.get(token) else { return false };
         let Some(running) = connection.attempts.remove(&key.id) else { return false };
-        if connection.attempts.is_empty() && !connection.stream.connecting {
+        if connection.attempts.is_empty() && !connection.stream.is_connecting {
             connection.idle_deadline = now + self.shared.limits.engines.idle_timeout;
         }
-        let is_unsent = connection.stream.take_back(running.message_tag);
+        let is_unsent = connection.stream.withdraw(running.message_tag);
         if connection.sends_body_of(&key.id) {
             // Half a body is on it: it is of no more use, and ends what runs there.
             self.pool.slab.close(now, token, &mut self.shared);
