--- a/src/net/acceptor.rs
+++ b/src/net/acceptor.rs
@@ -56,7 +56,7 @@
     /// Where it listens.
     ///
     /// # Errors
-    /// Where the system does not tell.
+    /// Where the system refuses to name it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -17,7 +17,7 @@
         Self { first, next: first, max }
     }
 
-    /// Whether no delay has been taken yet.
+    /// Whether there was no delay yet.
     pub fn is_first(&self) -> bool {
         self.next <= self.first
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -22,8 +22,8 @@
     /// What all connections of one slab have in common. The owner of the slab hands it in with each call.
     type Shared;
 
-    /// Whether the peer answers, as a server does: what it has sent counts even after it takes no bytes any more. A client
-    /// that has gone has nothing more to say.
+    /// Whether the peer answers, as a server does: what it has sent is read even after a write has failed. What a client sent
+    /// before it went away is not.
     const PEER_ANSWERS: bool = false;
 
     /// Its socket and buffers.
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -4,9 +4,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Bytes of a line that holds a length; longer ones are no lengths.
-const MAX_LENGTH_LINE: usize = 16;
-const LINE_END: &[u8] = b"\r\n";
+/// Bytes of a type, a length and their line end; a longer prefix holds no length.
+const MAX_PREFIX_BYTES: usize = 16;
+const CRLF: &[u8] = b"\r\n";
 
 /// An array, encoded.
 pub fn array(values: &[&[u8]]) -> Vec<u8> {
@@ -31,7 +31,7 @@
 pub fn bulk(out: &mut Vec<u8>, value: &[u8]) {
     out.extend_from_slice(format!("${}\r\n", value.len()).as_bytes());
     out.extend_from_slice(value);
-    out.extend_from_slice(LINE_END);
+    out.extend_from_slice(CRLF);
 }
 
 /// Bounds of an array that is read.
@@ -51,7 +51,7 @@
 /// # Errors
 /// Where the input begins with no array of bulk strings, or with one beyond the bounds.
 pub fn read(input: &[u8], bounds: Most) -> Result<Option<Array<'_>>, Malformed> {
-    let Some(LengthLine { number: count, end: mut at }) = read_length(input, 0, b'*')? else {
+    let Some(LengthPrefix { number: count, end: mut at }) = read_length(input, 0, b'*')? else {
         return Ok(None);
     };
     if count == 0 || count > bounds.values {
@@ -59,46 +59,46 @@
     }
     let mut values = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some(LengthLine { number: length, end: start }) = read_length(input, at, b'$')? else {
+        let Some(LengthPrefix { number: length, end: start }) = read_length(input, at, b'$')? else {
             return Ok(None);
         };
         if length > bounds.bytes {
             return Err(Malformed);
         }
         let end = start + length;
-        match input.get(end..end + LINE_END.len()) {
-            Some(LINE_END) => {}
+        match input.get(end..end + CRLF.len()) {
+            Some(CRLF) => {}
             Some(_) => return Err(Malformed),
             None => return Ok(None),
         }
         values.push(&input[start..end]);
-        at = end + LINE_END.len();
+        at = end + CRLF.len();
     }
     Ok(Some((values, at)))
 }
 
-/// A line that holds a type and a length.
-struct LengthLine {
+/// A type and a length, which go ahead of what they announce.
+struct LengthPrefix {
     number: usize,
-    /// Where the next line starts.
+    /// Where what it announces starts.
     end: usize,
 }
 
-/// The line of that type (`*` or `$`) at `start`, once all of it is here.
-fn read_length(input: &[u8], start: usize, kind: u8) -> Result<Option<LengthLine>, Malformed> {
+/// The prefix of that type (`*` or `$`) at `start`, once all of it is here.
+fn read_length(input: &[u8], start: usize, kind: u8) -> Result<Option<LengthPrefix>, Malformed> {
     let rest = &input[start.min(input.len())..];
     let Some(first) = rest.first() else { return Ok(None) };
     if *first != kind {
         return Err(Malformed);
     }
-    let window = &rest[..rest.len().min(MAX_LENGTH_LINE)];
-    let Some(length) = window.windows(LINE_END.len()).position(|bytes| bytes == LINE_END) else {
-        return if rest.len() >= MAX_LENGTH_LINE { Err(Malformed) } else { Ok(None) };
+    let window = &rest[..rest.len().min(MAX_PREFIX_BYTES)];
+    let Some(length) = window.windows(CRLF.len()).position(|bytes| bytes == CRLF) else {
+        return if rest.len() >= MAX_PREFIX_BYTES { Err(Malformed) } else { Ok(None) };
     };
     let digits = &window[1..length];
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(Malformed);
     }
     let number = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse().ok()).ok_or(Malformed)?;
-    Ok(Some(LengthLine { number, end: start + length + LINE_END.len() }))
+    Ok(Some(LengthPrefix { number, end: start + length + CRLF.len() }))
 }
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Tells the poller where what it is to report has changed.
+    /// Changes what the poller reports of a connection, where that has changed.
     fn update_interest(&mut self, token: Token) -> io::Result<()> {
         let poller = self.poller.clone();
         let Some(open) = self.open(token) else { return Ok(()) };
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -46,7 +46,7 @@
         Self { pool: ConnectionPool::new(owner, poller), shared: Shared::new(config, body_store, limits) }
     }
 
-    /// Removes the oldest event that the core has not heard. The daemon calls this until there is none.
+    /// Removes the oldest event that the core has not received. The daemon calls this until there is none.
     pub fn take(&mut self) -> Option<UpstreamEvent> {
         self.pool.next_event(&mut self.shared.events)
     }
@@ -123,7 +123,7 @@
         first_idle
     }
 
-    /// Opens a connection to the attempt's engine; `None` where there is no room for it here.
+    /// Opens a connection to the attempt's engine; `None` where the pool has no capacity for it.
     fn connect(&mut self, now: Time, attempt: &Attempt) -> Option<Token> {
         let limits = &self.shared.limits.engines;
         let pool_limits =
@@ -169,7 +169,7 @@
         }
         let token = self.connection_for(now, &attempt);
         let Some(connection) = token.and_then(|token| self.pool.slab.get(token)) else {
-            // There is no room for it here, which says nothing of whether the engine can be reached.
+            // The pool has no capacity for it, which says nothing of whether the engine can be reached.
             return self.shared.events.attempt_ended(&key.id, key.number, AttemptOutcome::Full);
         };
         let token = connection.token;
--- a/src/upstream/mysql/prepared.rs
+++ b/src/upstream/mysql/prepared.rs
@@ -26,7 +26,7 @@
         self.0.push_back(PreparedStatement { text, number });
     }
 
-    /// Removes the oldest statement where there are `max` or more, to make room for one. Returns its number.
+    /// Removes the oldest statement where there are `max` or more, so that one can be added. Returns its number.
     pub fn remove_surplus(&mut self, max: usize) -> Option<u32> {
         if self.0.len() < max {
             return None;
--- a/src/upstream/mysql/shared.rs
+++ b/src/upstream/mysql/shared.rs
@@ -23,7 +23,7 @@
     pub limits: Rc<Limits>,
     /// Account and port at the engines.
     pub config: Rc<Mysql>,
-    /// What the core is to hear.
+    /// Events that wait for the core.
     pub events: EventQueue,
     /// Deadlines of connections and engines.
     pub timers: TimerQueue<TimerEvent>,
--- a/src/upstream/resp/command.rs
+++ b/src/upstream/resp/command.rs
@@ -8,6 +8,9 @@
 const MS_PER_S: f64 = 1000.0;
 
 /// Starts an attempt. Where the statement is a large body, this is all that goes before it; [`BODY_END`] goes behind it.
+///
+/// Its fields on the wire: `sort` is the class, `patience` the time until the deadline (ms, at least 1), `op` the idempotency
+/// key, `pool` the memory granted (MB) and `band` the priority.
 pub fn start(now: Time, attempt: &Attempt) -> Vec<u8> {
     let patience = ((attempt.deadline - now) * MS_PER_S).ceil().max(1.0);
     let mut fields = format!("sort={},patience={patience}", attempt.payload.class_name);
--- a/src/upstream/resp/connect.rs
+++ b/src/upstream/resp/connect.rs
@@ -84,14 +84,14 @@
     /// Opens a connection to an engine.
     ///
     /// # Errors
-    /// How an attempt ends that needs it: `Unsent` where the engine is closed, `Full` where there is no room here.
+    /// How an attempt ends that needs it: `Unsent` where the engine is closed, `Full` where the pool has no capacity.
     fn connect(&mut self, now: Time, id: &EngineId) -> Result<Token, AttemptOutcome> {
         let limits = &self.shared.limits.engines;
         let engine = self.pool.engines.get_open(now, id).ok_or(AttemptOutcome::Unsent)?;
         let address = engine.address;
         let pool_limits =
             PoolLimits { per_engine: limits.max_connections_per_engine, total: limits.max_connections };
-        // That there is no room for it here says nothing of whether the engine can be reached.
+        // That the pool has no capacity for it says nothing of whether the engine can be reached.
         if !self.pool.has_capacity(id, pool_limits) {
             return Err(AttemptOutcome::Full);
         }
--- a/src/upstream/resp/dispatch.rs
+++ b/src/upstream/resp/dispatch.rs
@@ -130,7 +130,7 @@
         longest
     }
 
-    /// Takes an attempt off its connection, if no byte of it has gone out.
+    /// Removes an attempt from its connection, if no byte of it has gone out.
     pub(super) fn withdraw(&mut self, now: Time, token: Token, id: &RequestId) -> Option<RunningAttempt> {
         let connection = self.pool.slab.get(token)?;
         let message_tag = connection.attempts.get(id)?.message_tag;
--- a/src/upstream/resp/fields.rs
+++ b/src/upstream/resp/fields.rs
@@ -24,7 +24,8 @@
         self.get(name).and_then(|value| value.parse().ok()).ok_or(Malformed)
     }
 
-    /// What a running attempt reports of itself; `None` for kinds that are not known here.
+    /// What a running attempt reports of itself: field `n` is the kind (`p` progress, `s` spills, `w` waits), `datum` its value.
+    /// `None` for kinds that are not known here.
     ///
     /// # Errors
     /// Where its value is absent or no finite number.
@@ -40,7 +41,7 @@
         })
     }
 
-    /// What the engine reports with an attempt's end.
+    /// What the engine reports with an attempt's end: field `elapsed` is the work (ms of one thread), `rss` the memory (MB).
     ///
     /// # Errors
     /// Where the load report cannot be read.
@@ -51,6 +52,7 @@
         Ok(AttemptReport { work: cost("elapsed"), memory: cost("rss"), load: self.load_report()? })
     }
 
+    /// The engine's load: field `l`, which holds `name:value` pairs; unknown names are passed over.
     fn load_report(&self) -> Result<Option<LoadReport>, Malformed> {
         let Some(load) = self.get("l") else { return Ok(None) };
         let mut report = LoadReport::default();
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -49,7 +49,7 @@
         Self { pool: ConnectionPool::new(owner, poller), shared: Shared::new(body_store, limits) }
     }
 
-    /// Removes the oldest event that the core has not heard. The daemon calls this until there is none.
+    /// Removes the oldest event that the core has not received. The daemon calls this until there is none.
     pub fn take(&mut self) -> Option<UpstreamEvent> {
         self.pool.next_event(&mut self.shared.events)
     }
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Takes an attempt off its connection, and tells its engine where some of it has gone out. Returns whether none has.
+    /// Removes an attempt from its connection. Has the engine abandon it where some of it has gone out; returns whether none
+    /// has.
     fn remove_attempt(&mut self, now: Time, key: &AttemptKey) -> bool {
         // Its end may be on its way to the core already; the core passes over what comes second.
         let Some(token) = self.pool.attempts.remove(key) else { return false };
@@ -161,7 +162,7 @@
 
     fn abandon(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
         let is_unsent = self.remove_attempt(now, &AttemptKey::new(id, attempt));
-        // Its connection may have ended with it: what waited there is on another before anything else is asked of it.
+        // Its connection may have ended with it: what waited there is moved to another before anything else is done with it.
         self.send_waiting(now);
         is_unsent
     }
--- a/src/upstream/resp/reply.rs
+++ b/src/upstream/resp/reply.rs
@@ -69,6 +69,7 @@
     Ok(Some(DecodedReply { reply: decode_values(values)?, length }))
 }
 
+/// The kinds' names on the wire are those of the engine protocol: `moot` is an expired attempt, `news` its progress.
 fn decode_values([id, kind, fields, body]: [&[u8]; VALUES]) -> Result<Reply, Malformed> {
     let text = |bytes| std::str::from_utf8(bytes).map_err(|_| Malformed);
     let fields = Fields(text(fields)?);
--- a/src/upstream/resp/shared.rs
+++ b/src/upstream/resp/shared.rs
@@ -27,7 +27,7 @@
 pub struct Shared {
     /// Sizes and times.
     pub limits: Rc<Limits>,
-    /// What the core is to hear.
+    /// Events that wait for the core.
     pub events: EventQueue,
     /// Deadlines of connections, attempts and engines.
     pub timers: TimerQueue<TimerEvent>,
