--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -29,6 +29,6 @@
 pub use event_handler::EventHandler;
 pub use poller::{Poller, Ready, Token};
 pub use slab::ConnectionSlab;
-pub use stream::BufferedStream;
+pub use stream::{BufferedStream, ConnectState};
 pub use suspend::SuspendDetector;
 pub use timers::TimerQueue;
--- a/src/net/open_connection.rs
+++ b/src/net/open_connection.rs
@@ -29,7 +29,7 @@
     /// be seen. What is read is bounded by the connection's own limits. Of one that is paused the end is seen all the same.
     pub fn wanted_interest(&mut self) -> Interest {
         let stream = self.connection.channel();
-        let is_writing = stream.is_connecting || stream.queued() > 0;
+        let is_writing = stream.is_connecting() || stream.queued() > 0;
         let has_more = self.connection.has_more() && !self.is_finishing;
         Interest { readable: self.is_read(), writable: is_writing || has_more }
     }
@@ -37,7 +37,7 @@
     /// Runs the callbacks that a ready descriptor calls for.
     pub fn handle_ready(&mut self, now: Time, ready: Ready, shared: &mut C::Shared) -> Flow {
         let stream = self.connection.channel();
-        if stream.is_connecting {
+        if stream.is_connecting() {
             if !ready.writable {
                 return Flow::Open;
             }
@@ -93,7 +93,7 @@
     /// Writes what is queued and may still go out. Once a finishing connection has written all, its side is shut down.
     pub fn write(&mut self, now: Time, shared: &mut C::Shared) -> Flow {
         let stream = self.connection.channel();
-        let has_output = !stream.is_connecting && stream.queued() > 0;
+        let has_output = !stream.is_connecting() && stream.queued() > 0;
         if has_output && self.connection.before_write(now, shared) == Flow::Close {
             return Flow::Close;
         }
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -40,7 +40,7 @@
         let generation = self.slots.get(index as usize).map_or(0, |slot| slot.generation);
         let token = Token::new(self.owner, index, generation);
         let Some(mut connection) = make(token) else { return Ok(None) };
-        let interest = Interest { readable: true, writable: connection.channel().is_connecting };
+        let interest = Interest { readable: true, writable: connection.channel().is_connecting() };
         self.poller.add(&connection.channel().stream, token, interest.writable)?;
         let open = Some(OpenConnection::new(connection, interest));
         match self.free_slots.pop() {
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -3,6 +3,7 @@
 use super::output::{MessageBytes, OutputQueue};
 use super::poller::poll_now;
 use rustix::event::PollFlags;
+use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -21,6 +22,21 @@
     Ended,
 }
 
+/// How far a socket has come with connecting.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectState {
+    /// It is not decided yet; nothing is written.
+    Connecting,
+    /// It is connected.
+    Connected,
+    /// Nobody listens where it was to connect to.
+    Refused,
+    /// It was reset while it connected: the peer's machine had accepted it.
+    Reset,
+    /// It failed in another way.
+    Failed,
+}
+
 /// A non-blocking TCP connection. Nothing that is queued goes out before [`flush`](Self::flush).
 pub struct BufferedStream {
     /// The socket.
@@ -28,14 +44,10 @@
     /// What has been read and not dealt with.
     pub input: Vec<u8>,
     output: OutputQueue,
-    /// It is not connected yet; nothing is written.
-    pub is_connecting: bool,
+    /// Whether it is connected, or how that failed.
+    connect_state: ConnectState,
     /// Bytes that have been read since it was opened.
     pub received: u64,
-    /// It was reset while it connected: the peer's machine had accepted it.
-    pub was_reset: bool,
-    /// Nobody listens where it was to connect to.
-    pub was_refused: bool,
 }
 
 impl BufferedStream {
@@ -46,7 +58,7 @@
     pub fn accepted(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Ok(Self::new(stream, false))
+        Ok(Self::new(stream, ConnectState::Connected))
     }
 
     /// Begins to connect. The socket becomes writable once that is decided; then [`finish_connect`](Self::finish_connect)
@@ -59,24 +71,26 @@
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
         match rustix::net::connect(&socket, &address) {
-            Ok(()) | Err(rustix::io::Errno::INPROGRESS) => {}
+            Ok(()) | Err(Errno::INPROGRESS) => {}
             Err(error) => return Err(error.into()),
         }
         let stream = TcpStream::from(socket);
         stream.set_nodelay(true)?;
-        Ok(Self::new(stream, true))
-    }
-
-    fn new(stream: TcpStream, is_connecting: bool) -> Self {
-        Self {
-            stream,
-            input: Vec::new(),
-            output: OutputQueue::default(),
-            is_connecting,
-            received: 0,
-            was_reset: false,
-            was_refused: false,
-        }
+        Ok(Self::new(stream, ConnectState::Connecting))
+    }
+
+    fn new(stream: TcpStream, connect_state: ConnectState) -> Self {
+        Self { stream, input: Vec::new(), output: OutputQueue::default(), connect_state, received: 0 }
+    }
+
+    /// Whether it is connected, or how that failed.
+    pub fn connect_state(&self) -> ConnectState {
+        self.connect_state
+    }
+
+    /// Whether it is not connected, also where that failed: nothing is written.
+    pub fn is_connecting(&self) -> bool {
+        self.connect_state != ConnectState::Connected
     }
 
     /// Queues a message and returns the tag by which it can be withdrawn.
@@ -114,7 +128,7 @@
     /// # Errors
     /// Where the socket takes no bytes any more.
     pub fn flush(&mut self) -> io::Result<()> {
-        if self.is_connecting {
+        if self.is_connecting() {
             return Ok(());
         }
         while let Some(bytes) = self.output.next_bytes() {
@@ -166,9 +180,12 @@
     /// How it failed.
     pub fn finish_connect(&mut self) -> io::Result<()> {
         let error = rustix::net::sockopt::socket_error(&self.stream)?;
-        self.was_reset = error == Err(rustix::io::Errno::CONNRESET);
-        self.was_refused = error == Err(rustix::io::Errno::CONNREFUSED);
-        self.is_connecting = error.is_err();
+        self.connect_state = match error {
+            Ok(()) => ConnectState::Connected,
+            Err(Errno::CONNREFUSED) => ConnectState::Refused,
+            Err(Errno::CONNRESET) => ConnectState::Reset,
+            Err(_) => ConnectState::Failed,
+        };
         Ok(error?)
     }
 
--- a/src/upstream/events.rs
+++ b/src/upstream/events.rs
@@ -1,7 +1,7 @@
 //! Events that wait for the core.
 
 use crate::core::{AttemptOutcome, AttemptReport, UpstreamEvent};
-use crate::net::BufferedStream;
+use crate::net::{BufferedStream, ConnectState};
 use dahliaspoke::policy::{Progress, RequestId};
 use std::collections::VecDeque;
 
@@ -51,7 +51,7 @@
 /// How an attempt ends with its connection; `unsent` where no byte of it went out.
 pub fn outcome_of_close(stream: &BufferedStream, unsent: bool) -> AttemptOutcome {
     match unsent {
-        true if stream.was_refused => AttemptOutcome::ConnectionRefused,
+        true if stream.connect_state() == ConnectState::Refused => AttemptOutcome::ConnectionRefused,
         true => AttemptOutcome::Unsent,
         false => AttemptOutcome::Reset,
     }
--- a/src/upstream/resp/connect.rs
+++ b/src/upstream/resp/connect.rs
@@ -68,7 +68,7 @@
         for token in &engines.get(&attempt.engine)?.connections {
             let Some(connection) = slab.get(*token) else { continue };
             let load = ConnectionLoad {
-                is_connecting: connection.stream.is_connecting,
+                is_connecting: connection.stream.is_connecting(),
                 attempts: connection.attempts.len(),
             };
             if best.as_ref().is_none_or(|best| load < best.load)
@@ -111,7 +111,7 @@
     /// first, and both stay for later attempts.
     pub(super) fn connect_second(&mut self, now: Time, key: &AttemptKey) {
         let Some(token) = self.pool.attempts.get(key).copied() else { return };
-        let is_connecting = |connection: &&mut RespConnection| connection.stream.is_connecting;
+        let is_connecting = |connection: &&mut RespConnection| connection.stream.is_connecting();
         let Some(connection) = self.pool.slab.get(token).filter(is_connecting) else { return };
         let engine = connection.engine.clone();
         // One that cannot be begun is as one that never comes up.
@@ -125,7 +125,7 @@
         let ConnectionPool { slab, engines, .. } = &mut self.pool;
         let Some(engine) = engines.get(&id) else { return };
         let is_spare = |connection: &mut RespConnection| {
-            connection.stream.is_connecting && connection.attempts.is_empty()
+            connection.stream.is_connecting() && connection.attempts.is_empty()
         };
         let mut spare = engine.connections.clone();
         spare.retain(|token| slab.get(*token).is_some_and(is_spare));
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -7,7 +7,7 @@
 use crate::core::AttemptOutcome;
 use crate::limits::EngineLimits;
 use crate::net::resp::Malformed;
-use crate::net::{BufferedStream, Connection, Flow, Time, Token};
+use crate::net::{BufferedStream, ConnectState, Connection, Flow, Time, Token};
 use crate::upstream::events::outcome_of_close;
 use crate::upstream::pool::EngineConnection;
 use dahliaspoke::policy::{EngineId, RequestId};
@@ -131,7 +131,7 @@
             return Flow::Open;
         };
         let max_queued = shared.limits.engines.max_queued_body_bytes;
-        while !self.stream.is_connecting && self.stream.queued() < max_queued {
+        while !self.stream.is_connecting() && self.stream.queued() < max_queued {
             let pulled = store.borrow_mut().pull(now, &body.reader);
             match pulled {
                 Pull::Bytes(bytes) => drop(self.stream.push_shared(bytes)),
@@ -215,9 +215,9 @@
     fn closed(&mut self, _: Time, shared: &mut Shared) {
         shared.sent_attempts += self.stream.counted_sent();
         self.end_body(shared);
+        let was_up = matches!(self.stream.connect_state(), ConnectState::Connected | ConnectState::Reset);
         for (id, running) in self.attempts.drain() {
             let is_unsent = self.stream.withdraw(running.message_tag);
-            let was_up = !self.stream.is_connecting || self.stream.was_reset;
             if is_unsent && was_up && running.pending.moves < shared.limits.engines.max_moves {
                 shared.moved.push(running.pending);
                 continue;
--- a/src/upstream/resp/deadlines.rs
+++ b/src/upstream/resp/deadlines.rs
@@ -23,7 +23,7 @@
     /// Closes a connection that is not up in time, or has been idle too long.
     fn check_idle(&mut self, now: Time, token: Token) {
         let Some(connection) = self.pool.slab.get(token) else { return };
-        let is_unused = connection.stream.is_connecting || connection.attempts.is_empty();
+        let is_unused = connection.stream.is_connecting() || connection.attempts.is_empty();
         if is_unused && connection.idle_deadline <= now {
             return self.pool.slab.close(now, token, &mut self.shared);
         }
@@ -61,7 +61,7 @@
         for token in self.pool.connections_of(id) {
             self.withdraw_all(now, token);
             // A connection that comes up from now on is of no use.
-            if self.pool.slab.get(token).is_some_and(|connection| connection.stream.is_connecting) {
+            if self.pool.slab.get(token).is_some_and(|connection| connection.stream.is_connecting()) {
                 self.pool.slab.close(now, token, &mut self.shared);
             }
         }
--- a/src/upstream/resp/dispatch.rs
+++ b/src/upstream/resp/dispatch.rs
@@ -58,7 +58,7 @@
             self.shared.bodies.insert(reader.id, token);
         }
         connection.queue(now, pending, reader);
-        let is_connecting = connection.stream.is_connecting;
+        let is_connecting = connection.stream.is_connecting();
         self.pool.attempts.insert(key.clone(), token);
         self.pool.continue_body(now, token, &mut self.shared);
         if is_connecting {
@@ -91,7 +91,7 @@
     /// Moves the attempt that waits for longest for a connection to the engine of this one here, if it is idle.
     fn move_to_idle(&mut self, now: Time, idle: Token) {
         let is_idle = |connection: &&mut RespConnection| {
-            !connection.stream.is_connecting && !connection.is_suspect && connection.attempts.is_empty()
+            !connection.stream.is_connecting() && !connection.is_suspect && connection.attempts.is_empty()
         };
         let Some(connection) = self.pool.slab.get(idle).filter(is_idle) else { return };
         let (id, address) = (connection.engine.clone(), connection.address);
@@ -115,7 +115,7 @@
         let ConnectionPool { slab, engines, .. } = &mut self.pool;
         let mut longest: Option<WaitingAttempt> = None;
         for token in &engines.get(engine)?.connections {
-            let Some(connection) = slab.get(*token).filter(|connection| connection.stream.is_connecting)
+            let Some(connection) = slab.get(*token).filter(|connection| connection.stream.is_connecting())
             else {
                 continue;
             };
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -104,7 +104,7 @@
         let Some(token) = self.pool.attempts.remove(key) else { return false };
         let Some(connection) = self.pool.slab.get(token) else { return false };
         let Some(running) = connection.attempts.remove(&key.id) else { return false };
-        if connection.attempts.is_empty() && !connection.stream.is_connecting {
+        if connection.attempts.is_empty() && !connection.stream.is_connecting() {
             connection.idle_deadline = now + self.shared.limits.engines.idle_timeout;
         }
         let is_unsent = connection.stream.withdraw(running.message_tag);
