--- a/crates/body-store/tests/store/random_histories.rs
+++ b/crates/body-store/tests/store/random_histories.rs
@@ -5,7 +5,7 @@
 use dahliaspoke_body_store::storage::*;
 use dahliaspoke_body_store::store::*;
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest::test_runner::{RngSeed, TestCaseResult};
 use std::sync::atomic::Ordering;
 
 #[derive(Clone, Debug)]
@@ -36,67 +36,132 @@
     prop::collection::vec(step, 1..120)
 }
 
+/// Memory of the store (bytes).
+const MEMORY_BYTES: u64 = 2 * MB;
+
+/// A body and what is sent of it.
+struct SentBody {
+    body: Body,
+    content: Vec<u8>,
+    sent: usize,
+}
+
+/// A reader and what it should get.
+struct ActiveReader {
+    reader: Reader,
+    content: Vec<u8>,
+    received: usize,
+}
+
+/// A store, and the bytes themselves as its model.
+struct History {
+    fixture: Fixture,
+    bodies: Vec<SentBody>,
+    readers: Vec<ActiveReader>,
+}
+
+impl History {
+    fn new() -> Self {
+        Self { fixture: fixture(MEMORY_BYTES), bodies: Vec::new(), readers: Vec::new() }
+    }
+
+    /// A step for a body or a reader where there is none lets the disk work.
+    fn apply(&mut self, seed: u64, step: Step) -> TestCaseResult {
+        match step {
+            Step::Admit(length, length_unknown) => self.admit(seed, length, length_unknown),
+            Step::Push(index, count) if !self.bodies.is_empty() => self.push(index, count),
+            Step::Read(index) if !self.bodies.is_empty() => self.read(index),
+            Step::Pull(index, count) if !self.readers.is_empty() => self.pull(index, count)?,
+            Step::Stop(index) if !self.readers.is_empty() => {
+                drop(self.readers.swap_remove(index % self.readers.len()));
+            }
+            Step::Drop(index) if !self.bodies.is_empty() => {
+                drop(self.bodies.swap_remove(index % self.bodies.len()));
+            }
+            Step::Full(full) => self.fixture.disk.full.store(full, Ordering::SeqCst),
+            Step::Later => self.fixture.now += 0.6,
+            _ => self.fixture.run_io(),
+        }
+        Ok(())
+    }
+
+    fn admit(&mut self, seed: u64, length: usize, length_unknown: bool) {
+        let now = self.fixture.now;
+        let body = if length_unknown {
+            self.fixture.store.admit_open(now, 0, now + 10.0).ok()
+        } else {
+            self.fixture.admit(0, length).ok().map(|(body, _)| body)
+        };
+        let content = random_bytes(seed, length);
+        self.bodies.extend(body.map(|body| SentBody { body, content, sent: 0 }));
+    }
+
+    fn push(&mut self, index: usize, count: usize) {
+        let index = index % self.bodies.len();
+        let SentBody { body, content, sent } = &mut self.bodies[index];
+        let (store, now) = (&mut self.fixture.store, self.fixture.now);
+        let count = count.min(store.room(body.id())).min(content.len() - *sent);
+        store.push(now, body.id(), &content[*sent..*sent + count]);
+        *sent += count;
+        if *sent == content.len() {
+            store.end(now, body.id()); // nothing where the length was known
+        }
+    }
+
+    fn read(&mut self, index: usize) {
+        let SentBody { body, content, .. } = &self.bodies[index % self.bodies.len()];
+        if let Some(reader) = self.fixture.store.reader(self.fixture.now, body) {
+            self.readers.push(ActiveReader { reader, content: content.clone(), received: 0 });
+        }
+    }
+
+    fn pull(&mut self, index: usize, count: usize) -> TestCaseResult {
+        let index = index % self.readers.len();
+        let ActiveReader { reader, content, received } = &mut self.readers[index];
+        for _ in 0..count {
+            match self.fixture.store.pull(self.fixture.now, reader) {
+                Pull::Bytes(bytes) => {
+                    prop_assert!(content[*received..].starts_with(&bytes), "altered at {received}");
+                    *received += bytes.len();
+                }
+                Pull::End => prop_assert_eq!(*received, content.len()),
+                Pull::Wait | Pull::Lost => {}
+            }
+        }
+        Ok(())
+    }
+
+    /// What is in memory is within the memory and the windows.
+    fn check_memory(&self) -> TestCaseResult {
+        let store = &self.fixture.store;
+        let windows = store.plan().windows();
+        let window_bytes = ((windows.arrivals + windows.replays) * CHUNK_BYTES) as u64;
+        // What fell back is read from its file in the window that it came with.
+        let fallen = store.figures()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
+        let bound = MEMORY_BYTES + window_bytes + fallen;
+        prop_assert!(store.resident_bytes() <= bound, "{} over {bound}", store.resident_bytes());
+        Ok(())
+    }
+
+    /// Drops all bodies and readers: nothing is left of them.
+    fn end(mut self) {
+        drop((self.bodies, self.readers));
+        self.fixture.store.on_timer(self.fixture.now);
+        self.fixture.assert_all_released();
+    }
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// Against the plainest model, the bytes themselves: whatever a reader gets is the start of what was sent,
-    /// to the byte, and nothing is left at the end.
+    /// Whatever a reader gets is the start of what was sent, to the byte, and nothing is left at the end.
     #[test]
     fn readers_get_what_was_sent_and_nothing_else(steps in steps()) {
-        let mut fixture = fixture(2 * MB);
-        let mut bodies: Vec<(Body, Vec<u8>, usize)> = Vec::new();
-        let mut readers: Vec<(Reader, Vec<u8>, usize)> = Vec::new();
+        let mut history = History::new();
         for (seed, step) in steps.into_iter().enumerate() {
-            match step {
-                Step::Admit(length, open) => {
-                    let taken = if open { fixture.store.admit_open(fixture.now, 0, fixture.now + 10.0).ok() } else { fixture.admit(0, length).ok().map(|taken| taken.0) };
-                    bodies.extend(taken.map(|body| (body, random_bytes(seed as u64, length), 0)));
-                }
-                Step::Push(at, count) if !bodies.is_empty() => {
-                    let at = at % bodies.len();
-                    let (body, text, sent) = &mut bodies[at];
-                    let count = count.min(fixture.store.room(body.id())).min(text.len() - *sent);
-                    fixture.store.push(fixture.now, body.id(), &text[*sent..*sent + count]);
-                    *sent += count;
-                    if *sent == text.len() {
-                        fixture.store.end(fixture.now, body.id()); // nothing where the length was known
-                    }
-                }
-                Step::Read(at) if !bodies.is_empty() => {
-                    let at = at % bodies.len();
-                    let (body, ..) = &bodies[at];
-                    if let Some(reader) = fixture.store.reader(fixture.now, body) {
-                        readers.push((reader, bodies[at].1.clone(), 0));
-                    }
-                }
-                Step::Pull(at, count) if !readers.is_empty() => {
-                    let at = at % readers.len();
-                    for _ in 0..count {
-                        let (reader, text, got) = &mut readers[at];
-                        match fixture.store.pull(fixture.now, reader) {
-                            Pull::Bytes(bytes) => {
-                                prop_assert!(text[*got..].starts_with(&bytes), "altered at {got}");
-                                *got += bytes.len();
-                            }
-                            Pull::End => prop_assert_eq!(*got, text.len()),
-                            Pull::Wait | Pull::Lost => {}
-                        }
-                    }
-                }
-                Step::Stop(at) if !readers.is_empty() => drop(readers.swap_remove(at % readers.len())),
-                Step::Drop(at) if !bodies.is_empty() => drop(bodies.swap_remove(at % bodies.len())),
-                Step::Full(full) => fixture.disk.full.store(full, Ordering::SeqCst),
-                Step::Later => fixture.now += 0.6,
-                _ => fixture.run_io(),
-            }
-            let windows = fixture.store.plan().windows();
-            // What has fallen is read back from its file in the window that it came with.
-            let fallen = fixture.store.figures()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
-            let bound = 2 * MB + ((windows.arrivals + windows.replays) * CHUNK_BYTES) as u64 + fallen;
-            prop_assert!(fixture.store.resident_bytes() <= bound, "{} over {bound}", fixture.store.resident_bytes());
+            history.apply(seed as u64, step)?;
+            history.check_memory()?;
         }
-        drop((bodies, readers));
-        fixture.store.on_timer(fixture.now);
-        fixture.assert_all_released();
+        history.end();
     }
 }
