--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -6,7 +6,7 @@
 
 use dahliaspoke_body_store::plan::{Budgets, ClassLimits};
 use dahliaspoke_body_store::storage::{slot_offset, ChunkStorage, SegmentFile, StorageFolder};
-use dahliaspoke_body_store::{Body, BodyStore, Pace, Pull, Wake};
+use dahliaspoke_body_store::{Body, BodyEvent, BodyStore, Pace, ReadOutcome};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::fs::File;
@@ -81,20 +81,20 @@
 
 /// Waits for the disk where there is nothing else to do.
 fn wait(store: &mut BodyStore) {
-    while store.take().is_some() {}
+    while store.next_event().is_some() {}
     store.on_ready(0.0);
     std::thread::yield_now();
 }
 
 fn read(store: &mut BodyStore, body: &Body) -> u64 {
-    let reader = store.reader(0.0, body).expect("here");
+    let reader = store.open_reader(0.0, body).expect("here");
     let mut count = 0;
     loop {
-        match store.pull(0.0, &reader) {
-            Pull::Bytes(bytes) => count += black_box(&bytes).len() as u64,
-            Pull::Wait => wait(store),
-            Pull::End => return count,
-            Pull::Lost => panic!("lost"),
+        match store.read(0.0, &reader) {
+            ReadOutcome::Bytes(bytes) => count += black_box(&bytes).len() as u64,
+            ReadOutcome::NotReady => wait(store),
+            ReadOutcome::End => return count,
+            ReadOutcome::Lost => panic!("lost"),
         }
     }
 }
@@ -103,27 +103,27 @@
     let (body, _) = store.admit(0.0, 0, length, 1.0).expect("room");
     let mut left = length as usize;
     if mode == Mode::Passed {
-        let reader = store.reader(0.0, &body).expect("here");
+        let reader = store.open_reader(0.0, &body).expect("here");
         loop {
-            let count = store.room(body.id()).min(left).min(piece.len());
-            store.push(0.0, body.id(), &piece[..count]);
+            let count = store.capacity(body.id()).min(left).min(piece.len());
+            store.append(0.0, body.id(), &piece[..count]);
             left -= count;
-            match store.pull(0.0, &reader) {
-                Pull::Bytes(bytes) => drop(black_box(bytes)),
-                Pull::End => return,
-                Pull::Wait => {}
-                Pull::Lost => panic!("lost"),
+            match store.read(0.0, &reader) {
+                ReadOutcome::Bytes(bytes) => drop(black_box(bytes)),
+                ReadOutcome::End => return,
+                ReadOutcome::NotReady => {}
+                ReadOutcome::Lost => panic!("lost"),
             }
-            while store.take().is_some() {}
+            while store.next_event().is_some() {}
         }
     }
     let mut kept = false;
     while !kept {
-        let count = store.room(body.id()).min(left).min(piece.len());
-        store.push(0.0, body.id(), &piece[..count]);
+        let count = store.capacity(body.id()).min(left).min(piece.len());
+        store.append(0.0, body.id(), &piece[..count]);
         left -= count;
-        while let Some(wake) = store.take() {
-            kept |= matches!(wake, Wake::Kept(_));
+        while let Some(wake) = store.next_event() {
+            kept |= matches!(wake, BodyEvent::Stored(_));
         }
         if count == 0 && !kept {
             store.on_ready(0.0);
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -15,9 +15,4 @@
 pub mod storage;
 pub mod store;
 
-pub use store::{Body, BodyStore, Bytes, Pace, Pull, Reader, ReaderId, Wake};
-
-/// The former path of the store's types, until their callers use the new one.
-pub mod spool {
-    pub use crate::store::{Body, Bytes, Pull, Reader, Wake};
-}
+pub use store::{Body, BodyEvent, BodyStore, Bytes, Pace, ReadOutcome, Reader, ReaderId};
--- a/crates/body-store/src/plan/admission.rs
+++ b/crates/body-store/src/plan/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: whether a body is taken, and in which tier it begins.
 
-use super::{BodyId, BodyState, Plan, Refusal, Tier, FILE_WINDOW_CHUNKS, PASSED_WINDOW_CHUNKS};
+use super::{BodyId, BodyState, Plan, Rejection, Tier, FILE_WINDOW_CHUNKS, PASSED_WINDOW_CHUNKS};
 
 /// Largest share of the memory that one body may use: a few large ones must not send all others to files.
 const MAX_BODY_SHARE: f64 = 0.25;
@@ -21,17 +21,17 @@
     /// length is reserved at once, so that a body which has begun to arrive does not run out of capacity.
     ///
     /// # Errors
-    /// [`Refusal::TooLarge`] above the largest size of its class, [`Refusal::NoRoom`] where no tier can take it.
+    /// [`Rejection::TooLarge`] above the largest size of its class, [`Rejection::NoCapacity`] where no tier can take it.
     pub fn admit(
         &mut self,
         now: f64,
         class: usize,
         length: u64,
         deadline: f64,
-    ) -> Result<Admission, Refusal> {
-        if length > self.largest(class) {
+    ) -> Result<Admission, Rejection> {
+        if length > self.max_bytes(class) {
             self.usage.counters_mut(class).too_large += 1;
-            return Err(Refusal::TooLarge);
+            return Err(Rejection::TooLarge);
         }
         let Some(tier) = self.tier_for(now, class, length) else {
             return Err(self.reject(class));
@@ -43,15 +43,15 @@
     /// memory. It is never passed on. [`Plan::extend`] reserves more as it arrives; [`Plan::set_length`] releases the rest.
     ///
     /// # Errors
-    /// [`Refusal::NoRoom`] where neither tier can take that many bytes.
+    /// [`Rejection::NoCapacity`] where neither tier can take that many bytes.
     pub fn admit_unknown_length(
         &mut self,
         now: f64,
         class: usize,
         length: u64,
         deadline: f64,
-    ) -> Result<Admission, Refusal> {
-        let length = length.min(self.largest(class));
+    ) -> Result<Admission, Rejection> {
+        let length = length.min(self.max_bytes(class));
         let tier = if self.file_has_capacity(now, class, length) {
             Tier::File
         } else if self.usage.fits(Tier::Memory, class, length) {
@@ -67,14 +67,14 @@
     /// then (bytes).
     ///
     /// # Errors
-    /// [`Refusal::TooLarge`] if the largest size is reserved already, [`Refusal::NoRoom`] if its tier has no capacity.
-    pub fn extend(&mut self, id: BodyId) -> Result<u64, Refusal> {
-        let Some(body) = self.bodies.get(&id) else { return Err(Refusal::NoRoom) };
+    /// [`Rejection::TooLarge`] if the largest size is reserved already, [`Rejection::NoCapacity`] if its tier has no capacity.
+    pub fn extend(&mut self, id: BodyId) -> Result<u64, Rejection> {
+        let Some(body) = self.bodies.get(&id) else { return Err(Rejection::NoCapacity) };
         let (class, tier, reserved) = (body.class, body.tier, body.length);
-        let length = (GROWTH_FACTOR * reserved).min(self.largest(class));
+        let length = (GROWTH_FACTOR * reserved).min(self.max_bytes(class));
         if length == reserved {
             self.usage.counters_mut(class).too_large += 1;
-            return Err(Refusal::TooLarge);
+            return Err(Rejection::TooLarge);
         }
         if !self.usage.fits(tier, class, length - reserved) {
             return Err(self.reject(class));
@@ -125,9 +125,9 @@
         admission
     }
 
-    fn reject(&mut self, class: usize) -> Refusal {
+    fn reject(&mut self, class: usize) -> Rejection {
         self.usage.counters_mut(class).rejected += 1;
-        Refusal::NoRoom
+        Rejection::NoCapacity
     }
 
     fn resize(&mut self, id: BodyId, length: u64) {
--- a/crates/body-store/src/plan/mod.rs
+++ b/crates/body-store/src/plan/mod.rs
@@ -36,13 +36,13 @@
 
 /// Why a body is not taken.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// It is larger than any of its class may be.
     #[error("the body is larger than its class allows")]
     TooLarge,
     /// No tier has the capacity now.
     #[error("no capacity for the body")]
-    NoRoom,
+    NoCapacity,
 }
 
 /// The decisions on bodies.
@@ -74,7 +74,7 @@
 
     /// The largest body that a class may have (bytes).
     #[must_use]
-    pub fn largest(&self, class: usize) -> u64 {
+    pub fn max_bytes(&self, class: usize) -> u64 {
         self.usage.limits(class).max_bytes
     }
 
--- a/crates/body-store/src/store/arrival.rs
+++ b/crates/body-store/src/store/arrival.rs
@@ -1,8 +1,8 @@
 //! A body is admitted, and its bytes arrive.
 
 use super::content::Content;
-use super::{Body, BodyStore, Wake};
-use crate::plan::{BodyId, Refusal, Tier};
+use super::{Body, BodyEvent, BodyStore};
+use crate::plan::{BodyId, Rejection, Tier};
 use crate::storage::CHUNK_BYTES;
 
 /// What is reserved at first for a body of unknown length (bytes); doubled as it arrives.
@@ -13,14 +13,14 @@
     /// clock, as `now`). Returns its handle and the tier that it begins in.
     ///
     /// # Errors
-    /// [`Refusal::TooLarge`] above the largest size of its class, [`Refusal::NoRoom`] where no tier can take it.
+    /// [`Rejection::TooLarge`] above the largest size of its class, [`Rejection::NoCapacity`] where no tier can take it.
     pub fn admit(
         &mut self,
         now: f64,
         class: usize,
         length: u64,
         deadline: f64,
-    ) -> Result<(Body, Tier), Refusal> {
+    ) -> Result<(Body, Tier), Rejection> {
         self.release_dropped(now);
         let admission = self.plan.admit(now, class, length, deadline)?;
         let content = Content { length, ..Content::default() };
@@ -30,8 +30,8 @@
     /// Admits a body of unknown length, which [`BodyStore::end`] tells. It is kept, or not taken.
     ///
     /// # Errors
-    /// [`Refusal::NoRoom`] where neither memory nor files can take it.
-    pub fn admit_open(&mut self, now: f64, class: usize, deadline: f64) -> Result<Body, Refusal> {
+    /// [`Rejection::NoCapacity`] where neither memory nor files can take it.
+    pub fn admit_unknown_length(&mut self, now: f64, class: usize, deadline: f64) -> Result<Body, Rejection> {
         self.release_dropped(now);
         let admission = self.plan.admit_unknown_length(now, class, INITIAL_RESERVATION, deadline)?;
         let length = self.plan.body(admission.id).map_or(0, |body| body.length);
@@ -40,7 +40,7 @@
     }
 
     /// A body of unknown length has ended with what has arrived of it. Nothing happens for others.
-    pub fn end(&mut self, now: f64, id: BodyId) {
+    pub fn finish(&mut self, now: f64, id: BodyId) {
         let Some(content) = self.contents.get_mut(&id).filter(|content| content.length_unknown) else {
             return;
         };
@@ -51,8 +51,8 @@
         self.complete_if_arrived(now, id);
     }
 
-    /// Bytes that the body takes now. At 0 its sender has to wait for [`Wake::Room`].
-    pub fn room(&mut self, id: BodyId) -> usize {
+    /// Bytes that the body takes now. At 0 its sender has to wait for [`BodyEvent::CapacityAvailable`].
+    pub fn capacity(&mut self, id: BodyId) -> usize {
         if !self.extend_if_full(id) {
             return 0;
         }
@@ -70,38 +70,38 @@
 
     /// Whether all of a body is here and kept.
     #[must_use]
-    pub fn is_kept(&self, id: BodyId) -> bool {
+    pub fn is_stored(&self, id: BodyId) -> bool {
         self.plan.body(id).is_some_and(|body| body.complete && body.tier != Tier::Passed)
     }
 
     /// The largest body that a class may have (bytes).
     #[must_use]
-    pub fn largest(&self, class: usize) -> u64 {
-        self.plan.largest(class)
+    pub fn max_bytes(&self, class: usize) -> u64 {
+        self.plan.max_bytes(class)
     }
 
     /// What has arrived of a body (bytes).
     #[must_use]
-    pub fn came(&self, id: BodyId) -> u64 {
+    pub fn received_bytes(&self, id: BodyId) -> u64 {
         self.contents.get(&id).map_or(0, |content| content.received)
     }
 
     /// Takes the next bytes of a body, as many as it has capacity for. Returns how many it took.
-    pub fn take_in(&mut self, now: f64, id: BodyId, bytes: &[u8]) -> usize {
+    pub fn append_available(&mut self, now: f64, id: BodyId, bytes: &[u8]) -> usize {
         let mut taken = 0;
         while taken < bytes.len() {
-            let count = self.room(id).min(bytes.len() - taken);
+            let count = self.capacity(id).min(bytes.len() - taken);
             if count == 0 {
                 break;
             }
-            self.push(now, id, &bytes[taken..taken + count]);
+            self.append(now, id, &bytes[taken..taken + count]);
             taken += count;
         }
         taken
     }
 
     /// Takes the next bytes of a body, which must be no more than [`BodyStore::room`] returned.
-    pub fn push(&mut self, now: f64, id: BodyId, mut bytes: &[u8]) {
+    pub fn append(&mut self, now: f64, id: BodyId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let Some(content) = self.contents.get_mut(&id) else { return };
             bytes = content.append(bytes);
@@ -129,7 +129,7 @@
         }
         let Ok(length) = self.plan.extend(id) else {
             content.lost = true;
-            self.events.push_back(Wake::Lost(id));
+            self.events.push_back(BodyEvent::Lost(id));
             return false;
         };
         content.length = length;
@@ -139,8 +139,8 @@
     /// Tells a sender that had to wait that the body has capacity again.
     pub(super) fn notify_sender(&mut self, id: BodyId) {
         let waits = self.contents.get(&id).is_some_and(|content| content.sender_waits);
-        if waits && self.room(id) > 0 {
-            self.events.push_back(Wake::Room(id));
+        if waits && self.capacity(id) > 0 {
+            self.events.push_back(BodyEvent::CapacityAvailable(id));
         }
     }
 
@@ -168,7 +168,7 @@
         }
         self.plan.mark_complete(id);
         if tier != Tier::Passed {
-            self.events.push_back(Wake::Kept(id));
+            self.events.push_back(BodyEvent::Stored(id));
         }
         self.start_waiting_readers();
         self.demote(now);
--- a/crates/body-store/src/store/event.rs
+++ b/crates/body-store/src/store/event.rs
@@ -9,28 +9,28 @@
 
 /// An event of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wake {
+pub enum BodyEvent {
     /// A sender that had to wait may go on: the body has capacity again.
-    Room(BodyId),
+    CapacityAvailable(BodyId),
     /// The body is complete and kept: its request may begin.
-    Kept(BodyId),
+    Stored(BodyId),
     /// The body can no longer be written to its file: from now on it is to be passed on, from its start.
-    Passed(BodyId),
+    PassedThrough(BodyId),
     /// The body cannot be taken after all. Nothing of it was read.
     Lost(BodyId),
     /// Bytes of the body are gone: no retry can have it.
-    Spent(BodyId),
+    BytesDropped(BodyId),
     /// A reader that had to wait may find bytes.
-    Data(ReaderId),
+    DataReady(ReaderId),
 }
 
 /// What a reader gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Pull {
+pub enum ReadOutcome {
     /// The next bytes.
     Bytes(Bytes),
-    /// They are not here yet; [`Wake::Data`] tells when to read again.
-    Wait,
+    /// They are not here yet; [`BodyEvent::DataReady`] tells when to read again.
+    NotReady,
     /// The body has ended.
     End,
     /// The rest cannot be had.
--- a/crates/body-store/src/store/file_tier.rs
+++ b/crates/body-store/src/store/file_tier.rs
@@ -1,7 +1,7 @@
 //! Chunks that are written to files, writes that fail or hang, and slots that are released.
 
 use super::content::{ChunkState, Content};
-use super::{BodyStore, Wake};
+use super::{BodyEvent, BodyStore};
 use crate::io_threads::{ChunkWrite, IoTask};
 use crate::plan::{BodyId, Tier, FILE_WINDOW_CHUNKS};
 use crate::storage::{Slot, CHUNK_BYTES};
@@ -110,7 +110,7 @@
         content.unwritable = true;
         if arriving {
             content.lost = true;
-            self.events.push_back(Wake::Lost(id));
+            self.events.push_back(BodyEvent::Lost(id));
         }
     }
 
--- a/crates/body-store/src/store/mod.rs
+++ b/crates/body-store/src/store/mod.rs
@@ -20,7 +20,7 @@
 mod release;
 mod replay;
 
-pub use event::{Bytes, Pull, Wake};
+pub use event::{BodyEvent, Bytes, ReadOutcome};
 pub use handle::{Body, Reader, ReaderId};
 
 use crate::io_threads::{Completion, IoThreads};
@@ -60,7 +60,7 @@
     last_reader: ReaderId,
     /// Readers that wait for a window, in the order that they get one.
     waiting_readers: VecDeque<ReaderId>,
-    events: VecDeque<Wake>,
+    events: VecDeque<BodyEvent>,
     dropped: DropList,
 }
 
@@ -93,13 +93,13 @@
 
     /// A descriptor that is readable when an I/O thread has completed something: [`BodyStore::on_ready`] is to be called then.
     #[must_use]
-    pub fn bell(&self) -> BorrowedFd<'_> {
+    pub fn waker(&self) -> BorrowedFd<'_> {
         self.waker.as_fd()
     }
 
     /// What has happened so far, by class.
     #[must_use]
-    pub fn figures(&self) -> &[ClassCounters] {
+    pub fn counters(&self) -> &[ClassCounters] {
         self.plan.counters()
     }
 
@@ -122,13 +122,13 @@
     }
 
     /// The next event for the caller.
-    pub fn take(&mut self) -> Option<Wake> {
+    pub fn next_event(&mut self) -> Option<BodyEvent> {
         self.events.pop_front()
     }
 
     /// When a write counts as one that hangs, if one is under way (seconds on the caller's clock).
     #[must_use]
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_deadline(&self) -> Option<f64> {
         self.next_write_timeout()
     }
 
--- a/crates/body-store/src/store/passing.rs
+++ b/crates/body-store/src/store/passing.rs
@@ -2,7 +2,7 @@
 
 use super::content::{Chunk, ChunkState, Content};
 use super::replay::ReaderState;
-use super::{BodyStore, ReaderId, Wake};
+use super::{BodyEvent, BodyStore, ReaderId};
 use crate::plan::{BodyId, BodyState, Tier};
 use crate::storage::CHUNK_BYTES;
 use std::collections::HashMap;
@@ -55,7 +55,7 @@
         }
         if discarded && !content.has_discarded {
             content.has_discarded = true;
-            self.events.push_back(Wake::Spent(id));
+            self.events.push_back(BodyEvent::BytesDropped(id));
         }
     }
 
@@ -64,10 +64,10 @@
         let Some(content) = self.contents.get_mut(&id) else { return };
         if !self.plan.fall_back_to_passing(id) {
             content.lost = true;
-            self.events.push_back(Wake::Lost(id));
+            self.events.push_back(BodyEvent::Lost(id));
             return;
         }
-        self.events.push_back(Wake::Passed(id));
+        self.events.push_back(BodyEvent::PassedThrough(id));
         if content.has_arrived() {
             self.plan.mark_complete(id);
         }
--- a/crates/body-store/src/store/replay.rs
+++ b/crates/body-store/src/store/replay.rs
@@ -1,7 +1,7 @@
 //! Readers, each from the start of its body, and chunks that are read back for them from files.
 
 use super::content::ChunkState;
-use super::{Body, BodyStore, Bytes, Pull, Reader, ReaderId, Wake};
+use super::{Body, BodyEvent, BodyStore, Bytes, ReadOutcome, Reader, ReaderId};
 use crate::io_threads::{ChunkRead, IoTask};
 use crate::plan::{BodyId, Tier, REPLAY_WINDOW_CHUNKS};
 use std::io;
@@ -27,13 +27,13 @@
     /// It has to be read back.
     InFile,
     /// There is none, for the reason that the reader is told.
-    Absent(Pull),
+    Absent(ReadOutcome),
 }
 
 impl BodyStore {
     /// Begins to read a body from its start. `None` where bytes of it are gone, where it is not complete, or where it is passed
     /// on and has its reader.
-    pub fn reader(&mut self, now: f64, body: &Body) -> Option<Reader> {
+    pub fn open_reader(&mut self, now: f64, body: &Body) -> Option<Reader> {
         self.release_dropped(now);
         let id = body.id();
         if !self.plan.can_read(id) {
@@ -57,10 +57,10 @@
     }
 
     /// The next bytes for a reader.
-    pub fn pull(&mut self, now: f64, reader: &Reader) -> Pull {
-        let Some(state) = self.readers.get(&reader.id) else { return Pull::Lost };
+    pub fn read(&mut self, now: f64, reader: &Reader) -> ReadOutcome {
+        let Some(state) = self.readers.get(&reader.id) else { return ReadOutcome::Lost };
         if state.waits_for_window {
-            return Pull::Wait;
+            return ReadOutcome::NotReady;
         }
         let (id, chunk) = (state.body, state.next_chunk);
         match self.find_chunk(now, id, chunk) {
@@ -68,11 +68,11 @@
                 self.advance(reader.id);
                 self.load(now, id, chunk + 1);
                 self.notify_sender(id);
-                Pull::Bytes(bytes)
+                ReadOutcome::Bytes(bytes)
             }
             NextChunk::InFile => {
                 self.load(now, id, chunk);
-                Pull::Wait
+                ReadOutcome::NotReady
             }
             NextChunk::Absent(reason) => reason,
         }
@@ -81,18 +81,18 @@
     /// Finds the chunk of a body. Of one that is passed on, what has arrived becomes a chunk, however little it is.
     fn find_chunk(&mut self, now: f64, id: BodyId, chunk: usize) -> NextChunk {
         let Some(content) = self.contents.get(&id).filter(|content| !content.lost) else {
-            return NextChunk::Absent(Pull::Lost);
+            return NextChunk::Absent(ReadOutcome::Lost);
         };
         if chunk >= content.chunks.len() {
             if content.has_arrived() {
-                return NextChunk::Absent(Pull::End);
+                return NextChunk::Absent(ReadOutcome::End);
             }
             if !self.is_passed(id) || content.partial.is_empty() {
-                return NextChunk::Absent(Pull::Wait);
+                return NextChunk::Absent(ReadOutcome::NotReady);
             }
             self.end_chunk(now, id);
         }
-        let Some(content) = self.contents.get(&id) else { return NextChunk::Absent(Pull::Lost) };
+        let Some(content) = self.contents.get(&id) else { return NextChunk::Absent(ReadOutcome::Lost) };
         match &content.chunks[chunk].state {
             ChunkState::Memory(bytes) | ChunkState::Writing(bytes) | ChunkState::Written { bytes, .. } => {
                 NextChunk::Found(bytes.clone())
@@ -100,7 +100,7 @@
             ChunkState::File(_) => {
                 content.loaded.get(&chunk).cloned().map_or(NextChunk::InFile, NextChunk::Found)
             }
-            ChunkState::Discarded => NextChunk::Absent(Pull::Lost),
+            ChunkState::Discarded => NextChunk::Absent(ReadOutcome::Lost),
         }
     }
 
@@ -155,7 +155,7 @@
                 content.lost = true;
                 content.loaded.clear();
                 self.plan.count_corrupt(id);
-                self.events.push_back(Wake::Spent(id));
+                self.events.push_back(BodyEvent::BytesDropped(id));
             }
         }
         self.notify_readers(id);
@@ -164,7 +164,7 @@
     /// Tells the readers of a body that they may find bytes.
     pub(super) fn notify_readers(&mut self, id: BodyId) {
         let Some(content) = self.contents.get(&id) else { return };
-        self.events.extend(content.readers.iter().map(|reader| Wake::Data(*reader)));
+        self.events.extend(content.readers.iter().map(|reader| BodyEvent::DataReady(*reader)));
     }
 
     /// Gives windows that are free to readers that wait for one, in their order.
@@ -180,7 +180,7 @@
             self.waiting_readers.pop_front();
             state.waits_for_window = false;
             state.has_window = true;
-            self.events.push_back(Wake::Data(reader));
+            self.events.push_back(BodyEvent::DataReady(reader));
         }
     }
 }
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -116,8 +116,8 @@
         let max_bytes = self.budgets.classes[class].max_bytes;
         match self.plan.admit(self.now, class, length, self.now + 5.0) {
             Ok(admission) => self.bodies.push(admission.id),
-            Err(Refusal::TooLarge) => prop_assert!(length > max_bytes),
-            Err(Refusal::NoRoom) => prop_assert!(length <= max_bytes),
+            Err(Rejection::TooLarge) => prop_assert!(length > max_bytes),
+            Err(Rejection::NoCapacity) => prop_assert!(length <= max_bytes),
         }
         Ok(())
     }
@@ -128,8 +128,8 @@
         let max_bytes = self.budgets.classes[before.class].max_bytes;
         match self.plan.extend(id) {
             Ok(length) => prop_assert!(length > before.length && length <= max_bytes),
-            Err(Refusal::TooLarge) => prop_assert_eq!(before.length, max_bytes),
-            Err(Refusal::NoRoom) => {}
+            Err(Rejection::TooLarge) => prop_assert_eq!(before.length, max_bytes),
+            Err(Rejection::NoCapacity) => {}
         }
         Ok(())
     }
@@ -282,7 +282,7 @@
     }
 }
 
-fn tier(plan: &mut Plan, class: usize, length: u64) -> Result<Tier, Refusal> {
+fn tier(plan: &mut Plan, class: usize, length: u64) -> Result<Tier, Rejection> {
     plan.admit(0.0, class, length, 9.0).map(|admission| admission.tier)
 }
 
@@ -293,7 +293,7 @@
     let tiers: Vec<_> = (0..20).map(|_| tier(&mut plan, 1, 2 * MB)).collect();
     let count = |wanted| tiers.iter().filter(|t| **t == Ok(wanted)).count();
     assert_eq!((count(Tier::Memory), count(Tier::File) + count(Tier::Passed)), (2, 11));
-    assert_eq!(tiers.last(), Some(&Err(Refusal::NoRoom)), "windows run out");
+    assert_eq!(tiers.last(), Some(&Err(Rejection::NoCapacity)), "windows run out");
     assert_eq!(tier(&mut plan, 0, 2 * MB), Ok(Tier::Memory), "a look-up still has its place");
 }
 
@@ -302,7 +302,7 @@
     let mut plan = Plan::new(budgets());
     assert_eq!(tier(&mut plan, 0, 3 * MB), Ok(Tier::File));
     assert_eq!(tier(&mut plan, 0, 2 * MB), Ok(Tier::Memory));
-    assert_eq!(tier(&mut plan, 0, 9 * MB), Err(Refusal::TooLarge));
+    assert_eq!(tier(&mut plan, 0, 9 * MB), Err(Rejection::TooLarge));
 }
 
 #[test]
@@ -310,7 +310,7 @@
     let mut plan = Plan::new(budgets());
     plan.suspend_files(5.0);
     assert_eq!(tier(&mut plan, 1, 3 * MB), Ok(Tier::Passed));
-    assert_eq!(tier(&mut plan, 2, 3 * MB), Err(Refusal::NoRoom), "this class is not passed on");
+    assert_eq!(tier(&mut plan, 2, 3 * MB), Err(Rejection::NoCapacity), "this class is not passed on");
     assert_eq!(plan.admit(5.0, 2, 3 * MB, 9.0).map(|b| b.tier), Ok(Tier::File), "tried again");
 }
 
--- a/crates/body-store/tests/store/demotion.rs
+++ b/crates/body-store/tests/store/demotion.rs
@@ -14,20 +14,20 @@
         .map(|text| {
             let (body, tier) = fixture.admit(0, text.len()).expect("room");
             assert_eq!(tier, Tier::Memory);
-            assert_eq!(fixture.send(&body, text), Some(Wake::Kept(body.id())));
+            assert_eq!(fixture.send(&body, text), Some(BodyEvent::Stored(body.id())));
             body
         })
         .collect();
     while fixture.store.plan().used() != (UsedBytes { memory: 3 * MB, file: MB }) {
         fixture.run_io();
     }
-    assert_eq!(fixture.store.figures()[0].demoted, 1);
+    assert_eq!(fixture.store.counters()[0].demoted, 1);
     // The next move fails: that body stays where it was.
     fixture.disk.full.store(true, Ordering::SeqCst);
     let more = random_bytes(20, MB as usize);
     let (last, tier) = fixture.admit(0, more.len()).expect("room");
     assert_eq!(tier, Tier::Memory);
-    assert_eq!(fixture.send(&last, &more), Some(Wake::Kept(last.id())));
+    assert_eq!(fixture.send(&last, &more), Some(BodyEvent::Stored(last.id())));
     while fixture.store.plan().used() != (UsedBytes { memory: 4 * MB, file: MB }) {
         fixture.run_io();
     }
--- a/crates/body-store/tests/store/fixture.rs
+++ b/crates/body-store/tests/store/fixture.rs
@@ -129,18 +129,19 @@
         self.store.on_timer(self.now);
     }
 
-    pub fn admit(&mut self, class: usize, length: usize) -> Result<(Body, Tier), Refusal> {
+    pub fn admit(&mut self, class: usize, length: usize) -> Result<(Body, Tier), Rejection> {
         self.store.admit(self.now, class, length as u64, self.now + 10.0)
     }
 
     /// Sends bytes until all are taken, or until the body is kept, passed on or lost; returns that event.
-    pub fn send(&mut self, body: &Body, mut bytes: &[u8]) -> Option<Wake> {
+    pub fn send(&mut self, body: &Body, mut bytes: &[u8]) -> Option<BodyEvent> {
         loop {
-            let room = self.store.room(body.id()).min(bytes.len());
-            self.store.push(self.now, body.id(), &bytes[..room]);
+            let room = self.store.capacity(body.id()).min(bytes.len());
+            self.store.append(self.now, body.id(), &bytes[..room]);
             bytes = &bytes[room..];
-            while let Some(wake) = self.store.take() {
-                if matches!(wake, Wake::Kept(id) | Wake::Passed(id) | Wake::Lost(id) if id == body.id()) {
+            while let Some(wake) = self.store.next_event() {
+                if matches!(wake, BodyEvent::Stored(id) | BodyEvent::PassedThrough(id) | BodyEvent::Lost(id) if id == body.id())
+                {
                     return Some(wake);
                 }
             }
@@ -160,14 +161,14 @@
 
     /// Reads a body from its start. If it is lost meanwhile, what was read is the error.
     pub fn read(&mut self, body: &Body) -> Result<Vec<u8>, Vec<u8>> {
-        let reader = self.store.reader(self.now, body).ok_or_else(Vec::new)?;
+        let reader = self.store.open_reader(self.now, body).ok_or_else(Vec::new)?;
         let mut out = Vec::new();
         loop {
-            match self.store.pull(self.now, &reader) {
-                Pull::Bytes(bytes) => out.extend_from_slice(&bytes),
-                Pull::End => return Ok(out),
-                Pull::Lost => return Err(out),
-                Pull::Wait => self.run_io(),
+            match self.store.read(self.now, &reader) {
+                ReadOutcome::Bytes(bytes) => out.extend_from_slice(&bytes),
+                ReadOutcome::End => return Ok(out),
+                ReadOutcome::Lost => return Err(out),
+                ReadOutcome::NotReady => self.run_io(),
             }
         }
     }
--- a/crates/body-store/tests/store/random_histories.rs
+++ b/crates/body-store/tests/store/random_histories.rs
@@ -13,7 +13,7 @@
     Admit(usize, bool),
     Push(usize, usize),
     Read(usize),
-    Pull(usize, usize),
+    ReadOutcome(usize, usize),
     Stop(usize),
     Drop(usize),
     Full(bool),
@@ -26,7 +26,7 @@
         3 => (1..900_000usize, any::<bool>()).prop_map(|(length, open)| Step::Admit(length, open)),
         8 => (any::<usize>(), 1..300_000usize).prop_map(|(at, count)| Step::Push(at, count)),
         3 => any::<usize>().prop_map(Step::Read),
-        8 => (any::<usize>(), 1..8usize).prop_map(|(at, count)| Step::Pull(at, count)),
+        8 => (any::<usize>(), 1..8usize).prop_map(|(at, count)| Step::ReadOutcome(at, count)),
         1 => any::<usize>().prop_map(Step::Stop),
         1 => any::<usize>().prop_map(Step::Drop),
         1 => any::<bool>().prop_map(Step::Full),
@@ -71,7 +71,7 @@
             Step::Admit(length, length_unknown) => self.admit(seed, length, length_unknown),
             Step::Push(index, count) if !self.bodies.is_empty() => self.push(index, count),
             Step::Read(index) if !self.bodies.is_empty() => self.read(index),
-            Step::Pull(index, count) if !self.readers.is_empty() => self.pull(index, count)?,
+            Step::ReadOutcome(index, count) if !self.readers.is_empty() => self.pull(index, count)?,
             Step::Stop(index) if !self.readers.is_empty() => {
                 drop(self.readers.swap_remove(index % self.readers.len()));
             }
@@ -88,7 +88,7 @@
     fn admit(&mut self, seed: u64, length: usize, length_unknown: bool) {
         let now = self.fixture.now;
         let body = if length_unknown {
-            self.fixture.store.admit_open(now, 0, now + 10.0).ok()
+            self.fixture.store.admit_unknown_length(now, 0, now + 10.0).ok()
         } else {
             self.fixture.admit(0, length).ok().map(|(body, _)| body)
         };
@@ -100,17 +100,17 @@
         let index = index % self.bodies.len();
         let SentBody { body, content, sent } = &mut self.bodies[index];
         let (store, now) = (&mut self.fixture.store, self.fixture.now);
-        let count = count.min(store.room(body.id())).min(content.len() - *sent);
-        store.push(now, body.id(), &content[*sent..*sent + count]);
+        let count = count.min(store.capacity(body.id())).min(content.len() - *sent);
+        store.append(now, body.id(), &content[*sent..*sent + count]);
         *sent += count;
         if *sent == content.len() {
-            store.end(now, body.id()); // nothing where the length was known
+            store.finish(now, body.id()); // nothing where the length was known
         }
     }
 
     fn read(&mut self, index: usize) {
         let SentBody { body, content, .. } = &self.bodies[index % self.bodies.len()];
-        if let Some(reader) = self.fixture.store.reader(self.fixture.now, body) {
+        if let Some(reader) = self.fixture.store.open_reader(self.fixture.now, body) {
             self.readers.push(ActiveReader { reader, content: content.clone(), received: 0 });
         }
     }
@@ -119,13 +119,13 @@
         let index = index % self.readers.len();
         let ActiveReader { reader, content, received } = &mut self.readers[index];
         for _ in 0..count {
-            match self.fixture.store.pull(self.fixture.now, reader) {
-                Pull::Bytes(bytes) => {
+            match self.fixture.store.read(self.fixture.now, reader) {
+                ReadOutcome::Bytes(bytes) => {
                     prop_assert!(content[*received..].starts_with(&bytes), "altered at {received}");
                     *received += bytes.len();
                 }
-                Pull::End => prop_assert_eq!(*received, content.len()),
-                Pull::Wait | Pull::Lost => {}
+                ReadOutcome::End => prop_assert_eq!(*received, content.len()),
+                ReadOutcome::NotReady | ReadOutcome::Lost => {}
             }
         }
         Ok(())
@@ -137,7 +137,7 @@
         let windows = store.plan().windows();
         let window_bytes = ((windows.arrivals + windows.replays) * CHUNK_BYTES) as u64;
         // What fell back is read from its file in the window that it came with.
-        let fallen = store.figures()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
+        let fallen = store.counters()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
         let bound = MEMORY_BYTES + window_bytes + fallen;
         prop_assert!(store.resident_bytes() <= bound, "{} over {bound}", store.resident_bytes());
         Ok(())
--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -44,11 +44,11 @@
 const DEFAULT_DISK_HANGS_MS: f64 = 2_000.0;
 
 /// The body store, as listeners and upstreams share it.
-pub type Shared = Rc<RefCell<BodyStore>>;
+pub type SharedBodyStore = Rc<RefCell<BodyStore>>;
 
-impl EventHandler for Shared {
+impl EventHandler for SharedBodyStore {
     fn next_deadline(&mut self) -> Option<Time> {
-        self.borrow().next()
+        self.borrow().next_deadline()
     }
 
     fn on_timer(&mut self, now: Time) {
@@ -110,7 +110,7 @@
 /// The content of the file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Bodies {
+pub struct BodyStoreFile {
     /// Memory for bodies and windows (MB).
     memory_mb: Spanned<f64>,
     /// The largest body of any class (MB).
@@ -188,7 +188,7 @@
     }
 }
 
-impl Bodies {
+impl BodyStoreFile {
     /// Reads and checks the file; `None` where there is none: the body store is off then.
     ///
     /// # Errors
@@ -237,7 +237,7 @@
     }
 
     /// Sets the limits of the listeners that follow from the file.
-    pub fn limit(&self, settings: &Settings, limits: &mut Limits) {
+    pub fn apply_limits(&self, settings: &Settings, limits: &mut Limits) {
         let above = self.above_kb.as_ref().map_or(usize::MAX, |kb| (kb.get_ref() * BYTES_PER_KB) as usize);
         limits.bodies.max_inline_bytes = above.min(limits.http.max_body_bytes);
         limits.bodies.max_bytes = (self.largest_mb.get_ref() * BYTES_PER_MB) as usize;
@@ -250,7 +250,7 @@
     ///
     /// # Errors
     /// [`BodyStoreError::Folder`] or [`BodyStoreError::Waker`].
-    pub fn open(&self, settings: &Settings) -> Result<Shared, BodyStoreError> {
+    pub fn open(&self, settings: &Settings) -> Result<SharedBodyStore, BodyStoreError> {
         let storage = match (&self.files_mb, &self.folder) {
             (Some(_), Some(path)) => Some(open_storage(path)?),
             _ => None,
@@ -299,7 +299,7 @@
 }
 
 /// Reports the statistics of one class, name and value each.
-pub fn figures(class: &str, counters: &ClassCounters, mut report: impl FnMut(&str, u64)) {
+pub fn report_counters(class: &str, counters: &ClassCounters, mut report: impl FnMut(&str, u64)) {
     for (tier, name) in [(Tier::Memory, "memory"), (Tier::File, "file"), (Tier::Passed, "passed")] {
         report(&format!("bodies.{name}.held.{class}"), counters.held_bodies.get(tier));
         report(&format!("bodies.{name}.bytes.{class}"), counters.held_bytes.get(tier));
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,6 +1,6 @@
 //! `dahliaspoke check FILE`: whether a file would be accepted, without a start.
 
-use crate::body_store::Bodies;
+use crate::body_store::BodyStoreFile;
 use crate::config::{parse_toml, Config, ConfigError};
 use crate::discovery::consul;
 use crate::mysql::config::Mysql;
@@ -64,7 +64,7 @@
         "consul.toml" => parse::<consul::Config>(path, &text).map(drop),
         "log.toml" => parse::<log::Config>(path, &text).map(drop),
         "trace.toml" => parse::<core::Trace>(path, &text).map(drop),
-        "bodies.toml" => parse::<Bodies>(path, &text).map(drop),
+        "bodies.toml" => parse::<BodyStoreFile>(path, &text).map(drop),
         "mysql.toml" => parse::<Mysql>(path, &text).map(drop),
         name if name.ends_with(".json") => check_configuration(path, &text),
         _ => Err(CheckError::UnknownName { path: path.into() }),
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -116,5 +116,5 @@
     fn set_priority(&mut self, now: Time, id: &RequestId, attempt: u32, priority: u8);
 
     /// How many attempts have gone out complete since the start, for statistics.
-    fn written(&self) -> u64;
+    fn sent_attempts(&self) -> u64;
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -187,7 +187,7 @@
             self.next_totals = now + TOTALS_INTERVAL;
             self.trace.engine_totals(now, || engine_totals(&self.policy));
         }
-        while let Some(event) = self.timers.due(now) {
+        while let Some(event) = self.timers.pop_due(now) {
             match event {
                 TimerEvent::Policy(token) => self.feed(now, Event::Timer(token), routes),
                 TimerEvent::AttemptDeadline(attempt) => self.on_attempt_deadline(now, attempt, routes),
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -3,7 +3,7 @@
 use crate::net::Time;
 use dahliaspoke::policy::RequestId;
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Body;
+use dahliaspoke_body_store::Body;
 use std::sync::Arc;
 
 /// What an engine is to run, as the listener decoded it and the upstream sends it; opaque to the core.
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -4,7 +4,7 @@
 use super::Daemon;
 use crate::core::ListenerEvent;
 use crate::net::Time;
-use dahliaspoke_body_store::spool::Wake;
+use dahliaspoke_body_store::BodyEvent;
 
 impl Daemon {
     /// Forwards events until no part has one.
@@ -27,16 +27,19 @@
         true
     }
 
-    fn next_body_event(&mut self) -> Option<Wake> {
-        self.handlers.body_store.as_ref().and_then(|store| store.borrow_mut().take())
+    fn next_body_event(&mut self) -> Option<BodyEvent> {
+        self.handlers.body_store.as_ref().and_then(|store| store.borrow_mut().next_event())
     }
 
-    fn forward_body_event(&mut self, now: Time, event: &Wake) {
+    fn forward_body_event(&mut self, now: Time, event: &BodyEvent) {
         let routes = &mut self.handlers.routes;
         match event {
-            Wake::Data(reader) => routes.wake_reader(now, *reader),
-            Wake::Spent(body) => self.core.on_body_dropped(now, *body, &mut routes.for_core()),
-            Wake::Room(body) | Wake::Kept(body) | Wake::Passed(body) | Wake::Lost(body) => {
+            BodyEvent::DataReady(reader) => routes.wake_reader(now, *reader),
+            BodyEvent::BytesDropped(body) => self.core.on_body_dropped(now, *body, &mut routes.for_core()),
+            BodyEvent::CapacityAvailable(body)
+            | BodyEvent::Stored(body)
+            | BodyEvent::PassedThrough(body)
+            | BodyEvent::Lost(body) => {
                 routes.wake_upload(now, *body, event);
             }
         }
@@ -45,7 +48,7 @@
     fn forward_listener_event(&mut self, now: Time, mut event: ListenerEvent) {
         if let ListenerEvent::Request(request) = &mut event {
             // A client's time runs from when it sent the request, and that may have been before a suspension.
-            request.deadline -= now - self.suspend_detector.came(now);
+            request.deadline -= now - self.suspend_detector.earliest_arrival(now);
             if matches!(self.shutdown, ShutdownState::Flushing { .. }) {
                 request.deadline = now; // it is rejected at once
             }
--- a/src/daemon/event_loop.rs
+++ b/src/daemon/event_loop.rs
@@ -99,7 +99,7 @@
     /// Whether the process did not run for a while, though the loop waited until `deadline` at the most.
     fn was_suspended(&mut self, deadline: Option<Time>) -> bool {
         let threshold = self.limits.event_loop.suspend_threshold;
-        self.suspend_detector.woke(self.clock.now(), deadline, threshold)
+        self.suspend_detector.check(self.clock.now(), deadline, threshold)
     }
 
     /// After a suspension engines may have drained or gone: queries the directory before anything is admitted or sent, for a
--- a/src/daemon/handlers.rs
+++ b/src/daemon/handlers.rs
@@ -135,7 +135,7 @@
     /// Listeners and upstreams.
     pub routes: Routes,
     /// Large request bodies, where the deployment keeps them.
-    pub body_store: Option<body_store::Shared>,
+    pub body_store: Option<body_store::SharedBodyStore>,
     /// The replicated store, where the deployment has one.
     pub store: Option<Store>,
     /// The admin interface, where the configuration names an address for it.
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -69,7 +69,7 @@
                 if backoff.is_first() {
                     tracing::info!(at = now, "the old configuration stays: {error}");
                 }
-                self.reload = ReloadState::Retrying { at: now + backoff.next_pause(), backoff };
+                self.reload = ReloadState::Retrying { at: now + backoff.next_delay(), backoff };
             }
         }
     }
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -8,7 +8,7 @@
 use crate::upstream::mysql::MysqlUpstream;
 use crate::upstream::resp::RespUpstream;
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Wake;
+use dahliaspoke_body_store::BodyEvent;
 
 /// The number of the HTTP route in requests.
 pub const HTTP_ROUTE: usize = 0;
@@ -46,60 +46,60 @@
     /// The next event of a listener, in order of the routes.
     pub fn next_listener_event(&mut self) -> Option<ListenerEvent> {
         let mysql = &mut self.mysql;
-        self.http.take().or_else(|| mysql.as_mut().and_then(|route| route.listener.take()))
+        self.http.next_event().or_else(|| mysql.as_mut().and_then(|route| route.listener.next_event()))
     }
 
     /// The next event of an upstream, in order of the routes.
     pub fn next_upstream_event(&mut self) -> Option<UpstreamEvent> {
         let mysql = &mut self.mysql;
-        self.resp.take().or_else(|| mysql.as_mut().and_then(|route| route.upstream.take()))
+        self.resp.next_event().or_else(|| mysql.as_mut().and_then(|route| route.upstream.next_event()))
     }
 
     /// A reader of a body may find bytes: lets the upstream that has it go on.
     pub fn wake_reader(&mut self, now: Time, reader: u64) {
-        self.resp.wake(now, reader);
+        self.resp.continue_body(now, reader);
         if let Some(mysql) = &mut self.mysql {
-            mysql.upstream.wake(now, reader);
+            mysql.upstream.continue_body(now, reader);
         }
     }
 
     /// The state of a body has changed: lets the listener that receives it go on.
-    pub fn wake_upload(&mut self, now: Time, body: BodyId, wake: &Wake) {
-        self.http.wake(now, body, wake);
+    pub fn wake_upload(&mut self, now: Time, body: BodyId, wake: &BodyEvent) {
+        self.http.on_body_change(now, body, wake);
         if let Some(mysql) = &mut self.mysql {
-            mysql.listener.wake(now, body, wake);
+            mysql.listener.on_body_change(now, body, wake);
         }
     }
 
     /// No upload begins after this time.
     pub fn accept_uploads_until(&mut self, until: Time) {
-        self.http.last_upload(until);
+        self.http.set_upload_cutoff(until);
         if let Some(mysql) = &mut self.mysql {
-            mysql.listener.last_upload(until);
+            mysql.listener.set_upload_cutoff(until);
         }
     }
 
     /// No attempt begins after this time, when the lease on the endpoint set expires.
     pub fn set_lease_end(&mut self, until: Time) {
-        self.resp.valid_until(until);
+        self.resp.set_lease_end(until);
         if let Some(mysql) = &mut self.mysql {
-            mysql.upstream.valid_until(until);
+            mysql.upstream.set_lease_end(until);
         }
     }
 
     /// Updates one engine at the upstreams. `notified` is when the change counts as known.
     pub fn update_endpoint(&mut self, now: Time, notified: Time, endpoint: &Endpoint) {
         let Endpoint { entry, address } = endpoint;
-        self.resp.engine(now, notified, &entry.id, entry.lifecycle, *address);
+        self.resp.update_engine(now, notified, &entry.id, entry.lifecycle, *address);
         if let Some(mysql) = &mut self.mysql {
             let ip = address.map(|address| address.ip());
-            mysql.upstream.engine(notified, &entry.id, entry.lifecycle, ip);
+            mysql.upstream.update_engine(notified, &entry.id, entry.lifecycle, ip);
         }
     }
 
     /// Whether every answer is written, and no body is coming in.
     pub fn is_idle(&mut self) -> bool {
-        self.http.idle() && self.mysql.as_mut().is_none_or(|mysql| mysql.listener.idle())
+        self.http.is_drained() && self.mysql.as_mut().is_none_or(|mysql| mysql.listener.is_drained())
     }
 
     /// Whether no client is connected.
@@ -109,11 +109,11 @@
 
     /// Attempts that were written whole to engines.
     pub fn attempts_written(&self) -> u64 {
-        self.resp.written() + self.mysql.as_ref().map_or(0, |mysql| mysql.upstream.written())
+        self.resp.sent_attempts() + self.mysql.as_ref().map_or(0, |mysql| mysql.upstream.sent_attempts())
     }
 
     /// Requests that could not be decoded.
     pub fn malformed_requests(&mut self) -> u64 {
-        self.http.bad() + self.mysql.as_mut().map_or(0, |mysql| mysql.listener.bad())
+        self.http.bad_requests() + self.mysql.as_mut().map_or(0, |mysql| mysql.listener.bad_requests())
     }
 }
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -62,7 +62,7 @@
         if self.in_pairs {
             // The other process has the listening socket as well, and accepts what comes.
             tracing::info!(at = now, "leaving: connections go to the process beside");
-            self.handlers.routes.http.hand_over();
+            self.handlers.routes.http.stop_accepting();
         }
         self.handlers.discovery.deregister(now);
     }
@@ -84,7 +84,7 @@
     fn close_idle_connections(&mut self, now: Time, force_at: Time) {
         self.shutdown = ShutdownState::Closing { force_at };
         if !self.in_pairs {
-            self.handlers.routes.http.end_resting(now);
+            self.handlers.routes.http.begin_shutdown(now);
         }
     }
 
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -12,7 +12,7 @@
 use super::signals::Signals;
 use super::{Daemon, DaemonError};
 use crate::admin::AdminInterface;
-use crate::body_store::{self, Bodies};
+use crate::body_store::{self, BodyStoreFile};
 use crate::config::{read_optional, Config};
 use crate::core::{Core, Trace};
 use crate::discovery::consul::{self, ConsulConfig, ConsulDiscovery};
@@ -23,7 +23,7 @@
 use crate::listener::http::{HttpListener, HttpListenerOptions, Names};
 use crate::listener::mysql::{MysqlListener, MysqlListenerOptions};
 use crate::mysql::{self, config::Mysql};
-use crate::net::{inherited, Clock, Poller, SuspendDetector, Time, Token};
+use crate::net::{inherited_listener, Clock, Poller, SuspendDetector, Time, Token};
 use crate::store::{self, LoopContext, Store};
 use crate::upstream::mysql::MysqlUpstream;
 use crate::upstream::resp::RespUpstream;
@@ -40,7 +40,7 @@
     poller: Rc<Poller>,
     limits: Rc<Limits>,
     /// Large request bodies, where the deployment keeps them.
-    body_store: Option<body_store::Shared>,
+    body_store: Option<body_store::SharedBodyStore>,
 }
 
 /// The HTTP listener, and where it listens: the configuration may leave the port to the system.
@@ -94,7 +94,7 @@
     fn open_http_listener(&self, config: &Config) -> Result<OpenHttpListener, DaemonError> {
         let listen_error = |source| DaemonError::Listen { address: config.listen_address, source };
         let bind = || TcpListener::bind(config.listen_address);
-        let socket = config.inherited_listener.map_or_else(bind, inherited);
+        let socket = config.inherited_listener.map_or_else(bind, inherited_listener);
         let listener = HttpListener::open(HttpListenerOptions {
             owner: Owner::HttpListener.number(),
             route: HTTP_ROUTE,
@@ -187,7 +187,7 @@
     /// Has the poller watch the descriptor by which the body store's I/O threads wake the loop.
     fn watch_body_store(&self) -> io::Result<()> {
         let Some(body_store) = &self.body_store else { return Ok(()) };
-        self.poller.add(body_store.borrow().bell(), Token::new(Owner::BodyStore.number(), 0, 0), false)
+        self.poller.add(body_store.borrow().waker(), Token::new(Owner::BodyStore.number(), 0, 0), false)
     }
 
     fn open_resp_upstream(&self) -> RespUpstream {
@@ -197,10 +197,10 @@
 }
 
 /// Opens the body store, where the deployment has its file, and sets the limits that follow from it.
-fn open_body_store(config: &mut Config) -> Result<Option<body_store::Shared>, DaemonError> {
-    let file = Bodies::from_file(&config.settings)?;
+fn open_body_store(config: &mut Config) -> Result<Option<body_store::SharedBodyStore>, DaemonError> {
+    let file = BodyStoreFile::from_file(&config.settings)?;
     let Some(file) = file else { return Ok(None) };
-    file.limit(&config.settings, &mut config.limits);
+    file.apply_limits(&config.settings, &mut config.limits);
     let opened = file.open(&config.settings)?;
     Ok(Some(opened))
 }
--- a/src/daemon/statistics.rs
+++ b/src/daemon/statistics.rs
@@ -44,8 +44,8 @@
     /// Large bodies by class.
     fn add_bodies(&self, out: &mut StatisticsText) {
         let Some(bodies) = &self.handlers.body_store else { return };
-        for (class, figures) in self.class_names.iter().zip(bodies.borrow().figures()) {
-            body_store::figures(class, figures, |name, value| out.add(name, value));
+        for (class, figures) in self.class_names.iter().zip(bodies.borrow().counters()) {
+            body_store::report_counters(class, figures, |name, value| out.add(name, value));
         }
     }
 
--- a/src/discovery/dns/relocation.rs
+++ b/src/discovery/dns/relocation.rs
@@ -30,6 +30,6 @@
 
     /// An attempt has failed at `now`: it is retried later.
     pub fn retry_later(&mut self, now: Time) {
-        self.next_attempt = now + self.delays.next_pause();
+        self.next_attempt = now + self.delays.next_delay();
     }
 }
--- a/src/discovery/dns/responsiveness.rs
+++ b/src/discovery/dns/responsiveness.rs
@@ -48,7 +48,7 @@
         if now < *next_port_change {
             return false;
         }
-        *next_port_change = now + delays.next_pause();
+        *next_port_change = now + delays.next_delay();
         true
     }
 }
--- a/src/listener/http/mod.rs
+++ b/src/listener/http/mod.rs
@@ -47,7 +47,7 @@
     /// The names that calls may use.
     pub names: Names,
     /// Large bodies, where the deployment keeps them.
-    pub body_store: Option<body_store::Shared>,
+    pub body_store: Option<body_store::SharedBodyStore>,
     /// The poller that watches the sockets.
     pub poller: Rc<Poller>,
     /// The limits of the daemon.
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -11,8 +11,8 @@
 use crate::listener::server::UploadConnection;
 use crate::net::{Flow, Time};
 use dahliaspoke::policy::RequestId;
-use dahliaspoke_body_store::plan::{BodyId, Refusal, Tier};
-use dahliaspoke_body_store::spool::{Body, Wake};
+use dahliaspoke_body_store::plan::{BodyId, Rejection, Tier};
+use dahliaspoke_body_store::{Body, BodyEvent};
 
 /// Bytes of a statement that are searched for its table group: the tables stand at its beginning.
 const STATEMENT_START_BYTES: usize = 4 << 10;
@@ -66,11 +66,11 @@
         &mut self,
         now: Time,
         input: &mut Vec<u8>,
-        store: &body_store::Shared,
+        store: &body_store::SharedBodyStore,
     ) -> Result<bool, InvalidUtf8> {
         let mut has_moved = false;
         while self.remaining > 0 {
-            let capacity = store.borrow_mut().room(self.body.id());
+            let capacity = store.borrow_mut().capacity(self.body.id());
             self.store_full = capacity == 0;
             let count = capacity.min(input.len());
             if count == 0 {
@@ -80,7 +80,7 @@
             self.utf8.push(bytes)?;
             let start_room = STATEMENT_START_BYTES - self.start.len();
             self.start.extend_from_slice(&bytes[..count.min(start_room)]);
-            store.borrow_mut().push(now, self.body.id(), bytes);
+            store.borrow_mut().append(now, self.body.id(), bytes);
             input.drain(..count);
             self.remaining -= count;
             has_moved = true;
@@ -129,12 +129,12 @@
         let admitted = if shared.state.uploads.are_accepted(now) {
             store.borrow_mut().admit(now, head.class, length as u64, deadline + head.timeout)
         } else {
-            Err(Refusal::NoRoom)
+            Err(Rejection::NoCapacity)
         };
         let (body, tier) = match admitted {
             Ok(admitted) => admitted,
-            Err(Refusal::TooLarge) => return Err(TOO_LARGE),
-            Err(Refusal::NoRoom) => return Ok(self.reject_for_capacity(now, head.class, shared)),
+            Err(Rejection::TooLarge) => return Err(TOO_LARGE),
+            Err(Rejection::NoCapacity) => return Ok(self.reject_for_capacity(now, head.class, shared)),
         };
         shared.state.uploads.add_receiver(body.id(), self.token);
         shared.state.uploads.begin();
@@ -219,27 +219,27 @@
 }
 
 impl UploadConnection for HttpConnection {
-    fn on_body_change(&mut self, now: Time, _: BodyId, wake: &Wake, shared: &mut Shared) -> Flow {
+    fn on_body_change(&mut self, now: Time, _: BodyId, wake: &BodyEvent, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
         match wake {
-            Wake::Room(_) => {
+            BodyEvent::CapacityAvailable(_) => {
                 self.deadline = upload.next_byte_deadline(now, shared);
                 self.receive_body(now, shared)
             }
-            Wake::Kept(_) => {
+            BodyEvent::Stored(_) => {
                 let flow = self.submit_upload(now, false, shared);
                 self.finish_upload(shared);
                 flow
             }
-            Wake::Passed(_) => {
+            BodyEvent::PassedThrough(_) => {
                 upload.passed_on = true;
                 self.receive_body(now, shared)
             }
-            Wake::Lost(_) => {
+            BodyEvent::Lost(_) => {
                 let class = upload.head.class;
                 self.reject_for_capacity(now, class, shared)
             }
-            Wake::Spent(_) | Wake::Data(_) => Flow::Open,
+            BodyEvent::BytesDropped(_) | BodyEvent::DataReady(_) => Flow::Open,
         }
     }
 }
--- a/src/listener/mysql/arguments.rs
+++ b/src/listener/mysql/arguments.rs
@@ -27,10 +27,10 @@
     if count == 0 {
         return Ok(Vec::new());
     }
-    let nulls = reader.take(bitmap_bytes(count))?;
+    let nulls = reader.read_bytes(bitmap_bytes(count))?;
     match reader.number(1)? {
         SAME_TYPES => {}
-        NEW_TYPES => statement.types = reader.take(types_bytes(count))?.to_vec(),
+        NEW_TYPES => statement.types = reader.read_bytes(types_bytes(count))?.to_vec(),
         _ => return Err(CommandError::Malformed),
     }
     if statement.types.len() != types_bytes(count) {
@@ -64,8 +64,8 @@
     is_sent_ahead: impl Fn(usize) -> bool,
 ) -> Result<Option<Arc<str>>, Malformed> {
     let mut reader = Reader(arguments);
-    let nulls = reader.take(bitmap_bytes(statement.parameter_count))?;
-    reader.take(1 + types_bytes(statement.parameter_count))?;
+    let nulls = reader.read_bytes(bitmap_bytes(statement.parameter_count))?;
+    reader.read_bytes(1 + types_bytes(statement.parameter_count))?;
     for position in 0..=wanted {
         let has_value = !is_null(nulls, position) && !is_sent_ahead(position);
         let value =
--- a/src/listener/mysql/commands.rs
+++ b/src/listener/mysql/commands.rs
@@ -86,7 +86,7 @@
         let id = reader.number(4)? as u32;
         let statement = self.statements.get_mut(&id);
         let statement = statement.ok_or_else(|| MysqlError::unknown_statement(id, EXECUTE_FUNCTION))?;
-        reader.take(EXECUTE_SKIPPED)?;
+        reader.read_bytes(EXECUTE_SKIPPED)?;
         let is_sent_ahead = |position: usize| {
             self.parameters.contains_key(&ParameterId { statement: id, position: position as u16 })
         };
--- a/src/listener/mysql/large/begin.rs
+++ b/src/listener/mysql/large/begin.rs
@@ -10,9 +10,9 @@
 use crate::listener::mysql::setup::{self, Setup};
 use crate::listener::mysql::statement::{KeySource, Statement};
 use crate::listener::mysql::{sql, Shared};
-use crate::mysql::packet::{self, command, Malformed, PacketHeader, Reader, SPLIT};
+use crate::mysql::packet::{self, command, Malformed, PacketHeader, Reader, MAX_PACKET_PAYLOAD};
 use crate::net::{Flow, Time};
-use dahliaspoke_body_store::plan::Refusal;
+use dahliaspoke_body_store::plan::Rejection;
 
 /// Bytes of a payload that are looked at before the rest is received: a statement's first words and hints, or an execution's
 /// types.
@@ -47,14 +47,14 @@
     /// Begins to receive a payload whose first packet is that large, once its beginning is here.
     pub fn begin_large(&mut self, now: Time, header: PacketHeader, shared: &mut Shared) -> Flow {
         let PacketHeader { length, sequence } = header;
-        let start_end = packet::HEADER + length.min(START_BYTES);
+        let start_end = packet::HEADER_BYTES + length.min(START_BYTES);
         if self.stream.input.len() < start_end {
             self.await_rest_of_packet(now, shared);
             return Flow::Open;
         }
         self.next_sequence = sequence.wrapping_add(1);
-        let start: Vec<u8> = self.stream.input.drain(..start_end).skip(packet::HEADER).collect();
-        let payload = PayloadStart { bytes: &start, length: (length < SPLIT).then_some(length) };
+        let start: Vec<u8> = self.stream.input.drain(..start_end).skip(packet::HEADER_BYTES).collect();
+        let payload = PayloadStart { bytes: &start, length: (length < MAX_PACKET_PAYLOAD).then_some(length) };
         let LargeStart { consumed, destination } = match self.choose_destination(now, &payload, shared) {
             Ok(start) => start,
             Err(CommandError::Rejected(error)) if error.code != code::NET_PACKET_TOO_LARGE => {
@@ -70,7 +70,7 @@
         };
         self.state = SessionState::Receiving(LargePayload {
             remaining: length - consumed,
-            continues: length == SPLIT,
+            continues: length == MAX_PACKET_PAYLOAD,
             destination,
             store_full: false,
         });
@@ -128,7 +128,7 @@
         shared: &mut Shared,
     ) -> Result<LargeStart, CommandError> {
         let id = reader.number(4)? as u32;
-        reader.take(EXECUTE_SKIPPED)?;
+        reader.read_bytes(EXECUTE_SKIPPED)?;
         let statement = self.statements.get(&id).cloned();
         let mut statement = statement.ok_or_else(|| MysqlError::unknown_statement(id, EXECUTE_FUNCTION))?;
         let nulls = decode_types(&mut reader, &mut statement)?;
@@ -171,19 +171,20 @@
         let NewRequest { request, timeout, consumed, values } = new;
         let store = shared.state.uploads.store().cloned().ok_or_else(MysqlError::too_large)?;
         let deadline = now + shared.state.limits.bodies.upload_timeout + timeout;
-        if (length.unwrap_or(SPLIT) - consumed) as u64 > store.borrow().largest(request.class) {
+        if (length.unwrap_or(MAX_PACKET_PAYLOAD) - consumed) as u64 > store.borrow().max_bytes(request.class)
+        {
             return Err(MysqlError::too_large());
         }
         // Even if its length is known, it is admitted as one that is not: it must be kept.
-        let admitted = store.borrow_mut().admit_open(now, request.class, deadline);
+        let admitted = store.borrow_mut().admit_unknown_length(now, request.class, deadline);
         match admitted {
             Ok(body) if shared.state.uploads.are_accepted(now) => {
                 shared.state.uploads.add_receiver(body.id(), self.token);
                 let incoming = IncomingRequest { body, request: Box::new(request), timeout, values };
                 Ok(LargeStart { consumed, destination: Destination::Request(incoming) })
             }
-            Err(Refusal::TooLarge) => Err(MysqlError::too_large()),
-            Ok(_) | Err(Refusal::NoRoom) => {
+            Err(Rejection::TooLarge) => Err(MysqlError::too_large()),
+            Ok(_) | Err(Rejection::NoCapacity) => {
                 shared.state.report_rejected(request.class);
                 Err(MysqlError::rejected(shared.state.limits.bodies.retry_after))
             }
@@ -207,9 +208,9 @@
     if count == 0 || max_head > reader.0.len() {
         return Err(MysqlError::too_large().into());
     }
-    let nulls = reader.take(arguments::bitmap_bytes(count))?.to_vec();
+    let nulls = reader.read_bytes(arguments::bitmap_bytes(count))?.to_vec();
     if arguments::announces_types(reader)? {
-        statement.types = reader.take(arguments::types_bytes(count))?.to_vec();
+        statement.types = reader.read_bytes(arguments::types_bytes(count))?.to_vec();
     }
     if statement.types.len() != arguments::types_bytes(count) {
         return Err(MysqlError::unbound_parameters().into());
--- a/src/listener/mysql/large/mod.rs
+++ b/src/listener/mysql/large/mod.rs
@@ -18,10 +18,10 @@
 use super::session::{Session, SessionState};
 use super::Shared;
 use crate::core::Request;
-use crate::mysql::packet::{self, Malformed, PacketHeader, SPLIT};
+use crate::mysql::packet::{self, Malformed, PacketHeader, MAX_PACKET_PAYLOAD};
 use crate::net::{Flow, Time};
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Body;
+use dahliaspoke_body_store::Body;
 use values::ValueScanner;
 
 /// A payload that is arriving.
@@ -77,7 +77,7 @@
 
     fn begin_packet(&mut self, length: usize) {
         self.remaining = length;
-        self.continues = length == SPLIT;
+        self.continues = length == MAX_PACKET_PAYLOAD;
     }
 }
 
@@ -108,7 +108,7 @@
             if let Some(PacketHeader { length, sequence }) = header {
                 payload.begin_packet(length);
                 self.next_sequence = sequence.wrapping_add(1);
-                self.stream.input.drain(..packet::HEADER);
+                self.stream.input.drain(..packet::HEADER_BYTES);
             }
             self.state = SessionState::Receiving(payload);
             if header.is_none() {
@@ -142,7 +142,7 @@
             Destination::Parameter(id) => Ok(self.append_to_parameter(now, *id, bytes, shared)),
             Destination::Request(IncomingRequest { body, values, .. }) => {
                 let Some(store) = shared.state.uploads.store() else { return Ok(bytes.len()) };
-                let taken = store.borrow_mut().take_in(now, body.id(), bytes);
+                let taken = store.borrow_mut().append_available(now, body.id(), bytes);
                 if let Some(values) = values {
                     values.push(&bytes[..taken])?;
                 }
--- a/src/listener/mysql/large/parameters.rs
+++ b/src/listener/mysql/large/parameters.rs
@@ -8,7 +8,7 @@
 use crate::mysql::packet::{Malformed, Reader};
 use crate::net::{Time, Token};
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Body;
+use dahliaspoke_body_store::Body;
 
 /// Names a parameter of a prepared statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -86,7 +86,7 @@
             *value = move_to_store(now, class, &held, self.token, shared);
         }
         let LongValue::Stored(body) = value else { return bytes.len() };
-        let taken = store.borrow_mut().take_in(now, body.id(), bytes);
+        let taken = store.borrow_mut().append_available(now, body.id(), bytes);
         taken
     }
 
@@ -148,11 +148,13 @@
 fn move_to_store(now: Time, class: usize, held: &[u8], session: Token, shared: &mut Shared) -> LongValue {
     let Some(store) = shared.state.uploads.store().cloned() else { return LongValue::Lost };
     let deadline = now + shared.state.limits.mysql.session_idle_timeout;
-    let Ok(body) = store.borrow_mut().admit_open(now, class, deadline) else { return LongValue::Lost };
+    let Ok(body) = store.borrow_mut().admit_unknown_length(now, class, deadline) else {
+        return LongValue::Lost;
+    };
     shared.state.uploads.add_receiver(body.id(), session);
     // At most what may be in memory, which is what an open body begins with.
-    store.borrow_mut().room(body.id());
-    store.borrow_mut().push(now, body.id(), held);
+    store.borrow_mut().capacity(body.id());
+    store.borrow_mut().append(now, body.id(), held);
     LongValue::Stored(body)
 }
 
--- a/src/listener/mysql/large/storing.rs
+++ b/src/listener/mysql/large/storing.rs
@@ -9,7 +9,7 @@
 use crate::listener::server::UploadConnection;
 use crate::net::{Flow, Time};
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Wake;
+use dahliaspoke_body_store::BodyEvent;
 
 /// A complete request that waits until the body store has written its bodies.
 pub struct PendingRequest {
@@ -23,18 +23,18 @@
 }
 
 impl UploadConnection for Session {
-    fn on_body_change(&mut self, now: Time, body: BodyId, wake: &Wake, shared: &mut Shared) -> Flow {
+    fn on_body_change(&mut self, now: Time, body: BodyId, wake: &BodyEvent, shared: &mut Shared) -> Flow {
         match wake {
-            Wake::Room(_) => {
+            BodyEvent::CapacityAvailable(_) => {
                 if let SessionState::Receiving(payload) = &mut self.state {
                     payload.store_full = false;
                     self.deadline = now + shared.state.limits.bodies.stall_timeout;
                 }
                 self.receive_large(now, shared)
             }
-            Wake::Kept(_) => self.on_body_written(body, shared),
-            Wake::Lost(_) | Wake::Passed(_) => self.on_body_lost(now, body, shared),
-            Wake::Spent(_) | Wake::Data(_) => Flow::Open,
+            BodyEvent::Stored(_) => self.on_body_written(body, shared),
+            BodyEvent::Lost(_) | BodyEvent::PassedThrough(_) => self.on_body_lost(now, body, shared),
+            BodyEvent::BytesDropped(_) | BodyEvent::DataReady(_) => Flow::Open,
         }
     }
 }
@@ -51,8 +51,8 @@
         let mut unwritten = Vec::new();
         for body in request.payload.stored_bodies() {
             let Some(store) = shared.state.uploads.store() else { continue };
-            store.borrow_mut().end(now, body.id());
-            if !store.borrow().is_kept(body.id()) {
+            store.borrow_mut().finish(now, body.id());
+            if !store.borrow().is_stored(body.id()) {
                 shared.state.uploads.add_receiver(body.id(), self.token);
                 unwritten.push(body.id());
             }
@@ -120,7 +120,7 @@
         let class = incoming.request.class;
         let is_too_large = shared.state.uploads.store().is_some_and(|store| {
             let store = store.borrow();
-            store.came(body) >= store.largest(class)
+            store.received_bytes(body) >= store.max_bytes(class)
         });
         if is_too_large {
             return self.end(now, self.next_sequence, &MysqlError::too_large(), shared);
--- a/src/listener/mysql/login.rs
+++ b/src/listener/mysql/login.rs
@@ -19,8 +19,8 @@
 const EMPTY_PASSWORD: [u8; 1] = [0];
 
 /// A random challenge; `None` if the system has no random bytes.
-pub fn new_challenge() -> Option<[u8; auth::CHALLENGE]> {
-    let mut challenge = [0; auth::CHALLENGE];
+pub fn new_challenge() -> Option<[u8; auth::CHALLENGE_BYTES]> {
+    let mut challenge = [0; auth::CHALLENGE_BYTES];
     getrandom::fill(&mut challenge).ok()?;
     // A zero byte would end it, and some clients read a dollar sign otherwise.
     for byte in &mut challenge {
@@ -30,7 +30,7 @@
 }
 
 /// The payload that greets a client.
-pub fn greeting(connection: u32, challenge: &[u8; auth::CHALLENGE]) -> Vec<u8> {
+pub fn greeting(connection: u32, challenge: &[u8; auth::CHALLENGE_BYTES]) -> Vec<u8> {
     let capabilities = capability::OURS | capability::CONNECT_WITH_DB | capability::PLUGIN_AUTH_LENENC;
     let capabilities = capabilities.to_le_bytes();
     let mut out = vec![PROTOCOL_VERSION];
@@ -43,7 +43,7 @@
     out.push(packet::CHARSET);
     out.extend_from_slice(&packet::AUTOCOMMIT.to_le_bytes());
     out.extend_from_slice(&capabilities[2..]);
-    out.push(auth::CHALLENGE as u8 + 1);
+    out.push(auth::CHALLENGE_BYTES as u8 + 1);
     out.extend_from_slice(&RESERVED);
     out.extend_from_slice(&challenge[CHALLENGE_START..]);
     out.push(0);
@@ -66,11 +66,11 @@
         if !has(capability::PROTOCOL_41) || !has(capability::SECURE_CONNECTION) {
             return Err(client_too_old().into());
         }
-        reader.take(LOGIN_SKIPPED)?;
+        reader.read_bytes(LOGIN_SKIPPED)?;
         self.account = reader.text()?.into();
         let length =
             if has(capability::PLUGIN_AUTH_LENENC) { reader.length()? } else { reader.number(1)? as usize };
-        let response = reader.take(length)?;
+        let response = reader.read_bytes(length)?;
         if has(capability::CONNECT_WITH_DB) {
             reject_default_schema(reader.text()?)?;
         }
--- a/src/listener/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -46,7 +46,7 @@
     /// The settings of the decisions: their classes.
     pub settings: &'a Settings,
     /// What is large, where the deployment keeps it.
-    pub body_store: Option<body_store::Shared>,
+    pub body_store: Option<body_store::SharedBodyStore>,
     /// The poller that watches the sockets.
     pub poller: Rc<Poller>,
     /// The limits of the daemon.
--- a/src/listener/mysql/session.rs
+++ b/src/listener/mysql/session.rs
@@ -39,7 +39,7 @@
     pub(super) stream: BufferedStream,
     pub(super) token: Token,
     pub(super) state: SessionState,
-    pub(super) challenge: [u8; auth::CHALLENGE],
+    pub(super) challenge: [u8; auth::CHALLENGE_BYTES],
     pub(super) account: String,
     /// Prepared statements by their ids.
     pub(super) statements: HashMap<u32, Statement>,
@@ -58,7 +58,7 @@
 impl ClientConnection for Session {
     fn accepted(now: Time, mut stream: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
         let challenge = login::new_challenge()?;
-        stream.push(packet::packet(0, &login::greeting(token.slot, &challenge)));
+        stream.push(packet::encode(0, &login::greeting(token.slot, &challenge)));
         Some(Session {
             stream,
             token,
@@ -159,7 +159,7 @@
     pub(super) fn send(&mut self, sequence: u8, payloads: &[Vec<u8>]) {
         let mut out = Vec::new();
         for (index, payload) in payloads.iter().enumerate() {
-            out.extend(packet::packet(sequence.wrapping_add(index as u8), payload));
+            out.extend(packet::encode(sequence.wrapping_add(index as u8), payload));
         }
         if !out.is_empty() {
             self.stream.push(out);
--- a/src/listener/server/accept.rs
+++ b/src/listener/server/accept.rs
@@ -13,7 +13,7 @@
             }
             let evicted = if self.has_capacity() { None } else { self.eviction_candidate(now) };
             if evicted.is_none() && !self.has_capacity() {
-                return self.acceptor.room(false);
+                return self.acceptor.set_accepting(false);
             }
             let stream = match self.acceptor.accept() {
                 Ok(Some(stream)) => stream,
@@ -41,11 +41,11 @@
     /// Resumes accepting where it was paused and there is capacity again.
     pub(super) fn resume_accepting(&mut self, now: Time) {
         let closed = self.state().handed_over || now < self.accept_resumes_at;
-        if closed || self.acceptor.is_armed() {
+        if closed || self.acceptor.is_accepting() {
             return;
         }
         if self.has_capacity() || self.eviction_candidate(now).is_some() {
-            self.acceptor.room(true);
+            self.acceptor.set_accepting(true);
         }
     }
 
@@ -59,7 +59,7 @@
         let resumes_at = now + self.state().limits.clients.accept_backoff;
         self.state().schedule_check(resumes_at, acceptor);
         self.accept_resumes_at = resumes_at;
-        self.acceptor.room(false);
+        self.acceptor.set_accepting(false);
     }
 
     /// Whether a further connection may be open. Those for which there is no capacity wait in the kernel's backlog.
@@ -76,7 +76,7 @@
         loop {
             let token = self
                 .connections
-                .least(|client| client.eviction_rank().filter(|rank| rank.idle_since <= idle_before))?;
+                .min_by_rank(|client| client.eviction_rank().filter(|rank| rank.idle_since <= idle_before))?;
             // A request that is not read yet must not meet a close. One that was read and is still idle has sent nothing that
             // matters.
             if already_read == Some(token) || !self.connections.get(token)?.channel().has_input() {
--- a/src/listener/server/mod.rs
+++ b/src/listener/server/mod.rs
@@ -47,31 +47,31 @@
     }
 
     /// The next report for the core, in order.
-    pub fn take(&mut self) -> Option<ListenerEvent> {
+    pub fn next_event(&mut self) -> Option<ListenerEvent> {
         self.state().events.pop_front()
     }
 
     /// Requests that were rejected because they could not be decoded, since the start.
-    pub fn bad(&mut self) -> u64 {
+    pub fn bad_requests(&mut self) -> u64 {
         self.state().bad_requests
     }
 
     /// Whether every answer is written and no body is arriving.
-    pub fn idle(&mut self) -> bool {
+    pub fn is_drained(&mut self) -> bool {
         self.connections.is_flushed() && self.state().uploads.is_idle()
     }
 
     /// Stops accepting: another process has the listening socket as well. Each connection is closed with its next answer.
-    pub fn hand_over(&mut self) {
+    pub fn stop_accepting(&mut self) {
         let state = self.state();
         state.shutting_down = true;
         state.handed_over = true;
-        self.acceptor.room(false);
+        self.acceptor.set_accepting(false);
     }
 
     /// Begins the shutdown: idle connections are closed now, the others with their next answer. One with input that is not
     /// read yet is not idle.
-    pub fn end_resting(&mut self, now: Time) {
+    pub fn begin_shutdown(&mut self, now: Time) {
         self.state().shutting_down = true;
         for token in self.connections.tokens() {
             if self.connections.get(token).is_some_and(is_idle) {
@@ -166,7 +166,7 @@
 
     /// Checks the connections whose time has come.
     fn on_timer(&mut self, now: Time) {
-        while let Some(token) = self.state().timers.due(now) {
+        while let Some(token) = self.state().timers.pop_due(now) {
             self.check_deadline(now, token);
         }
         self.resume_accepting(now);
--- a/src/listener/server/state.rs
+++ b/src/listener/server/state.rs
@@ -49,7 +49,7 @@
 
     /// The same listener with uploads into this body store, where the deployment has one.
     #[must_use]
-    pub fn with_body_store(self, store: Option<body_store::Shared>) -> Self {
+    pub fn with_body_store(self, store: Option<body_store::SharedBodyStore>) -> Self {
         Self { uploads: Uploads::new(store), ..self }
     }
 
--- a/src/listener/server/uploads.rs
+++ b/src/listener/server/uploads.rs
@@ -4,13 +4,13 @@
 use crate::body_store;
 use crate::net::{Flow, Time, Token};
 use dahliaspoke_body_store::plan::BodyId;
-use dahliaspoke_body_store::spool::Wake;
+use dahliaspoke_body_store::BodyEvent;
 use std::collections::HashMap;
 
 /// The uploads of one listener.
 pub struct Uploads {
     /// The body store, where the deployment has one.
-    store: Option<body_store::Shared>,
+    store: Option<body_store::SharedBodyStore>,
     /// The connection that the body store's reports of a body are for.
     receivers: HashMap<BodyId, Token>,
     /// Bodies that are arriving.
@@ -21,12 +21,12 @@
 
 impl Uploads {
     /// No uploads yet, into this body store.
-    pub fn new(store: Option<body_store::Shared>) -> Self {
+    pub fn new(store: Option<body_store::SharedBodyStore>) -> Self {
         Self { store, receivers: HashMap::new(), open_count: 0, cutoff: Time::INFINITY }
     }
 
     /// The body store, where the deployment has one.
-    pub fn store(&self) -> Option<&body_store::Shared> {
+    pub fn store(&self) -> Option<&body_store::SharedBodyStore> {
         self.store.as_ref()
     }
 
@@ -64,18 +64,24 @@
 /// A connection by which bodies for the body store arrive.
 pub trait UploadConnection: ClientConnection {
     /// The body store reports a change of a body.
-    fn on_body_change(&mut self, now: Time, body: BodyId, wake: &Wake, shared: &mut Self::Shared) -> Flow;
+    fn on_body_change(
+        &mut self,
+        now: Time,
+        body: BodyId,
+        wake: &BodyEvent,
+        shared: &mut Self::Shared,
+    ) -> Flow;
 }
 
 impl<C: UploadConnection> Server<C> {
     /// The body store reports a change of a body: lets the connection by which it arrives go on.
-    pub fn wake(&mut self, now: Time, body: BodyId, wake: &Wake) {
+    pub fn on_body_change(&mut self, now: Time, body: BodyId, wake: &BodyEvent) {
         let Some(token) = self.state().uploads.receivers.get(&body).copied() else { return };
         self.reply(now, token, |connection, shared| connection.on_body_change(now, body, wake, shared));
     }
 
     /// From that time no upload is accepted any more.
-    pub fn last_upload(&mut self, at: Time) {
+    pub fn set_upload_cutoff(&mut self, at: Time) {
         self.state().uploads.cutoff = at;
     }
 }
--- a/src/mysql/auth.rs
+++ b/src/mysql/auth.rs
@@ -9,7 +9,7 @@
 pub const NATIVE: &str = "mysql_native_password";
 
 /// Bytes of a challenge.
-pub const CHALLENGE: usize = 20;
+pub const CHALLENGE_BYTES: usize = 20;
 
 /// The bitwise exclusive or, as long as the shorter one.
 fn xor(left: &[u8], right: &[u8]) -> Vec<u8> {
@@ -25,11 +25,11 @@
 }
 
 /// A client's response to a challenge; `None` for a plugin that is not supported here.
-pub fn answer(plugin: &str, password: &str, challenge: &[u8]) -> Option<Vec<u8>> {
+pub fn respond(plugin: &str, password: &str, challenge: &[u8]) -> Option<Vec<u8>> {
     if password.is_empty() {
         return Some(Vec::new());
     }
-    let challenge = &challenge[..challenge.len().min(CHALLENGE)];
+    let challenge = &challenge[..challenge.len().min(CHALLENGE_BYTES)];
     match plugin {
         CACHING_SHA2 => {
             let once = sha256(&[password.as_bytes()]);
--- a/src/mysql/packet.rs
+++ b/src/mysql/packet.rs
@@ -76,9 +76,9 @@
 pub const MORE_RESULTS: u16 = 8;
 
 /// Bytes of a packet's header: three of the payload's length, and the sequence number.
-pub const HEADER: usize = 4;
+pub const HEADER_BYTES: usize = 4;
 /// A payload of this length (bytes) goes on in the next packet.
-pub const SPLIT: usize = 0xff_ff_ff;
+pub const MAX_PACKET_PAYLOAD: usize = 0xff_ff_ff;
 
 /// A packet's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,7 +92,7 @@
 impl PacketHeader {
     /// The header at the start of the input, once all of it is here.
     pub fn decode(input: &[u8]) -> Option<Self> {
-        let bytes = input.get(..HEADER)?;
+        let bytes = input.get(..HEADER_BYTES)?;
         let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], 0]) as usize;
         Some(Self { length, sequence: bytes[3] })
     }
@@ -115,11 +115,11 @@
 /// Its payload is longer than `max_length` (bytes), or goes on in the next packet.
 pub fn decode(input: &[u8], max_length: usize) -> Result<Option<Packet<'_>>, Malformed> {
     let Some(header) = PacketHeader::decode(input) else { return Ok(None) };
-    if header.length > max_length.min(SPLIT - 1) {
+    if header.length > max_length.min(MAX_PACKET_PAYLOAD - 1) {
         return Err(Malformed);
     }
-    let length = HEADER + header.length;
-    let payload = input.get(HEADER..length);
+    let length = HEADER_BYTES + header.length;
+    let payload = input.get(HEADER_BYTES..length);
     Ok(payload.map(|payload| Packet { sequence: header.sequence, payload, length }))
 }
 
@@ -133,7 +133,7 @@
 }
 
 /// Encodes a packet.
-pub fn packet(sequence: u8, payload: &[u8]) -> Vec<u8> {
+pub fn encode(sequence: u8, payload: &[u8]) -> Vec<u8> {
     let mut out = (payload.len() as u32).to_le_bytes()[..3].to_vec();
     out.push(sequence);
     out.extend_from_slice(payload);
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// There are fewer.
-    pub fn take(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
+    pub fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
         if count > self.0.len() {
             return Err(Malformed);
         }
@@ -162,7 +162,7 @@
     /// # Errors
     /// There are fewer bytes.
     pub fn number(&mut self, bytes: usize) -> Result<u64, Malformed> {
-        Ok(self.take(bytes)?.iter().rev().fold(0, |number, byte| number << 8 | u64::from(*byte)))
+        Ok(self.read_bytes(bytes)?.iter().rev().fold(0, |number, byte| number << 8 | u64::from(*byte)))
     }
 
     /// Takes a length-encoded number.
@@ -187,8 +187,8 @@
     /// The zero byte is missing, or the text is not UTF-8.
     pub fn text(&mut self) -> Result<&'a str, Malformed> {
         let end = self.0.iter().position(|byte| *byte == 0).ok_or(Malformed)?;
-        let text = std::str::from_utf8(self.take(end)?).map_err(|_| Malformed)?;
-        self.take(1)?;
+        let text = std::str::from_utf8(self.read_bytes(end)?).map_err(|_| Malformed)?;
+        self.read_bytes(1)?;
         Ok(text)
     }
 }
@@ -236,7 +236,7 @@
 /// The payload is too short.
 pub fn error_number(payload: &[u8]) -> Result<u16, Malformed> {
     let mut reader = Reader(payload);
-    reader.take(1)?;
+    reader.read_bytes(1)?;
     Ok(reader.number(2)? as u16)
 }
 
@@ -305,6 +305,6 @@
 /// It is not complete, or the type is unknown.
 pub fn value<'a>(reader: &mut Reader<'a>, value_type: u8) -> Result<&'a [u8], Malformed> {
     let extent = ValueExtent::decode(reader.0, value_type)?.ok_or(Malformed)?;
-    reader.take(extent.prefix)?;
-    reader.take(extent.length)
+    reader.read_bytes(extent.prefix)?;
+    reader.read_bytes(extent.length)
 }
--- a/src/mysql/payload.rs
+++ b/src/mysql/payload.rs
@@ -1,6 +1,6 @@
 //! A payload that is sent in pieces, cut into packets.
 
-use super::packet::SPLIT;
+use super::packet::MAX_PACKET_PAYLOAD;
 
 /// The rest of a payload whose length is known.
 pub struct Payload {
@@ -30,12 +30,12 @@
 
     /// Begins the next packet; `remaining` bytes of the payload are left.
     fn begin_packet(&mut self, remaining: usize, out: &mut Vec<u8>) {
-        self.packet = remaining.min(SPLIT);
+        self.packet = remaining.min(MAX_PACKET_PAYLOAD);
         let following = remaining - self.packet;
         out.extend_from_slice(&(self.packet as u32).to_le_bytes()[..3]);
         out.push(self.sequence);
         self.sequence = self.sequence.wrapping_add(1);
-        self.following = if self.packet == SPLIT && following == 0 {
+        self.following = if self.packet == MAX_PACKET_PAYLOAD && following == 0 {
             Following::EmptyPacket
         } else {
             Following::Bytes(following)
--- a/src/net/acceptor.rs
+++ b/src/net/acceptor.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// Where the number is no descriptor, or its socket does not listen.
-pub fn inherited(number: RawFd) -> io::Result<TcpListener> {
+pub fn inherited_listener(number: RawFd) -> io::Result<TcpListener> {
     let own_process = pidfd_open(getpid(), PidfdFlags::empty())?;
     let socket = TcpListener::from(pidfd_getfd(own_process, number, PidfdGetfdFlags::empty())?);
     if rustix::net::sockopt::socket_acceptconn(&socket)? {
@@ -94,13 +94,13 @@
     }
 
     /// Whether the poller reports connections that wait.
-    pub fn is_armed(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         self.is_accepting
     }
 
     /// Sets whether connections are accepted. While there is no capacity they wait in the kernel's queue, and the poller does
     /// not report them. A change that the kernel refuses is not made; the caller asks again in the loop's next iteration.
-    pub fn room(&mut self, accepting: bool) {
+    pub fn set_accepting(&mut self, accepting: bool) {
         if accepting == self.is_accepting {
             return;
         }
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -23,7 +23,7 @@
     }
 
     /// The delay before the next try (s).
-    pub fn next_pause(&mut self) -> Time {
+    pub fn next_delay(&mut self) -> Time {
         let delay = self.next;
         self.next = (GROWTH * delay).min(self.max);
         delay
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -51,7 +51,7 @@
 
     /// Whether it has something to write that is not queued yet: `writable` is called as soon as the socket takes it. Asked
     /// after each callback.
-    fn has_more(&self) -> bool {
+    fn has_unqueued_output(&self) -> bool {
         false
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -22,7 +22,7 @@
 mod suspend;
 mod timers;
 
-pub use acceptor::{inherited, Acceptor};
+pub use acceptor::{inherited_listener, Acceptor};
 pub use backoff::Backoff;
 pub use clock::{Clock, Time};
 pub use connection::{Connection, Flow};
--- a/src/net/open_connection.rs
+++ b/src/net/open_connection.rs
@@ -30,7 +30,7 @@
     pub fn wanted_interest(&mut self) -> Interest {
         let stream = self.connection.channel();
         let is_writing = stream.is_connecting() || stream.queued() > 0;
-        let has_more = self.connection.has_more() && !self.is_finishing;
+        let has_more = self.connection.has_unqueued_output() && !self.is_finishing;
         Interest { readable: self.is_read(), writable: is_writing || has_more }
     }
 
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -18,7 +18,7 @@
 }
 
 /// The beginning of an array whose last value, of that length (bytes), is still to come; a line end goes behind it.
-pub fn head(values: &[&[u8]], length: u64) -> Vec<u8> {
+pub fn array_head(values: &[&[u8]], length: u64) -> Vec<u8> {
     let mut out = format!("*{}\r\n", values.len() + 1).into_bytes();
     for value in values {
         bulk(&mut out, value);
@@ -36,7 +36,7 @@
 
 /// Bounds of an array that is read.
 #[derive(Clone, Copy)]
-pub struct Most {
+pub struct ArrayLimits {
     /// Values of the array.
     pub values: usize,
     /// Bytes of one value.
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// Where the input begins with no array of bulk strings, or with one beyond the bounds.
-pub fn read(input: &[u8], bounds: Most) -> Result<Option<Array<'_>>, Malformed> {
+pub fn decode_array(input: &[u8], bounds: ArrayLimits) -> Result<Option<Array<'_>>, Malformed> {
     let Some(LengthPrefix { number: count, end: mut at }) = read_length(input, 0, b'*')? else {
         return Ok(None);
     };
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -62,7 +62,7 @@
     }
 
     /// All connections.
-    pub fn all(&self) -> impl Iterator<Item = &C> {
+    pub fn iter(&self) -> impl Iterator<Item = &C> {
         self.slots.iter().filter_map(|slot| slot.open.as_ref().map(|open| &open.connection))
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// The connection with the least rank, among those that have one; the first of several.
-    pub fn least<R: PartialOrd>(&self, rank: impl Fn(&C) -> Option<R>) -> Option<Token> {
+    pub fn min_by_rank<R: PartialOrd>(&self, rank: impl Fn(&C) -> Option<R>) -> Option<Token> {
         let mut least: Option<(R, Token)> = None;
         for (index, slot) in self.slots.iter().enumerate() {
             let Some(rank) = slot.open.as_ref().and_then(|open| rank(&open.connection)) else { continue };
--- a/src/net/suspend.rs
+++ b/src/net/suspend.rs
@@ -24,7 +24,7 @@
     }
 
     /// The loop runs; it may have waited on purpose until `due`. Returns whether it is later by more than `threshold` (s).
-    pub fn woke(&mut self, now: Time, due: Option<Time>, threshold: f64) -> bool {
+    pub fn check(&mut self, now: Time, due: Option<Time>, threshold: f64) -> bool {
         let expected = due.unwrap_or(self.last_run).max(self.last_run);
         let was_suspended = now - expected > threshold;
         if was_suspended {
@@ -36,7 +36,7 @@
     }
 
     /// When what is read now has come, at the earliest.
-    pub fn came(&self, now: Time) -> Time {
+    pub fn earliest_arrival(&self, now: Time) -> Time {
         if now < self.backlog.until {
             self.backlog.since
         } else {
--- a/src/net/timers.rs
+++ b/src/net/timers.rs
@@ -54,7 +54,7 @@
     }
 
     /// Removes the next event, if it is due by now.
-    pub fn due(&mut self, now: Time) -> Option<T> {
+    pub fn pop_due(&mut self, now: Time) -> Option<T> {
         self.next_deadline().filter(|at| *at <= now)?;
         self.heap.pop().map(|timer| timer.0.event)
     }
--- a/src/store/framing.rs
+++ b/src/store/framing.rs
@@ -1,7 +1,7 @@
 //! Splits what a connection has received into RESP arrays.
 
 use super::wire::{encode_answer, CallError, MAX_VALUES};
-use crate::net::resp::{read, Most};
+use crate::net::resp::{decode_array, ArrayLimits};
 use crate::net::{BufferedStream, Flow};
 use dahliaspoke_raft::state_machine::MAX_VALUE_BYTES;
 
@@ -14,11 +14,11 @@
 /// input is answered by an error, and the connection finishes.
 pub fn read_arrays(channel: &mut BufferedStream, mut accept: impl FnMut(&[&[u8]]) -> Flow) -> Flow {
     let mut input = std::mem::take(&mut channel.input);
-    let bounds = Most { values: MAX_VALUES, bytes: MAX_ARRAY_BYTES };
+    let bounds = ArrayLimits { values: MAX_VALUES, bytes: MAX_ARRAY_BYTES };
     let mut consumed = 0;
     let flow = loop {
         let rest = &input[consumed..];
-        match read(rest, bounds) {
+        match decode_array(rest, bounds) {
             Ok(Some((values, length))) => {
                 consumed += length;
                 let flow = accept(&values);
--- a/src/store/member/mod.rs
+++ b/src/store/member/mod.rs
@@ -191,6 +191,6 @@
             }
         }
         let has_capacity = self.connections.len() < self.max_connections;
-        self.listener.room(has_capacity);
+        self.listener.set_accepting(has_capacity);
     }
 }
--- a/src/upstream/body_readers.rs
+++ b/src/upstream/body_readers.rs
@@ -2,7 +2,7 @@
 
 use crate::body_store;
 use crate::net::{Time, Token};
-use dahliaspoke_body_store::spool::{Body, Reader};
+use dahliaspoke_body_store::{Body, Reader};
 use std::collections::HashMap;
 
 /// The body is not kept any more, and so its request cannot be sent.
@@ -12,19 +12,19 @@
 /// The readers of an upstream's connections.
 pub struct BodyReaders {
     /// Where large bodies are kept, if the deployment has such a store.
-    store: Option<body_store::Shared>,
+    store: Option<body_store::SharedBodyStore>,
     /// The connection that each reader feeds, by the reader's id.
     connections: HashMap<u64, Token>,
 }
 
 impl BodyReaders {
     /// No readers yet.
-    pub fn new(store: Option<body_store::Shared>) -> Self {
+    pub fn new(store: Option<body_store::SharedBodyStore>) -> Self {
         Self { store, connections: HashMap::new() }
     }
 
     /// Where large bodies are kept, if the deployment has such a store.
-    pub fn store(&self) -> Option<&body_store::Shared> {
+    pub fn store(&self) -> Option<&body_store::SharedBodyStore> {
         self.store.as_ref()
     }
 
@@ -34,7 +34,7 @@
     /// Where the body is not kept any more.
     pub fn open(&self, now: Time, body: Option<&Body>) -> Result<Option<Reader>, BodyGone> {
         let (Some(body), Some(store)) = (body, &self.store) else { return Ok(None) };
-        store.borrow_mut().reader(now, body).map(Some).ok_or(BodyGone)
+        store.borrow_mut().open_reader(now, body).map(Some).ok_or(BodyGone)
     }
 
     /// Notes which connection a reader feeds.
--- a/src/upstream/mysql/connection.rs
+++ b/src/upstream/mysql/connection.rs
@@ -115,14 +115,14 @@
 
     /// Queues a command that runs an attempt. Returns its message tag.
     fn push_execution(&mut self, payload: &[u8]) -> u64 {
-        self.stream.push_counted(packet::packet(0, payload))
+        self.stream.push_counted(packet::encode(0, payload))
     }
 
     fn push_preparation(&mut self, statement: &[u8], limits: &MysqlLimits) {
         if let Some(oldest) = self.prepared.remove_surplus(limits.max_statements) {
-            self.stream.push(packet::packet(0, &command::close(oldest)));
+            self.stream.push(packet::encode(0, &command::close(oldest)));
         }
-        self.stream.push(packet::packet(0, &command::prepare(statement)));
+        self.stream.push(packet::encode(0, &command::prepare(statement)));
     }
 
     /// Forgets the command that did not go out at once.
@@ -271,7 +271,7 @@
         }
     }
 
-    fn has_more(&self) -> bool {
+    fn has_unqueued_output(&self) -> bool {
         self.large_command.as_ref().is_some_and(|command| !command.waits_for_bytes)
     }
 
--- a/src/upstream/mysql/handshake.rs
+++ b/src/upstream/mysql/handshake.rs
@@ -37,11 +37,11 @@
             return Err(Malformed); // an error such as "too many connections", or another protocol
         }
         reader.text()?; // the engine's version
-        reader.take(CONNECTION_ID)?;
-        let mut challenge = reader.take(CHALLENGE_START)?.to_vec();
-        reader.take(BETWEEN_CHALLENGE_PARTS)?;
-        challenge.extend_from_slice(reader.take(auth::CHALLENGE - CHALLENGE_START)?);
-        reader.take(1)?; // the end of the challenge
+        reader.read_bytes(CONNECTION_ID)?;
+        let mut challenge = reader.read_bytes(CHALLENGE_START)?.to_vec();
+        reader.read_bytes(BETWEEN_CHALLENGE_PARTS)?;
+        challenge.extend_from_slice(reader.read_bytes(auth::CHALLENGE_BYTES - CHALLENGE_START)?);
+        reader.read_bytes(1)?; // the end of the challenge
         let plugin = reader.text().unwrap_or(auth::NATIVE).to_string();
         Ok(Self { plugin, challenge })
     }
@@ -54,14 +54,14 @@
     }
 
     fn answer(&self, engine: &Engine) -> Option<Vec<u8>> {
-        auth::answer(&self.plugin, &engine.password, &self.challenge)
+        auth::respond(&self.plugin, &engine.password, &self.challenge)
     }
 }
 
 /// The payload that names our account.
 fn login(engine: &Engine, plugin: &str, answer: &[u8]) -> Vec<u8> {
     let mut out = capability::OURS.to_le_bytes().to_vec();
-    out.extend_from_slice(&(packet::SPLIT as u32).to_le_bytes());
+    out.extend_from_slice(&(packet::MAX_PACKET_PAYLOAD as u32).to_le_bytes());
     out.push(packet::CHARSET);
     out.extend_from_slice(&RESERVED);
     out.extend_from_slice(engine.user.as_bytes());
@@ -88,7 +88,7 @@
             Vec::new()
         };
         let login = login(engine, &authentication.plugin, &answer);
-        self.stream.push(packet::packet(ANSWER_SEQUENCE, &login));
+        self.stream.push(packet::encode(ANSWER_SEQUENCE, &login));
         self.state = ConnectionState::Authenticating;
         Ok(())
     }
@@ -115,7 +115,7 @@
             [packet::EOF, switch @ ..] => {
                 let authentication = Authentication::from_switch(switch)?;
                 let answer = authentication.answer(&shared.config.engine).ok_or(Malformed)?;
-                self.stream.push(packet::packet(sequence.wrapping_add(1), &answer));
+                self.stream.push(packet::encode(sequence.wrapping_add(1), &answer));
                 Ok(())
             }
             _ => Err(Malformed),
--- a/src/upstream/mysql/large_command.rs
+++ b/src/upstream/mysql/large_command.rs
@@ -8,7 +8,7 @@
 use crate::mysql::payload::Payload;
 use crate::net::{BufferedStream, Time, Token};
 use crate::upstream::body_readers::BodyReaders;
-use dahliaspoke_body_store::spool::{Body, Bytes, Pull, Reader};
+use dahliaspoke_body_store::{Body, Bytes, ReadOutcome, Reader};
 use std::collections::VecDeque;
 
 /// What still goes out.
@@ -141,24 +141,24 @@
             return Step::Queued;
         };
         match self.pull(now, &body, output) {
-            Pull::Bytes(bytes) => self.push_bytes(bytes, output.stream),
-            Pull::Wait => Step::Waits,
-            Pull::End => self.end_part(output.stream),
-            Pull::Lost => Step::Lost,
+            ReadOutcome::Bytes(bytes) => self.push_bytes(bytes, output.stream),
+            ReadOutcome::NotReady => Step::Waits,
+            ReadOutcome::End => self.end_part(output.stream),
+            ReadOutcome::Lost => Step::Lost,
         }
     }
 
     /// The next bytes of the first part's body.
-    fn pull(&mut self, now: Time, body: &Body, output: &mut CommandOutput) -> Pull {
-        let Some(store) = output.bodies.store().cloned() else { return Pull::Lost };
+    fn pull(&mut self, now: Time, body: &Body, output: &mut CommandOutput) -> ReadOutcome {
+        let Some(store) = output.bodies.store().cloned() else { return ReadOutcome::Lost };
         let reader = if let Some(reader) = &self.reader {
             reader
         } else {
-            let Ok(Some(reader)) = output.bodies.open(now, Some(body)) else { return Pull::Lost };
+            let Ok(Some(reader)) = output.bodies.open(now, Some(body)) else { return ReadOutcome::Lost };
             output.bodies.insert(reader.id, output.connection);
             self.reader.insert(reader)
         };
-        let pulled = store.borrow_mut().pull(now, reader);
+        let pulled = store.borrow_mut().read(now, reader);
         pulled
     }
 
@@ -201,7 +201,7 @@
 }
 
 fn long_data_packet(statement: u32, parameter: u16, bytes: &[u8]) -> Vec<u8> {
-    packet::packet(0, &command::long_data(statement, parameter, bytes))
+    packet::encode(0, &command::long_data(statement, parameter, bytes))
 }
 
 /// The begun packets of an execution.
@@ -211,8 +211,13 @@
 }
 
 /// Begins the packets of an execution, of which all of the body is in the store.
-fn begin_execution(head: &[u8], body: Option<&Body>, store: Option<&body_store::Shared>) -> BegunExecution {
-    let stored_bytes = |body: &Body| store.map_or(0, |store| store.borrow().came(body.id()) as usize);
+fn begin_execution(
+    head: &[u8],
+    body: Option<&Body>,
+    store: Option<&body_store::SharedBodyStore>,
+) -> BegunExecution {
+    let stored_bytes =
+        |body: &Body| store.map_or(0, |store| store.borrow().received_bytes(body.id()) as usize);
     let mut first_bytes = Vec::new();
     let mut payload = Payload::open(head.len() + body.map_or(0, stored_bytes), &mut first_bytes);
     payload.put(head, &mut first_bytes);
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -39,7 +39,7 @@
     pub fn new(
         owner: u8,
         config: Rc<Mysql>,
-        body_store: Option<body_store::Shared>,
+        body_store: Option<body_store::SharedBodyStore>,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> Self {
@@ -47,24 +47,30 @@
     }
 
     /// Removes the oldest event that the core has not received. The daemon calls this until there is none.
-    pub fn take(&mut self) -> Option<UpstreamEvent> {
+    pub fn next_event(&mut self) -> Option<UpstreamEvent> {
         self.pool.next_event(&mut self.shared.events)
     }
 
     /// Continues a body whose reader may find something now. Called when the body store reports it.
-    pub fn wake(&mut self, now: Time, reader: u64) {
+    pub fn continue_body(&mut self, now: Time, reader: u64) {
         let Some(token) = self.shared.bodies.connection(reader) else { return };
         self.pool.continue_body(now, token, &mut self.shared);
     }
 
     /// Sets the end of the endpoint set's lease: nothing begins to be sent from then on.
-    pub fn valid_until(&mut self, until: Time) {
+    pub fn set_lease_end(&mut self, until: Time) {
         self.pool.lease_end = until;
     }
 
     /// Applies what the endpoint set says of an engine; `notified` is since when this counts as known. `address` is absent
     /// where the endpoint set does not name one.
-    pub fn engine(&mut self, notified: Time, id: &EngineId, lifecycle: Lifecycle, address: Option<IpAddr>) {
+    pub fn update_engine(
+        &mut self,
+        notified: Time,
+        id: &EngineId,
+        lifecycle: Lifecycle,
+        address: Option<IpAddr>,
+    ) {
         let address = self.shared.config.engine.address(id, address);
         let drain_deadline = notified + self.shared.limits.engines.drain_grace;
         if let Some(deadline) = self.pool.update_engine(id, lifecycle, address, drain_deadline) {
@@ -150,7 +156,7 @@
     }
 
     fn on_timer(&mut self, now: Time) {
-        while let Some(event) = self.shared.timers.due(now) {
+        while let Some(event) = self.shared.timers.pop_due(now) {
             match event {
                 TimerEvent::Connection(token) => self.check_idle(now, token),
                 TimerEvent::DrainDeadline(id) => self.end_drain(now, &id),
@@ -205,7 +211,7 @@
     /// The protocol has no priorities.
     fn set_priority(&mut self, _: Time, _: &RequestId, _: u32, _: u8) {}
 
-    fn written(&self) -> u64 {
+    fn sent_attempts(&self) -> u64 {
         self.shared.sent_attempts + self.pool.sent_attempts()
     }
 }
--- a/src/upstream/mysql/query_result.rs
+++ b/src/upstream/mysql/query_result.rs
@@ -71,7 +71,7 @@
         Ok(kind) if kind as u8 == packet::OK => {
             reader.length().and_then(|_| reader.length()).and_then(|_| reader.number(2))
         }
-        Ok(kind) if kind as u8 == packet::EOF => reader.take(2).and_then(|_| reader.number(2)),
+        Ok(kind) if kind as u8 == packet::EOF => reader.read_bytes(2).and_then(|_| reader.number(2)),
         _ => Ok(0),
     };
     status.is_ok_and(|status| status as u16 & packet::MORE_RESULTS != 0)
--- a/src/upstream/mysql/shared.rs
+++ b/src/upstream/mysql/shared.rs
@@ -35,7 +35,11 @@
 
 impl Shared {
     /// At the start: no event, timer or connection.
-    pub fn new(config: Rc<Mysql>, body_store: Option<body_store::Shared>, limits: Rc<Limits>) -> Self {
+    pub fn new(
+        config: Rc<Mysql>,
+        body_store: Option<body_store::SharedBodyStore>,
+        limits: Rc<Limits>,
+    ) -> Self {
         Self {
             limits,
             config,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -122,6 +122,6 @@
 
     /// Attempts that have gone out complete on connections that are still open.
     pub fn sent_attempts(&self) -> u64 {
-        self.slab.all().map(EngineConnection::sent_attempts).sum()
+        self.slab.iter().map(EngineConnection::sent_attempts).sum()
     }
 }
--- a/src/upstream/resp/attempt.rs
+++ b/src/upstream/resp/attempt.rs
@@ -4,7 +4,7 @@
 use crate::core::Attempt;
 use crate::net::Time;
 use dahliaspoke::policy::RequestId;
-use dahliaspoke_body_store::spool::Reader;
+use dahliaspoke_body_store::Reader;
 
 /// An attempt that is to be put on a connection.
 pub struct PendingAttempt {
--- a/src/upstream/resp/command.rs
+++ b/src/upstream/resp/command.rs
@@ -1,7 +1,7 @@
 //! Commands to engines, encoded.
 
 use crate::core::Attempt;
-use crate::net::resp::{array, head};
+use crate::net::resp::{array, array_head};
 use crate::net::Time;
 use dahliaspoke::policy::RequestId;
 
@@ -24,7 +24,7 @@
     let (name, id, fields): (&[u8], _, _) = (b"GET", attempt.id.as_bytes(), fields.as_bytes());
     match &attempt.payload.body {
         None => array(&[name, id, fields, &attempt.payload.statement]),
-        Some(body) => head(&[name, id, fields], body.length()),
+        Some(body) => array_head(&[name, id, fields], body.length()),
     }
 }
 
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -11,7 +11,7 @@
 use crate::upstream::events::outcome_of_close;
 use crate::upstream::pool::EngineConnection;
 use dahliaspoke::policy::{EngineId, RequestId};
-use dahliaspoke_body_store::spool::Pull;
+use dahliaspoke_body_store::ReadOutcome;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -132,20 +132,20 @@
         };
         let max_queued = shared.limits.engines.max_queued_body_bytes;
         while !self.stream.is_connecting() && self.stream.queued() < max_queued {
-            let pulled = store.borrow_mut().pull(now, &body.reader);
+            let pulled = store.borrow_mut().read(now, &body.reader);
             match pulled {
-                Pull::Bytes(bytes) => drop(self.stream.push_shared(bytes)),
-                Pull::Wait => {
+                ReadOutcome::Bytes(bytes) => drop(self.stream.push_shared(bytes)),
+                ReadOutcome::NotReady => {
                     body.waits_for_bytes = true;
                     return Flow::Open;
                 }
-                Pull::End => {
+                ReadOutcome::End => {
                     self.stream.push_counted(command::BODY_END.to_vec());
                     self.end_body(shared);
                     return Flow::Open;
                 }
                 // The engine must not take a part for the whole.
-                Pull::Lost => return Flow::Close,
+                ReadOutcome::Lost => return Flow::Close,
             }
         }
         body.waits_for_bytes = false;
@@ -207,7 +207,7 @@
         flow
     }
 
-    fn has_more(&self) -> bool {
+    fn has_unqueued_output(&self) -> bool {
         self.outgoing_body.as_ref().is_some_and(|body| !body.waits_for_bytes)
     }
 
--- a/src/upstream/resp/dispatch.rs
+++ b/src/upstream/resp/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::upstream::events::AttemptKey;
 use crate::upstream::pool::ConnectionPool;
 use dahliaspoke::policy::{EngineId, RequestId};
-use dahliaspoke_body_store::spool::Reader;
+use dahliaspoke_body_store::Reader;
 
 /// An attempt that waits for its connection to come up.
 struct WaitingAttempt {
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -42,7 +42,7 @@
     /// An upstream without engines, whose descriptors the poller reports to the event handler `owner`.
     pub fn new(
         owner: u8,
-        body_store: Option<body_store::Shared>,
+        body_store: Option<body_store::SharedBodyStore>,
         poller: Rc<Poller>,
         limits: Rc<Limits>,
     ) -> Self {
@@ -50,12 +50,12 @@
     }
 
     /// Removes the oldest event that the core has not received. The daemon calls this until there is none.
-    pub fn take(&mut self) -> Option<UpstreamEvent> {
+    pub fn next_event(&mut self) -> Option<UpstreamEvent> {
         self.pool.next_event(&mut self.shared.events)
     }
 
     /// Continues a body whose reader may find something now. Called when the body store reports it.
-    pub fn wake(&mut self, now: Time, reader: u64) {
+    pub fn continue_body(&mut self, now: Time, reader: u64) {
         let Some(token) = self.shared.bodies.connection(reader) else { return };
         if self.pool.slab.get(token).is_none() {
             return;
@@ -65,13 +65,13 @@
     }
 
     /// Sets the end of the endpoint set's lease: nothing begins to be sent from then on.
-    pub fn valid_until(&mut self, until: Time) {
+    pub fn set_lease_end(&mut self, until: Time) {
         self.pool.lease_end = until;
     }
 
     /// Applies what the endpoint set says of an engine; `notified` is since when this counts as known. `address` is
     /// absent where the endpoint set does not name one.
-    pub fn engine(
+    pub fn update_engine(
         &mut self,
         now: Time,
         notified: Time,
@@ -143,7 +143,7 @@
     }
 
     fn on_timer(&mut self, now: Time) {
-        while let Some(event) = self.shared.timers.due(now) {
+        while let Some(event) = self.shared.timers.pop_due(now) {
             self.handle_timer(now, event);
         }
         self.send_waiting(now);
@@ -179,7 +179,7 @@
         self.send_waiting(now);
     }
 
-    fn written(&self) -> u64 {
+    fn sent_attempts(&self) -> u64 {
         self.shared.sent_attempts + self.pool.sent_attempts()
     }
 }
--- a/src/upstream/resp/reply.rs
+++ b/src/upstream/resp/reply.rs
@@ -3,7 +3,7 @@
 use super::fields::Fields;
 use crate::core::AttemptReport;
 use crate::limits::Limits;
-use crate::net::resp::{self, Malformed, Most};
+use crate::net::resp::{self, ArrayLimits, Malformed};
 use dahliaspoke::policy::Progress;
 
 /// What an answer says.
@@ -63,8 +63,8 @@
 /// # Errors
 /// Where the bytes are no answer, or a too large one.
 pub fn decode(input: &[u8], limits: &Limits) -> Result<Option<DecodedReply>, Malformed> {
-    let bounds = Most { values: VALUES, bytes: limits.results.max_frame_bytes };
-    let Some((values, length)) = resp::read(input, bounds)? else { return Ok(None) };
+    let bounds = ArrayLimits { values: VALUES, bytes: limits.results.max_frame_bytes };
+    let Some((values, length)) = resp::decode_array(input, bounds)? else { return Ok(None) };
     let values = values.try_into().map_err(|_| Malformed)?;
     Ok(Some(DecodedReply { reply: decode_values(values)?, length }))
 }
--- a/src/upstream/resp/shared.rs
+++ b/src/upstream/resp/shared.rs
@@ -43,7 +43,7 @@
 
 impl Shared {
     /// At the start: no event, timer or connection.
-    pub fn new(body_store: Option<body_store::Shared>, limits: Rc<Limits>) -> Self {
+    pub fn new(body_store: Option<body_store::SharedBodyStore>, limits: Rc<Limits>) -> Self {
         Self {
             limits,
             events: EventQueue::default(),
--- a/tests/payload.rs
+++ b/tests/payload.rs
@@ -6,7 +6,7 @@
 #[path = "../src/mysql/payload.rs"]
 mod payload;
 
-use packet::SPLIT;
+use packet::MAX_PACKET_PAYLOAD;
 use payload::Payload;
 
 /// The payloads as a peer reads them: packets until one is not full.
@@ -17,7 +17,7 @@
         assert_eq!(bytes[3], sequence);
         out.extend_from_slice(&bytes[4..4 + length]);
         bytes = &bytes[4 + length..];
-        if length < SPLIT {
+        if length < MAX_PACKET_PAYLOAD {
             assert!(bytes.is_empty());
             return (out, sequence);
         }
@@ -27,7 +27,13 @@
 
 #[test]
 fn payloads_are_cut_where_packets_end() {
-    for (length, packets) in [(1, 1), (SPLIT - 1, 1), (SPLIT, 2), (SPLIT + 1, 2), (2 * SPLIT, 3)] {
+    for (length, packets) in [
+        (1, 1),
+        (MAX_PACKET_PAYLOAD - 1, 1),
+        (MAX_PACKET_PAYLOAD, 2),
+        (MAX_PACKET_PAYLOAD + 1, 2),
+        (2 * MAX_PACKET_PAYLOAD, 3),
+    ] {
         let whole: Vec<u8> = (0..length).map(|n| (n % 251) as u8).collect();
         let mut out = Vec::new();
         let mut open = Payload::open(length, &mut out);
