--- a/crates/raft/src/disk/folder.rs
+++ b/crates/raft/src/disk/folder.rs
@@ -7,20 +7,44 @@
 /// A folder of files. Names are plain, without separators; errors of the system are returned as they are.
 pub trait Disk: Send {
     /// The names of the files.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn list(&mut self) -> io::Result<Vec<String>>;
     /// The content of a file.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
     /// Appends bytes to a file; creates it where there is none.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Once this returns, what was appended to the file is on the disk itself.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// Shortens a file to `length` bytes.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Gives a file another name, in place of the file that has it.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Once this returns, the names of the files are on the disk itself.
+    ///
+    /// # Errors
+    /// The error of the system, as it is.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
--- a/src/bin/dahliaspoke-simhost/wire.rs
+++ b/src/bin/dahliaspoke-simhost/wire.rs
@@ -155,6 +155,26 @@
         Ok(Self { policy: Policy::new(settings, seed), classes, tenants, columns })
     }
 
+    /// A query of a client.
+    fn query(&self, row: &Row) -> Result<Query, WireError> {
+        let class = row.text(3)?;
+        let tenant = row.maybe(4, |v| Some(v.clone()), "a tenant")?;
+        let tenant = tenant.as_ref().and_then(Value::as_str);
+        let valid = row.maybe(10, Value::as_u64, "a whole number")?.unwrap_or(1) & 1 != 0;
+        let work = row.maybe(7, Value::as_f64, "a number")?.filter(|w| valid && *w > 0.0);
+        Ok(Query {
+            id: row.text(2)?.into(),
+            class: self.classes.iter().position(|c| c == class).ok_or("knock: unknown class")?,
+            tenant: tenant.and_then(|t| self.tenants.iter().position(|name| name == t)),
+            key: row.maybe(5, |v| v.as_str().map(Arc::from), "a text")?,
+            time_left: row.number(6)?,
+            work: work.map(|w| w * 1000.0),
+            memory: row.maybe(8, Value::as_f64, "a number")?.filter(|mb| *mb > 0.0),
+            tables: row.maybe(9, Value::as_i64, "a whole number")?.unwrap_or(-1),
+            uploading: false,
+        })
+    }
+
     /// The event in the library's terms; `None` for news that it has no use for.
     fn event(&self, row: &Row, slots: &BTreeMap<u64, Vec<EngineEntry>>) -> Result<Option<Event>, WireError> {
         Ok(Some(match row.name {
@@ -169,24 +189,7 @@
                 let entries = slots.get(&row.whole(2)?).ok_or("membership: no such catalog slot")?;
                 Event::EngineList(scope, entries.clone())
             }
-            "knock" => {
-                let class = row.text(3)?;
-                let tenant = row.maybe(4, |v| Some(v.clone()), "a tenant")?;
-                let tenant = tenant.as_ref().and_then(Value::as_str);
-                let valid = row.maybe(10, Value::as_u64, "a whole number")?.unwrap_or(1) & 1 != 0;
-                let work = row.maybe(7, Value::as_f64, "a number")?.filter(|w| valid && *w > 0.0);
-                Event::Query(Query {
-                    id: row.text(2)?.into(),
-                    class: self.classes.iter().position(|c| c == class).ok_or("knock: unknown class")?,
-                    tenant: tenant.and_then(|t| self.tenants.iter().position(|name| name == t)),
-                    key: row.maybe(5, |v| v.as_str().map(Arc::from), "a text")?,
-                    time_left: row.number(6)?,
-                    work: work.map(|w| w * 1000.0),
-                    memory: row.maybe(8, Value::as_f64, "a number")?.filter(|mb| *mb > 0.0),
-                    tables: row.maybe(9, Value::as_i64, "a whole number")?.unwrap_or(-1),
-                    uploading: false,
-                })
-            }
+            "knock" => Event::Query(self.query(row)?),
             "opened" => Event::StreamStarted { id: row.text(2)?.into() },
             "ended" => {
                 let used = row.maybe(8, Value::as_u64, "a whole number")?.filter(|u| *u > 0);
