--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests are to be sent: points of an open stream, fixed before any answer is seen.
+//! When requests are due: the points of an open stream, fixed before any answer is seen.
 
 use crate::{micros, Micros};
 use rand::Rng;
@@ -7,6 +7,13 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
+/// Steps in which the rate is integrated (s).
+const STEP_S: f64 = 0.001;
+/// Variance of bursty intervals, in units of the squared mean: a coefficient of variation of 3.
+const BURSTY_VARIANCE: f64 = 9.0;
+/// The shortest interval, in units of the mean.
+const MIN_INTERVAL: f64 = 1e-9;
+
 /// How the rate moves over the run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
@@ -26,7 +33,7 @@
 /// How far apart requests come.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
-pub enum Gaps {
+pub enum Intervals {
     /// Equally far.
     Even,
     /// Independent of each other (Poisson).
@@ -36,7 +43,7 @@
 }
 
 impl Shape {
-    /// The rate at a share of the run, over the mean.
+    /// The rate over its mean, at a share (0 to 1) of a run of that length (s).
     #[must_use]
     pub fn at(self, share: f64, seconds: f64) -> f64 {
         match self {
@@ -50,28 +57,30 @@
     }
 }
 
-/// The points, in order. Gaps are drawn in units of the mean and stretched by the rate as it is, so that the count
-/// is the rate times the span in the mean, whatever the shape.
+/// The points of a run, in order (us). `rate` is the mean (1/s), `seconds` the length of the run. Intervals are drawn
+/// in units of the mean and stretched by the rate of the moment, so that the mean count is the rate times the length,
+/// whatever the shape.
 #[must_use]
-pub fn schedule(rate: f64, seconds: f64, shape: Shape, gaps: Gaps, seed: u64) -> Vec<Micros> {
+pub fn schedule(rate: f64, seconds: f64, shape: Shape, intervals: Intervals, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let heavy = Gamma::new(1.0 / 9.0, 9.0);
-    let mut draw = || match (gaps, &heavy) {
-        (Gaps::Even, _) | (Gaps::Heavy, Err(_)) => 1.0,
-        (Gaps::Poisson, _) => rng.sample(Exp1),
-        (Gaps::Heavy, Ok(gamma)) => gamma.sample(&mut rng),
+    let bursty = Gamma::new(1.0 / BURSTY_VARIANCE, BURSTY_VARIANCE);
+    let mut draw_interval = || match (intervals, &bursty) {
+        (Intervals::Even, _) | (Intervals::Heavy, Err(_)) => 1.0,
+        (Intervals::Poisson, _) => rng.sample(Exp1),
+        (Intervals::Heavy, Ok(gamma)) => gamma.sample(&mut rng),
     };
-    // Work through the integral of the rate in small steps.
-    const STEP: f64 = 0.001;
-    let (mut points, mut due, mut sum, mut at) = (Vec::new(), draw(), 0.0, 0.0);
+    let mut points = Vec::new();
+    let mut due = draw_interval();
+    let mut integral = 0.0;
+    let mut at = 0.0;
     while at < seconds {
-        let gain = rate * shape.at(at / seconds, seconds) * STEP;
-        while gain > 0.0 && sum + gain >= due {
-            points.push(micros(at + STEP * (due - sum) / gain));
-            due += draw().max(1e-9);
+        let gain = rate * shape.at(at / seconds, seconds) * STEP_S;
+        while gain > 0.0 && integral + gain >= due {
+            points.push(micros(at + STEP_S * (due - integral) / gain));
+            due += draw_interval().max(MIN_INTERVAL);
         }
-        sum += gain;
-        at += STEP;
+        integral += gain;
+        at += STEP_S;
     }
     points
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,7 +4,7 @@
 //! One scenario and one seed give one run, bit for bit: time is counted in whole microseconds, every draw comes from the
 //! seed, and events of one time are played in the order in which they were scheduled.
 //!
-//! - [`scenario`]: sizes, traffic, network and faults of a run; [`toml_file`]: how files are read;
+//! - [`scenario`]: sizes, traffic, network and faults of a run; [`toml_file`] and [`file_error`]: files and their errors;
 //! - [`world`]: a run, with clients, coordinators, the network, discovery and faults; [`queue`]: its event queue;
 //! - [`engine`]: cores, disks, memory, sessions, cached data and loads of one engine;
 //! - [`policy`]: the decision module, or one of the plain policies;
@@ -21,6 +21,7 @@
 pub mod audit;
 pub mod engine;
 pub mod experiment;
+pub mod file_error;
 pub mod load;
 pub mod policy;
 pub mod queue;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,216 +1,109 @@
-//! The lab's command line.
+//! The simulator's command line.
 
-use clap::{Parser, Subcommand};
+mod arguments;
+
+use arguments::{Arguments, Command, LoadArguments};
+use clap::Parser;
 use dahliaspoke_simulator::account::Account;
-use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
-use dahliaspoke_simulator::experiment::Experiment;
-use dahliaspoke_simulator::load::{Manner, Mode};
+use dahliaspoke_simulator::arrivals::schedule;
+use dahliaspoke_simulator::experiment::{Experiment, ExperimentError};
+use dahliaspoke_simulator::file_error::FileError;
+use dahliaspoke_simulator::load::Mode;
 use dahliaspoke_simulator::policy::PolicyKind;
-use dahliaspoke_simulator::report::Report;
-use dahliaspoke_simulator::scenario::Scenario;
-use dahliaspoke_simulator::sockets::{self, Part, Target};
-use dahliaspoke_simulator::subsets::table;
-use dahliaspoke_simulator::trial;
+use dahliaspoke_simulator::report::{ClassReport, Report};
+use dahliaspoke_simulator::scenario::{Scenario, ScenarioError};
+use dahliaspoke_simulator::sockets::{self, Target, TargetError};
+use dahliaspoke_simulator::subsets;
+use dahliaspoke_simulator::trial::{self, TrialError, TrialParameters};
 use dahliaspoke_simulator::world;
 use indicatif::ProgressBar;
-use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// Tries designs on a model of the fleet, in virtual time.
-///
-/// Exit codes: 0 done, 1 the module broke a rule, 2 a bad file or word, 3 the figures are void.
-#[derive(Parser)]
-#[command(name = "dahliaspoke-simulator", version)]
-struct Line {
-    #[command(subcommand)]
-    command: Command,
-}
+/// Exit code where the module broke a rule.
+const RULE_BROKEN: u8 = 1;
+/// Exit code of a bad file or argument.
+const BAD_INPUT: u8 = 2;
+/// Exit code where the figures are void.
+const VOID: u8 = 3;
+/// How long the last answers of `load` are waited for.
+const PATIENCE: Duration = Duration::from_secs(30);
+/// Violations that are printed.
+const PRINTED_VIOLATIONS: usize = 3;
 
-#[derive(Subcommand)]
-enum Command {
-    /// Prints what many coordinators' choices add up to, from their logs with `deploy/trace.toml`.
-    ///
-    /// Example: dahliaspoke-simulator account logs
-    #[command(verbatim_doc_comment)]
-    Account {
-        /// The folder of the logs, a file a coordinator.
-        logs: PathBuf,
-    },
-    /// Weighs ways to say which engines each gateway keeps to: how evenly, how many pairs move, what it costs.
-    ///
-    /// Example: dahliaspoke-simulator subsets --gateways 100 --gateways 300 --engines 36
-    #[command(verbatim_doc_comment)]
-    Subsets {
-        /// Gateways; may be given several times.
-        #[arg(long, default_value = "300")]
-        gateways: Vec<usize>,
-        /// Engines; may be given several times.
-        #[arg(long, default_value = "36")]
-        engines: Vec<usize>,
-        /// Engines that a gateway keeps to.
-        #[arg(long, default_value = "10")]
-        keep: usize,
-        /// The draw.
-        #[arg(long, default_value = "1")]
-        seed: u64,
-    },
-    /// Plays a scenario and prints what it came to.
-    ///
-    /// Example: dahliaspoke-simulator run crates/simulator/scenarios/release.toml --policy module --seed 1 --seed 2
-    #[command(verbatim_doc_comment)]
-    Run {
-        /// The scenario (TOML); without one, a quiet day.
-        scenario: Option<PathBuf>,
-        /// Who decides; may be given several times.
-        #[arg(long, value_enum, default_value = "module")]
-        policy: Vec<PolicyKind>,
-        /// The draw; may be given several times.
-        #[arg(long, default_value = "1")]
-        seed: Vec<u64>,
-        /// A line of JSON for each run, in place of the table.
-        #[arg(long)]
-        json: bool,
-    },
-    /// Plays an experiment, or what is missing of it, and writes rows, a plot and the verdicts.
-    ///
-    /// Example: dahliaspoke-simulator experiment docs/experiments/load/experiment.toml
-    #[command(verbatim_doc_comment)]
-    Experiment {
-        /// The experiment (TOML).
-        file: PathBuf,
-        /// Where the results go; without it, beside the file.
-        #[arg(long)]
-        out: Option<PathBuf>,
-        /// Runs at a time; without it, one for each core.
-        #[arg(long)]
-        jobs: Option<usize>,
-    },
-    /// Starts engines, a directory and two coordinators, sends load, kills an engine and a coordinator in the middle,
-    /// and prints a table.
-    ///
-    /// Example: dahliaspoke-simulator try --seconds 20
-    #[command(verbatim_doc_comment)]
-    Try {
-        /// How long (s).
-        #[arg(long, default_value = "20")]
-        seconds: f64,
-        /// Share of what all engines do.
-        #[arg(long, default_value = "0.7")]
-        load: f64,
-        /// The draw.
-        #[arg(long, default_value = "1")]
-        seed: u64,
-    },
-    /// Sends an open stream of requests to coordinators on loopback.
-    ///
-    /// Example: dahliaspoke-simulator load --to 127.0.0.1:5050 --rate 200 --shape spike --class lookup:12:3000:100
-    #[command(verbatim_doc_comment)]
-    Load {
-        /// Where clients connect; several are used in turn.
-        #[arg(long, required = true)]
-        to: Vec<SocketAddr>,
-        /// Requests a second, in the mean.
-        #[arg(long, default_value = "100")]
-        rate: f64,
-        /// How long (s).
-        #[arg(long, default_value = "20")]
-        seconds: f64,
-        /// How the rate moves.
-        #[arg(long, value_enum, default_value = "steady")]
-        shape: Shape,
-        /// How far apart requests come.
-        #[arg(long, value_enum, default_value = "poisson")]
-        gaps: Gaps,
-        /// `NAME:SHARE:ALLOW_MS:SIZE_MS`, with :keyed behind it where a key goes along.
-        #[arg(long, default_value = "lookup:1:3000:100", value_parser = part)]
-        class: Vec<Part>,
-        /// What clients do when they are turned away.
-        #[arg(long, value_enum, default_value = "as-told")]
-        manner: Manner,
-        /// Connections at the most; a run that needs more is void.
-        #[arg(long, default_value = "500")]
-        connections: usize,
-        /// Ask again only after an answer, as tools that hide stalls do: to compare.
-        #[arg(long)]
-        closed: bool,
-        /// The draw.
-        #[arg(long, default_value = "1")]
-        seed: u64,
-    },
+/// Why a command could not be carried out.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    File(#[from] FileError),
+    #[error("{}: {source}", path.display())]
+    Scenario { path: PathBuf, source: ScenarioError },
+    #[error("{}: {source}", path.display())]
+    ExperimentFile { path: PathBuf, source: Box<ExperimentError> },
+    #[error(transparent)]
+    Experiment(#[from] ExperimentError),
+    #[error(transparent)]
+    Target(#[from] TargetError),
+    #[error(transparent)]
+    Trial(#[from] TrialError),
 }
 
-/// `NAME:SHARE:ALLOW_MS:SIZE_MS`, and :keyed.
-fn part(text: &str) -> Result<Part, String> {
-    let words: Vec<&str> = text.split(':').collect();
-    let keyed = words.get(4) == Some(&"keyed");
-    let ((4, false) | (5, true)) = (words.len(), keyed) else {
-        return Err("it is NAME:SHARE:ALLOW_MS:SIZE_MS, and :keyed or not".into());
-    };
-    let number = |at: usize| words[at].parse::<f64>().map_err(|e| format!("{}: {e}", words[at]));
-    Ok(Part {
-        class: words[0].into(),
-        share: number(1)?,
-        allow_ms: number(2)? as u64,
-        size_ms: number(3)?,
-        keyed,
+fn main() -> ExitCode {
+    carry_out(Arguments::parse().command).unwrap_or_else(|error| {
+        eprintln!("dahliaspoke-simulator: {error}");
+        ExitCode::from(BAD_INPUT)
     })
 }
 
-fn main() -> ExitCode {
-    match Line::parse().command {
+fn carry_out(command: Command) -> Result<ExitCode, CommandError> {
+    match command {
         Command::Subsets { gateways, engines, keep, seed } => {
-            print!("{}", table(&gateways, &engines, keep, seed));
-            ExitCode::SUCCESS
+            print!("{}", subsets::table(&gateways, &engines, keep, seed));
         }
-        Command::Account { logs } => match Account::of_folder(&logs) {
-            Ok(account) => {
-                print!("{account}");
-                ExitCode::SUCCESS
-            }
-            Err(message) => fault(&message),
-        },
-        Command::Run { scenario, policy, seed, json } => run(scenario, policy, &seed, json),
-        Command::Experiment { file, out, jobs } => match experiment(&file, out, jobs) {
-            Ok(text) => {
-                println!("{text}");
-                ExitCode::SUCCESS
-            }
-            Err(message) => fault(&message),
-        },
-        Command::Try { seconds, load, seed } => {
-            match trial::play(seconds, load, seed, |line| println!("{line}")) {
-                Ok(outcome) => {
-                    print!("\n{}", trial::table(&outcome));
-                    ExitCode::from(if outcome.summary.void { 3 } else { 0 })
-                }
-                Err(message) => fault(&message),
-            }
+        Command::Account { logs } => print!("{}", Account::of_folder(&logs)?),
+        Command::Run { scenario, policy, seed, json } => {
+            let scenario = scenario.map(|path| read_scenario(&path)).transpose()?.unwrap_or_default();
+            return Ok(run(&scenario, &policy, &seed, json));
         }
-        Command::Load { to, rate, seconds, shape, gaps, class, manner, connections, closed, seed } => {
-            let target = match Target::new(to, class, seed) {
-                Ok(target) => target,
-                Err(message) => return fault(&message),
-            };
-            let points = schedule(rate, seconds, shape, gaps, seed);
-            let mode = if closed { Mode::Closed } else { Mode::Open };
-            let driver = target.driver(&points, mode, manner, connections);
-            let summary = sockets::run(driver, &target, Duration::from_secs(30)).summary();
-            println!("{}", serde_json::json!(summary));
-            ExitCode::from(if summary.void { 3 } else { 0 })
+        Command::Experiment { file, out, jobs } => println!("{}", experiment(&file, out, jobs)?),
+        Command::Try { seconds, load, seed } => {
+            let outcome = trial::play(TrialParameters { seconds, load, seed }, |line| println!("{line}"))?;
+            print!("\n{outcome}");
+            return Ok(void_code(outcome.summary.void));
         }
+        Command::Load(arguments) => return load(arguments),
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-fn fault(message: &str) -> ExitCode {
-    eprintln!("dahliaspoke-simulator: {message}");
-    ExitCode::from(2)
+fn void_code(void: bool) -> ExitCode {
+    if void {
+        ExitCode::from(VOID)
+    } else {
+        ExitCode::SUCCESS
+    }
 }
 
-fn experiment(file: &PathBuf, out: Option<PathBuf>, jobs: Option<usize>) -> Result<String, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let experiment = Experiment::read(&text).map_err(|e| format!("{}: {e}", file.display()))?;
+fn load(arguments: LoadArguments) -> Result<ExitCode, CommandError> {
+    let LoadArguments { to, rate, seconds, shape, intervals, class, behaviour, connections, closed, seed } =
+        arguments;
+    let target = Target::new(to, class, seed)?;
+    let points = schedule(rate, seconds, shape, intervals, seed);
+    let mode = if closed { Mode::Closed } else { Mode::Open };
+    let driver = target.driver(&points, mode, behaviour, connections);
+    let summary = sockets::run(driver, &target, PATIENCE).summary();
+    println!("{}", serde_json::json!(summary));
+    Ok(void_code(summary.void))
+}
+
+fn experiment(file: &Path, out: Option<PathBuf>, jobs: Option<usize>) -> Result<String, CommandError> {
+    let text = std::fs::read_to_string(file).map_err(file_error(file))?;
+    let experiment = Experiment::read(&text).map_err(|source| CommandError::ExperimentFile {
+        path: file.to_path_buf(),
+        source: Box::new(source),
+    })?;
     let folder = out.or_else(|| file.parent().map(PathBuf::from)).unwrap_or_default();
     let jobs = jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from));
     let bar = ProgressBar::new(0);
@@ -219,68 +112,68 @@
         bar.set_position(done as u64);
     });
     bar.finish_and_clear();
-    result
+    Ok(result?)
+}
+
+fn file_error(path: &Path) -> impl Fn(std::io::Error) -> FileError + '_ {
+    move |source| FileError { path: path.to_path_buf(), source }
+}
+
+fn read_scenario(path: &Path) -> Result<Scenario, CommandError> {
+    let text = std::fs::read_to_string(path).map_err(file_error(path))?;
+    Scenario::read(&text).map_err(|source| CommandError::Scenario { path: path.to_path_buf(), source })
 }
 
-fn run(scenario: Option<PathBuf>, policy: Vec<PolicyKind>, seeds: &[u64], json: bool) -> ExitCode {
-    let scenario = match scenario.map(|path| read(&path)).transpose() {
-        Ok(scenario) => scenario.unwrap_or_default(),
-        Err(message) => return fault(&message),
-    };
-    let mut broken = false;
-    for kind in policy {
-        for seed in seeds {
+fn run(scenario: &Scenario, policies: &[PolicyKind], seeds: &[u64], json: bool) -> ExitCode {
+    let mut module_broke_a_rule = false;
+    for policy in policies.iter().copied() {
+        for seed in seeds.iter().copied() {
             let began = Instant::now();
-            let report = world::play(&scenario, kind, *seed);
-            broken |= report.violation_count > 0 && kind == PolicyKind::Module;
+            let report = world::play(scenario, policy, seed);
+            module_broke_a_rule |= report.violation_count > 0 && policy == PolicyKind::Module;
             if json {
-                let row = serde_json::json!({"policy": kind, "seed": seed, "report": report});
-                println!("{row}");
+                println!("{}", serde_json::json!({"policy": policy, "seed": seed, "report": report}));
             } else {
-                print(kind, *seed, &report, began.elapsed().as_secs_f64());
+                print_report(policy, seed, &report, began.elapsed());
             }
         }
     }
-    if broken {
-        ExitCode::from(1)
+    if module_broke_a_rule {
+        ExitCode::from(RULE_BROKEN)
     } else {
         ExitCode::SUCCESS
     }
 }
 
-fn read(path: &PathBuf) -> Result<Scenario, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Scenario::read(&text).map_err(|e| format!("{}: {e}", path.display()))
-}
-
-fn print(kind: PolicyKind, seed: u64, report: &Report, took: f64) {
-    let [whole, window, class] = <[f64; 3]>::from(report.served);
+fn print_report(policy: PolicyKind, seed: u64, report: &Report, elapsed: Duration) {
+    let Report { goal, served, attempts, violation_count, events, .. } = report;
+    let prices = <[f64; 3]>::from(report.prices);
     println!(
-        "{kind:?} seed {seed}: goal {:.3}  served {whole:.3}, worst 10 s {window:.3}, worst class {class:.3}  \
-         prices {:.3?}  attempts {:.2}  rules broken {}",
-        report.goal, <[f64; 3]>::from(report.prices), report.attempts, report.violation_count
+        "{policy:?} seed {seed}: goal {goal:.3}  served {:.3}, worst 10 s {:.3}, worst class {:.3}  \
+         prices {prices:.3?}  attempts {attempts:.2}  rules broken {violation_count}",
+        served.total, served.worst_window, served.worst_class
     );
     for class in &report.classes {
-        let share = |count: u64| 100.0 * count as f64 / class.offered.max(1) as f64;
-        println!(
-            "  {:<8} {:>7} came  in time {:>5.1}%  late {:>4.1}%  refused {:>4.1}%  failed {:>4.1}%  ms {:.0?}",
-            class.name,
-            class.offered,
-            share(class.in_time),
-            share(class.late),
-            share(class.rejected),
-            share(class.failed),
-            class.millis
-        );
+        print_class(class);
+    }
+    for violation in report.violations.iter().take(PRINTED_VIOLATIONS) {
+        println!("  {} at {:.3} s: {}", violation.rule, violation.at as f64 / 1e6, violation.description);
     }
-    report
-        .violations
-        .iter()
-        .take(3)
-        .for_each(|b| println!("  {} at {:.3} s: {}", b.rule, b.at as f64 / 1e6, b.description));
+    let seconds = elapsed.as_secs_f64();
+    let nanos_each = seconds * 1e9 / (*events).max(1) as f64;
+    println!("  {events} events in {seconds:.2} s, {nanos_each:.0} ns each");
+}
+
+fn print_class(class: &ClassReport) {
+    let percent = |count: u64| 100.0 * count as f64 / class.offered.max(1) as f64;
     println!(
-        "  {} events in {took:.2} s, {:.0} ns each",
-        report.events,
-        took * 1e9 / report.events.max(1) as f64
+        "  {:<8} {:>7} came  in time {:>5.1}%  late {:>4.1}%  refused {:>4.1}%  failed {:>4.1}%  ms {:.0?}",
+        class.name,
+        class.offered,
+        percent(class.in_time),
+        percent(class.late),
+        percent(class.rejected),
+        percent(class.failed),
+        class.millis
     );
 }
--- a/crates/simulator/tests/account.rs
+++ b/crates/simulator/tests/account.rs
@@ -1,6 +1,6 @@
 //! The account of logs, on logs whose sums are known.
 
-use dahliaspoke_simulator::account::{Account, Class};
+use dahliaspoke_simulator::account::{Account, Average, ClassAccount, PoolAccount, ProblemCounts};
 
 const ONE: &str = "c0 listens on 127.0.0.1:1
 10.000 taken a 0 100 3.000
@@ -38,17 +38,23 @@
     assert_eq!(e1.errors.values().sum::<u64>(), 2);
     let e2 = &account.engines["e2"];
     assert_eq!((e2.work, e2.attempts, e2.coordinators.len(), e2.errors.len()), (150.0, 2, 2, 0));
-    let looked = Class { taken: 3, served: 1, refused_untried: 0, refused_tried: 1, failed: 1 };
+    let looked = ClassAccount { accepted: 3, served: 1, rejected_untried: 0, rejected_tried: 1, failed: 1 };
     assert_eq!(account.classes[&0], looked);
-    assert_eq!(account.classes[&1], Class { taken: 1, refused_untried: 1, ..Class::default() });
+    assert_eq!(
+        account.classes[&1],
+        ClassAccount { accepted: 1, rejected_untried: 1, ..ClassAccount::default() }
+    );
     // Second 10: 200 and 100, of a mean of 150; second 12: all at one of the two.
     assert_eq!(account.peaks().map(|p| (p * 100.0).round()), [133.0, 133.0, 200.0]);
-    assert_eq!(account.odd, 2);
-    let second = &account.moments()[&10];
-    assert_eq!((second.taken, second.refused, second.given_up), (2, 1, 1));
-    assert_eq!((second.told, second.notes), ([(0.5, 1), (0.0, 0), (0.25, 1)], [0, 0, 1]));
-    assert_eq!(second.pool, (6000.0, 4000.0, 2));
-    assert_eq!((account.moments()[&11].refused, account.moments()[&12].taken), (1, 1));
+    assert_eq!(account.malformed_lines, 2);
+    let second = &account.seconds()[&10];
+    assert_eq!((second.accepted, second.rejected, second.abandoned), (2, 1, 1));
+    let average = |sum, count| Average { sum, count };
+    let problems = ProblemCounts { spills: 0, memory_waits: 0, load_waits: 1 };
+    let utilization = [average(0.5, 1), average(0.0, 0), average(0.25, 1)];
+    assert_eq!((second.utilization, second.problems), (utilization, problems));
+    assert_eq!(second.pool, PoolAccount { bounds: average(6000.0, 2), in_flight: average(4000.0, 2) });
+    assert_eq!((account.seconds()[&11].rejected, account.seconds()[&12].accepted), (1, 1));
     let text = account.to_string();
     assert!(
         text.contains("2 coordinators, 2 engines")
@@ -62,6 +68,6 @@
     let mut account = Account::default();
     account.read("");
     account.read("no line of ours\n5.0\n6.0 taken\n");
-    assert_eq!((account.engines.len(), account.odd, account.peaks()), (0, 1, [0.0; 3]));
-    assert!(account.moments().is_empty());
+    assert_eq!((account.engines.len(), account.malformed_lines, account.peaks()), (0, 1, [0.0; 3]));
+    assert!(account.seconds().is_empty());
 }
--- a/crates/simulator/tests/experiment.rs
+++ b/crates/simulator/tests/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiments: verdicts, plays that are taken up again, files that are none.
 
-use dahliaspoke_simulator::experiment::{interval, Difference, Experiment};
+use dahliaspoke_simulator::experiment::{Difference, Experiment, MeanInterval};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 const FILE: &str = r#"
@@ -15,9 +15,9 @@
 #[test]
 fn an_interval_is_students() {
     // Mean 3, standard deviation sqrt(2.5), t(4) = 2.7764 at 97.5 %.
-    let (mean, half) = interval(&[1.0, 2.0, 3.0, 4.0, 5.0]);
+    let MeanInterval { mean, half_width: half } = MeanInterval::of(&[1.0, 2.0, 3.0, 4.0, 5.0]);
     assert!((mean - 3.0).abs() < 1e-12 && (half - 2.7764 * (0.5f64).sqrt()).abs() < 1e-3, "{half}");
-    assert!(interval(&[1.0]).1.is_infinite());
+    assert!(MeanInterval::of(&[1.0]).half_width.is_infinite());
 }
 
 #[test]
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_bad_file_is_told() {
-    let bad = |from: &str, to: &str| Experiment::read(&FILE.replace(from, to)).expect_err("bad");
+    let bad = |from: &str, to: &str| Experiment::read(&FILE.replace(from, to)).expect_err("bad").to_string();
     assert_eq!(bad("seeds = 3", "seeds = \"x\""), "line 3: invalid type: string \"x\", expected u64");
     assert!(bad("engines = 3", "egines = 3").contains("unknown field `egines`"));
     assert_eq!(
--- a/crates/simulator/tests/sockets.rs
+++ b/crates/simulator/tests/sockets.rs
@@ -1,9 +1,9 @@
 //! The load tool against a stand-in coordinator on loopback. Counts only: no verdict hangs on how long anything
 //! takes.
 
-use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
-use dahliaspoke_simulator::load::{Group, Manner, Mode};
-use dahliaspoke_simulator::sockets::{run, Part, Target};
+use dahliaspoke_simulator::arrivals::{schedule, Intervals, Shape};
+use dahliaspoke_simulator::load::{ClassSummary, Mode, RetryBehaviour};
+use dahliaspoke_simulator::sockets::{run, Target, TrafficClass};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -58,27 +58,27 @@
     (address, came)
 }
 
-fn part(class: &str, share: f64, keyed: bool) -> Part {
-    Part { class: class.into(), share, allow_ms: 3000, size_ms: 100.0, keyed }
+fn class(name: &str, share: f64, keyed: bool) -> TrafficClass {
+    TrafficClass { name: name.into(), share, timeout_ms: 3000, work_ms: 100.0, has_key: keyed }
 }
 
 #[test]
 fn every_request_that_is_due_is_sent_and_counted_once() {
     let (address, came) = coordinator();
-    let parts = vec![part("lookup", 3.0, false), part("load", 1.0, true)];
-    let target = Target::new(vec![address], parts, 7).expect("loopback");
-    let points = schedule(1000.0, 1.0, Shape::Steady, Gaps::Poisson, 1);
-    let driver = target.driver(&points, Mode::Open, Manner::AsTold, 400);
+    let classes = vec![class("lookup", 3.0, false), class("load", 1.0, true)];
+    let target = Target::new(vec![address], classes, 7).expect("loopback");
+    let points = schedule(1000.0, 1.0, Shape::Steady, Intervals::Poisson, 1);
+    let driver = target.driver(&points, Mode::Open, RetryBehaviour::HonourRetryAfter, 400);
     let summary = run(driver, &target, Duration::from_secs(20)).summary();
     let came = came.lock().expect("held");
     assert_eq!(summary.due, points.len());
-    assert_eq!(summary.served + summary.refused + summary.failed, summary.due);
+    assert_eq!(summary.served + summary.rejected + summary.failed, summary.due);
     assert_eq!(summary.tries, came.len(), "each try reached it once");
     assert_eq!(summary.failed, came.len() / 100);
-    let sum = |of: fn(&Group) -> usize| summary.groups.iter().map(of).sum::<usize>();
-    let all = [summary.due, summary.served, summary.refused, summary.failed];
-    assert_eq!([sum(|g| g.due), sum(|g| g.served), sum(|g| g.refused), sum(|g| g.failed)], all, "by class");
-    assert!(summary.groups.iter().all(|g| g.due > 100), "both classes came");
+    let sum = |of: fn(&ClassSummary) -> usize| summary.classes.iter().map(of).sum::<usize>();
+    let all = [summary.due, summary.served, summary.rejected, summary.failed];
+    assert_eq!([sum(|g| g.due), sum(|g| g.served), sum(|g| g.rejected), sum(|g| g.failed)], all, "by class");
+    assert!(summary.classes.iter().all(|g| g.due > 100), "both classes came");
     // Every try has an id of its own; tries of one request share their key.
     let mut ids: Vec<&String> = came.iter().map(|(id, _)| id).collect();
     ids.sort();
@@ -91,10 +91,10 @@
 
 #[test]
 fn an_address_that_is_not_on_loopback_is_refused() {
-    let parts = || vec![part("lookup", 1.0, false)];
+    let classes = || vec![class("lookup", 1.0, false)];
     let other = "192.0.2.1:80".parse().expect("an address");
-    let error = Target::new(vec!["127.0.0.1:1".parse().expect("an address"), other], parts(), 1)
+    let error = Target::new(vec!["127.0.0.1:1".parse().expect("an address"), other], classes(), 1)
         .expect_err("refused");
-    assert!(error.contains("192.0.2.1:80 is not on loopback"), "{error}");
-    assert!(Target::new(Vec::new(), parts(), 1).is_err());
+    assert!(error.to_string().contains("192.0.2.1:80 is not on loopback"), "{error}");
+    assert!(Target::new(Vec::new(), classes(), 1).is_err());
 }
--- a/crates/test-harness/src/queries.rs
+++ b/crates/test-harness/src/queries.rs
@@ -1,7 +1,7 @@
 //! Queries through a coordinator's HTTP door to engines of the rig, and an auditor: exactly one final answer each, and
 //! nothing that may have run is sent again but as its class allows.
 
-use dahliaspoke_simulator::standin::command;
+use dahliaspoke_simulator::standin::read_command;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -88,7 +88,7 @@
     let mut writer = stream.try_clone().ok()?;
     let mut reader = BufReader::new(stream);
     loop {
-        let words = command(&mut reader)?;
+        let words = read_command(&mut reader)?;
         let word = match (words[0].as_str(), *lock(manner)) {
             ("GET", Manner::Serve) => "data",
             ("GET", Manner::Fail) => "failed",
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -2,11 +2,11 @@
 
 mod members;
 
-use dahliaspoke_simulator::arrivals::{schedule, Gaps, Shape};
-use dahliaspoke_simulator::load::{Manner, Mode, Summary};
+use dahliaspoke_simulator::arrivals::{schedule, Intervals, Shape};
+use dahliaspoke_simulator::load::{Mode, RetryBehaviour, Summary};
 use dahliaspoke_simulator::scenario::Scenario;
-use dahliaspoke_simulator::sockets::{self, Part, Target};
-use dahliaspoke_simulator::standin::Served;
+use dahliaspoke_simulator::sockets::{self, Target, TrafficClass};
+use dahliaspoke_simulator::standin::EngineServer;
 use dahliaspoke_test_harness::fleet::Fleet;
 use dahliaspoke_test_harness::queries::{self, Audit, Engines, Repeats};
 use dahliaspoke_test_harness::until;
@@ -62,21 +62,23 @@
 }
 
 /// Engines of the lab, as the daemon's settings know their classes.
-fn engines(count: usize) -> Vec<Served> {
+fn engines(count: usize) -> Vec<EngineServer> {
     let scenario = Scenario::default();
     let mut class = scenario.classes[0].clone();
     (class.name, class.work_ms, class.work_cv) = ("lookup".into(), 4.0, 0.3);
-    let start = |n: usize| Served::start(&format!("e{n}"), scenario.engine.clone(), vec![class.clone()]);
+    let start =
+        |n: usize| EngineServer::start(&format!("e{n}"), scenario.engine.clone(), vec![class.clone()]);
     (0..count).map(|n| start(n).expect("a port")).collect()
 }
 
 /// Sends load to coordinators for so many seconds.
 fn load(to: Vec<SocketAddr>, seconds: f64, rate: f64) -> Summary {
-    let part = Part { class: "lookup".into(), share: 1.0, allow_ms: 3000, size_ms: 4.0, keyed: false };
-    let parts = vec![part];
-    let points = schedule(rate, seconds, Shape::Steady, Gaps::Poisson, 7);
-    let target = Target::new(to, parts, 7).expect("loopback");
-    let driver = target.driver(&points, Mode::Open, Manner::AsTold, 300);
+    let class =
+        TrafficClass { name: "lookup".into(), share: 1.0, timeout_ms: 3000, work_ms: 4.0, has_key: false };
+    let classes = vec![class];
+    let points = schedule(rate, seconds, Shape::Steady, Intervals::Poisson, 7);
+    let target = Target::new(to, classes, 7).expect("loopback");
+    let driver = target.driver(&points, Mode::Open, RetryBehaviour::HonourRetryAfter, 300);
     sockets::run(driver, &target, Duration::from_secs(20)).summary()
 }
 
@@ -117,12 +119,12 @@
     for (name, s) in [("without a store", &without), ("with one", &with)] {
         println!(
             "{name}: {} due, {} served, {} refused, {} failed; half within {:.1} ms, 99% within {:.1} ms",
-            s.due, s.served, s.refused, s.failed, s.millis[0], s.millis[2]
+            s.due, s.served, s.rejected, s.failed, s.millis[0], s.millis[2]
         );
     }
     println!("{changes} changes of settings meanwhile");
     assert_eq!((with.failed, without.failed), (0, 0));
-    assert_eq!(with.served + with.refused, with.due);
+    assert_eq!(with.served + with.rejected, with.due);
     assert!(changes > 3);
 }
 
--- a/tests/daemon/mod.rs
+++ b/tests/daemon/mod.rs
@@ -1,7 +1,7 @@
 //! The program as a child process, with a configuration that names stand-ins on loopback.
 #![allow(dead_code)]
 
-use dahliaspoke_simulator::standin::{Directory, Told};
+use dahliaspoke_simulator::standin::{Directory, DirectoryEntry};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::fd::OwnedFd;
@@ -82,7 +82,7 @@
 
 /// A directory that goes on telling of these engines, all ready, as a configuration does.
 pub fn directory(engines: &[(&str, SocketAddr)]) -> SocketAddr {
-    let told = |(id, address): &(&str, SocketAddr)| Told {
+    let told = |(id, address): &(&str, SocketAddr)| DirectoryEntry {
         id: (*id).into(),
         zone: "hall-a".into(),
         address: *address,
--- a/tests/faulty_directory/mod.rs
+++ b/tests/faulty_directory/mod.rs
@@ -1,7 +1,7 @@
 //! A directory on loopback whose answers a test spoils: silent, late, truncated, repeated, numbered anew.
 #![allow(dead_code)]
 
-use dahliaspoke_simulator::standin::{list_answer, Told};
+use dahliaspoke_simulator::standin::{directory_answer, DirectoryEntry};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 pub struct Behaviour {
     /// Number of the last event.
     pub serial: u32,
-    pub list: Vec<Told>,
+    pub list: Vec<DirectoryEntry>,
     /// Questions are taken and not answered.
     pub silent: bool,
     /// Only questions of the socket that asked first are not answered.
@@ -88,7 +88,7 @@
                 record.askers.push(asker);
             }
             let deaf = now.silent || now.deaf_to_first && record.askers[0] == asker;
-            let answer = list_answer(&buffer[..length], now.serial, &now.list).filter(|_| !deaf);
+            let answer = directory_answer(&buffer[..length], now.serial, &now.list).filter(|_| !deaf);
             if let Some(mut answer) = answer {
                 if now.truncated {
                     answer[2] |= TRUNCATED;
--- a/tests/leavers.rs
+++ b/tests/leavers.rs
@@ -6,7 +6,7 @@
 mod daemon;
 
 use daemon::{config_told, Daemon, Named, PATIENCE};
-use dahliaspoke_simulator::standin::command;
+use dahliaspoke_simulator::standin::read_command;
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,7 +19,7 @@
 /// Serves a connection: each query fails after a while, which differs.
 fn fail(stream: TcpStream, reached: &Reached) {
     let (mut reader, mut writer) = (BufReader::new(stream.try_clone().expect("a copy")), stream);
-    while let Some(words) = command(&mut reader) {
+    while let Some(words) = read_command(&mut reader) {
         let now = Instant::now();
         if words[0] != "GET" {
             continue;
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -5,7 +5,7 @@
 mod faulty_directory;
 
 use daemon::{config, Daemon};
-use dahliaspoke_simulator::standin::Told;
+use dahliaspoke_simulator::standin::DirectoryEntry;
 use dahliaspoke_test_harness::queries::Engines;
 use dahliaspoke_test_harness::until;
 use faulty_directory::{Behaviour, FaultyDirectory};
@@ -37,8 +37,8 @@
         Self { stays, drains, directory, daemon, asked: Cell::new(0) }
     }
 
-    fn told(id: &str, address: SocketAddr) -> Told {
-        Told { id: id.into(), zone: "hall-a".into(), address, drains: false, started_ms: 0 }
+    fn told(id: &str, address: SocketAddr) -> DirectoryEntry {
+        DirectoryEntry { id: id.into(), zone: "hall-a".into(), address, drains: false, started_ms: 0 }
     }
 
     /// The status that a new look-up is answered with.
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -3,7 +3,7 @@
 mod daemon;
 
 use daemon::{config, SETTINGS};
-use dahliaspoke_simulator::standin::{Directory, Told};
+use dahliaspoke_simulator::standin::{Directory, DirectoryEntry};
 use dahliaspoke_test_harness::fleet::Fleet;
 use dahliaspoke_test_harness::queries::{Audit, Engines, Repeats};
 use dahliaspoke_test_harness::relay::{Pace, Relay, Way};
@@ -32,8 +32,8 @@
         Self { engines, links, first }
     }
 
-    fn told(&self) -> Vec<Told> {
-        let told = |(n, link): (usize, &Relay)| Told {
+    fn told(&self) -> Vec<DirectoryEntry> {
+        let told = |(n, link): (usize, &Relay)| DirectoryEntry {
             id: format!("e{}", self.first + n),
             zone: ["hall-a", "hall-b"][n % 2].into(),
             address: link.address,
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -3,15 +3,15 @@
 mod daemon;
 
 use daemon::{config, Daemon};
-use dahliaspoke_simulator::standin::{Directory, Told};
+use dahliaspoke_simulator::standin::{Directory, DirectoryEntry};
 use dahliaspoke_test_harness::queries::Engines;
 use dahliaspoke_test_harness::until;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-fn told(id: &str, address: SocketAddr) -> Told {
-    Told { id: id.into(), zone: "hall-a".into(), address, drains: false, started_ms: 0 }
+fn told(id: &str, address: SocketAddr) -> DirectoryEntry {
+    DirectoryEntry { id: id.into(), zone: "hall-a".into(), address, drains: false, started_ms: 0 }
 }
 
 fn connect(door: SocketAddr) -> TcpStream {
