--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -1,56 +1,61 @@
-//! What happens next: events by time, those of one time in the order in which they were set.
+//! The event queue: events by time, and those of one time in the order in which they were scheduled.
 //!
-//! Two structures with one face. [`Heap`] is the plain one. [`Wheel`] is made for the job: nearly all events of
-//! a run lie within some seconds from now, so they go into slots by time, and each slot is put in order only
-//! when its time has come. `benches/queue.rs` measures both; [`Queue`] is the one that runs use.
+//! Two structures with one interface. [`Heap`] is the plain one. [`Wheel`] is made for the job: nearly all events of a run
+//! lie within some seconds from now, so they go into slots by time, and each slot is sorted only when its time has come.
+//! `benches/queue.rs` measures both; [`Queue`] is the one that runs use.
 
 use crate::Micros;
-use std::cmp::Reverse;
+use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 /// The queue that runs use: see `docs/simulator.md` for the figures.
 pub type Queue<T> = Wheel<T>;
 
+/// An event with its time, ordered by time and then by the order of scheduling.
 struct Entry<T> {
     at: Micros,
-    turn: u64,
+    sequence: u64,
     event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.turn) == (other.at, other.turn)
+        self.cmp(other).is_eq()
     }
 }
+
 impl<T> Eq for Entry<T> {}
+
 impl<T> PartialOrd for Entry<T> {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
+
 impl<T> Ord for Entry<T> {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.turn).cmp(&(other.at, other.turn))
+    fn cmp(&self, other: &Self) -> Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 /// A binary heap.
 pub struct Heap<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    turn: u64,
+    /// Events scheduled so far.
+    scheduled: u64,
 }
 
 impl<T> Default for Heap<T> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), turn: 0 }
+        Self { heap: BinaryHeap::new(), scheduled: 0 }
     }
 }
 
 impl<T> Heap<T> {
-    /// Sets an event.
+    /// Schedules an event.
     pub fn push(&mut self, at: Micros, event: T) {
-        self.turn += 1;
-        self.heap.push(Reverse(Entry { at, turn: self.turn, event }));
+        self.scheduled += 1;
+        self.heap.push(Reverse(Entry { at, sequence: self.scheduled, event }));
     }
 
     /// The next event, and its time.
@@ -58,13 +63,13 @@
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 
-    /// Events that are set.
+    /// Events that are scheduled.
     #[must_use]
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is.
+    /// Whether no event is scheduled.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -74,41 +79,43 @@
 /// Slots of the wheel.
 const SLOTS: usize = 8192;
 /// Width of a slot (us), as a power of two: the wheel spans 8 s.
-const SHIFT: u32 = 10;
+const SLOT_SHIFT: u32 = 10;
 
 /// A timing wheel of one level, with a heap for what lies beyond its span.
 pub struct Wheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// The slot whose time has come, in order from its end.
+    /// The slot whose time has come, the next event at its end.
     open: Vec<Entry<T>>,
     /// Number of the open slot, counted from the start of time.
-    now: u64,
-    /// Events in slots.
-    held: usize,
+    open_slot: u64,
+    /// Events in `slots`.
+    in_slots: usize,
+    /// Events beyond the span of the wheel.
     far: BinaryHeap<Reverse<Entry<T>>>,
-    turn: u64,
+    /// Events scheduled so far.
+    scheduled: u64,
 }
 
 impl<T> Default for Wheel<T> {
     fn default() -> Self {
         let slots = std::iter::repeat_with(Vec::new).take(SLOTS).collect();
-        Self { slots, open: Vec::new(), now: 0, held: 0, far: BinaryHeap::new(), turn: 0 }
+        Self { slots, open: Vec::new(), open_slot: 0, in_slots: 0, far: BinaryHeap::new(), scheduled: 0 }
     }
 }
 
 impl<T> Wheel<T> {
-    /// Sets an event. One for a time that has passed comes next.
+    /// Schedules an event. One for a time that has passed comes next.
     pub fn push(&mut self, at: Micros, event: T) {
-        self.turn += 1;
-        let entry = Entry { at, turn: self.turn, event };
-        let slot = at >> SHIFT;
-        if slot <= self.now {
-            // Into the open slot, at its place: behind all that come before it.
-            let place = self.open.partition_point(|held| *held > entry);
+        self.scheduled += 1;
+        let entry = Entry { at, sequence: self.scheduled, event };
+        let slot = at >> SLOT_SHIFT;
+        if slot <= self.open_slot {
+            // Into the open slot, in order: behind all that come before it.
+            let place = self.open.partition_point(|other| *other > entry);
             self.open.insert(place, entry);
-        } else if slot - self.now < SLOTS as u64 {
+        } else if slot - self.open_slot < SLOTS as u64 {
             self.slots[slot as usize % SLOTS].push(entry);
-            self.held += 1;
+            self.in_slots += 1;
         } else {
             self.far.push(Reverse(entry));
         }
@@ -117,37 +124,37 @@
     /// The next event, and its time.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
         while self.open.is_empty() {
-            self.turn_on()?;
+            self.open_next_slot()?;
         }
         self.open.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// Opens the next slot that may hold something.
-    fn turn_on(&mut self) -> Option<()> {
-        let far = self.far.peek().map(|Reverse(entry)| entry.at >> SHIFT);
-        if self.held == 0 {
-            self.now = far?; // nothing lies between
+    /// Opens the next slot that may hold an event; `None` where none is scheduled.
+    fn open_next_slot(&mut self) -> Option<()> {
+        let far = self.far.peek().map(|Reverse(entry)| entry.at >> SLOT_SHIFT);
+        if self.in_slots == 0 {
+            self.open_slot = far?; // nothing lies between
         } else {
-            self.now += 1;
+            self.open_slot += 1;
         }
-        while self.far.peek().is_some_and(|Reverse(entry)| entry.at >> SHIFT <= self.now) {
+        while self.far.peek().is_some_and(|Reverse(entry)| entry.at >> SLOT_SHIFT <= self.open_slot) {
             let Reverse(entry) = self.far.pop()?;
             self.open.push(entry);
         }
-        let slot = &mut self.slots[self.now as usize % SLOTS];
-        self.held -= slot.len();
+        let slot = &mut self.slots[self.open_slot as usize % SLOTS];
+        self.in_slots -= slot.len();
         self.open.append(slot);
         self.open.sort_unstable_by(|a, b| b.cmp(a));
         Some(())
     }
 
-    /// Events that are set.
+    /// Events that are scheduled.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.open.len() + self.held + self.far.len()
+        self.open.len() + self.in_slots + self.far.len()
     }
 
-    /// Whether none is.
+    /// Whether no event is scheduled.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
