--- a/crates/raft/tests/sim/clients.rs
+++ b/crates/raft/tests/sim/clients.rs
@@ -4,7 +4,7 @@
 use dahliaspoke_raft::raft::Event;
 use dahliaspoke_raft::state_machine::{Command, Op};
 use dahliaspoke_raft::Micros;
-use dahliaspoke_test_harness::history::{Answer, Call, Op as HistoryOp};
+use dahliaspoke_test_harness::history::{Answer, Call, Operation};
 
 /// Keys that the clients share.
 const KEYS: u64 = 2;
@@ -73,7 +73,7 @@
             0 => Call::Read,
             1 => Call::Write(value),
             // The version that some client was told last: it may be old.
-            _ => Call::Swap(self.known_versions.get(&key).copied().unwrap_or_default(), value),
+            _ => Call::CompareAndSwap(self.known_versions.get(&key).copied().unwrap_or_default(), value),
         };
         let started = self.now;
         self.clients[at].serial += 1;
@@ -95,7 +95,7 @@
         let (value, expect) = match call {
             Call::Read => return self.handle_event(node, Event::Read { proposal_id }),
             Call::Write(value) => (value, None),
-            Call::Swap(version, value) => (value, Some(version)),
+            Call::CompareAndSwap(version, value) => (value, Some(version)),
         };
         let op = Op { key: key_name(key), value: Some(value.into()), expect };
         let command = Command { session: client.session, serial: client.serial, ops: vec![op] };
@@ -112,7 +112,7 @@
         let key = self.clients[client].open.as_ref().map_or(0, |open| open.key);
         let value = self.nodes[node].state_machine.get(&key_name(key));
         let value = value.map(|value| (value.version, value.text.to_string()));
-        self.answer(client, proposal_id, Some(Answer::Held(value)));
+        self.answer(client, proposal_id, Some(Answer::Value(value)));
     }
 
     /// A client has an answer. Without one it repeats the call, and gives up in the end.
@@ -128,7 +128,7 @@
             }
             return;
         }
-        if let Some(Answer::Done(version) | Answer::Held(Some((version, _)))) = &answer {
+        if let Some(Answer::Written(version) | Answer::Value(Some((version, _)))) = &answer {
             self.known_versions.insert(open.key, *version);
         }
         if answer.is_some() {
@@ -145,7 +145,7 @@
     }
 
     fn record(&mut self, open: OpenCall, answered: Option<(Micros, Answer)>) {
-        let op = HistoryOp { called: open.started, answered, call: open.call };
+        let op = Operation { called: open.started, answered, call: open.call };
         self.history.entry(open.key).or_default().push(op);
     }
 
--- a/crates/raft/tests/sim/mod.rs
+++ b/crates/raft/tests/sim/mod.rs
@@ -12,7 +12,7 @@
 use dahliaspoke_raft::message::Message;
 use dahliaspoke_raft::raft::{Event, PlantedFault};
 use dahliaspoke_raft::{Id, Index, Micros, Term};
-use dahliaspoke_test_harness::history::{is_linearizable, Op as HistoryOp};
+use dahliaspoke_test_harness::history::{is_linearizable, Operation};
 use network::{Link, Route};
 use node::Node;
 use rand_core::{RngCore, SeedableRng};
@@ -92,7 +92,7 @@
     last_proposal_id: u64,
     last_value: u64,
     /// Calls by key.
-    history: BTreeMap<usize, Vec<HistoryOp>>,
+    history: BTreeMap<usize, Vec<Operation>>,
     /// The version of each key that a client was told last.
     known_versions: BTreeMap<usize, Index>,
     leaders: BTreeMap<Term, Id>,
--- a/crates/raft/tests/sim/node.rs
+++ b/crates/raft/tests/sim/node.rs
@@ -191,8 +191,8 @@
         }
         if let Some(client) = proposal_id.and_then(|proposal_id| self.waiting.remove(&proposal_id)) {
             let answer = match outcome {
-                Some(Outcome::Done(version)) => Some(Answer::Done(version)),
-                Some(Outcome::VersionMismatch { .. }) => Some(Answer::Other),
+                Some(Outcome::Done(version)) => Some(Answer::Written(version)),
+                Some(Outcome::VersionMismatch { .. }) => Some(Answer::VersionMismatch),
                 _ => None,
             };
             self.answer(client, proposal_id.unwrap_or_default(), answer);
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,14 +1,14 @@
-//! The rig: several real processes of the program on loopback, with faults between them. For tests alone; nothing of
-//! it is in the daemon's build.
+//! A test harness: several real processes of the program on loopback, with faults between them. For tests alone; nothing
+//! of it is in the daemon's build.
 //!
-//! - [`relay`]: a link between two processes, each direction on its own: cut, held, slow, reset, doubled;
-//! - [`process`]: a process that is stopped, killed, killed at a named point, started again with or without its disk;
-//! - [`fleet`]: processes, the links between them, engines and the directory;
-//! - [`script`]: faults from a seed, printed, and played again from the print;
-//! - [`queries`]: queries with an auditor: one answer each, repeats within class;
-//! - [`history`]: what clients called and were told, and whether one order explains it (linearizability).
+//! - [`relay`]: links between processes, each direction with faults of its own: cut, held, slow, reset, duplicated;
+//! - [`process`]: a process that is suspended, killed, killed at a named point, started again with or without its disk;
+//! - [`fleet`]: processes and the links between them;
+//! - [`script`]: fault schedules from a seed, which print as text and can be played again from it;
+//! - [`queries`]: queries to stub engines, and an auditor of their answers and attempts;
+//! - [`history`]: calls and answers of clients, and whether one order explains them (linearizability).
 //!
-//! Waits are for conditions. [`PATIENCE`] is far beyond what anything takes: only a failure waits so long.
+//! Tests wait for conditions. [`PATIENCE`] is far beyond what any of them takes: only a failure waits so long.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -24,20 +24,20 @@
 /// The longest that a condition is waited for.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(5);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until `is` gives something.
+/// Waits until `find` returns something.
 ///
 /// # Panics
-/// Where it has not within [`PATIENCE`]; says what was waited for.
-pub fn until<T>(what: &str, mut is: impl FnMut() -> Option<T>) -> T {
+/// Where it has not within [`PATIENCE`]; names the condition.
+pub fn until<T>(condition: &str, mut find: impl FnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
-        if let Some(found) = is() {
+        if let Some(found) = find() {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "waited in vain: {what}");
-        std::thread::sleep(LOOK);
+        assert!(began.elapsed() < PATIENCE, "waited in vain: {condition}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -1,47 +1,86 @@
-//! Faults from a seed. A script prints itself; the print plays again.
+//! Fault schedules, drawn from a seed. A schedule prints as text, and the text can be parsed and played again.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
+use std::num::ParseIntError;
 use std::str::FromStr;
+use thiserror::Error;
 
-/// One thing that is done to the fleet. Processes go by position.
+/// One change of a fleet or its links. Processes go by position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ends the link from the first to the second, and lets none come up.
+    /// Cuts the links between two processes until they are healed.
     Cut(usize, usize),
-    /// Holds what the first says to the second, both on the links that it opens and on those it was opened.
+    /// Holds everything that the first sends to the second, on the links that it opens and on those opened to it.
     Hold(usize, usize),
-    /// Each byte comes so much later (ms).
+    /// Delays each byte that the first sends to the second (ms).
     Delay(usize, usize, u64),
-    /// So many bytes a millisecond.
+    /// Lets this many bytes a millisecond through from the first to the second.
     Trickle(usize, usize, usize),
-    /// A reset after so many more bytes.
+    /// Resets the connections after this many more bytes from the first to the second.
     Reset(usize, usize, u64),
-    /// What the first says ends there; the other direction goes on.
+    /// Shuts the direction from the first to the second down; the other goes on.
     HalfClose(usize, usize),
-    /// From the next connection on, all that the first says comes twice.
-    Double(usize, usize),
-    /// Takes the link's faults away, both directions.
-    Mend(usize, usize),
+    /// From the next connection on, the second receives everything from the first twice.
+    Duplicate(usize, usize),
+    /// Takes the faults of the links between two processes away, in both directions.
+    Heal(usize, usize),
     /// Takes the faults of all links away.
-    MendAll,
-    /// SIGSTOP.
-    Stop(usize),
-    /// SIGCONT.
-    GoOn(usize),
-    /// SIGKILL.
+    HealAll,
+    /// Suspends a process with SIGSTOP.
+    Suspend(usize),
+    /// Resumes a process with SIGCONT.
+    Resume(usize),
+    /// Kills a process with SIGKILL.
     Kill(usize),
-    /// SIGKILL, and a start at which it kills itself at that point.
+    /// Kills a process and starts it with that kill point.
     KillAt(usize, String),
-    /// Starts it where it does not run.
+    /// Starts a process unless it runs.
     Start(usize),
-    /// The same without its disk.
+    /// Kills a process and starts it without its disk.
     StartEmpty(usize),
     /// Waits for a condition of that name; what it means is the test's to say.
     Await(String),
 }
 
+/// Why a line is not a step.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ParseStepError {
+    /// A number is missing.
+    #[error("{line:?}: word {position} is missing")]
+    MissingNumber {
+        /// The line.
+        line: String,
+        /// Position of the word.
+        position: usize,
+    },
+    /// A word is not a number.
+    #[error("{line:?}: {word:?}: {source}")]
+    NotANumber {
+        /// The line.
+        line: String,
+        /// The word.
+        word: String,
+        /// What is wrong.
+        source: ParseIntError,
+    },
+    /// A name is missing.
+    #[error("{line:?}: too short")]
+    MissingName {
+        /// The line.
+        line: String,
+    },
+    /// There is no step of that name.
+    #[error("{line:?}: no step is called {name:?}")]
+    UnknownStep {
+        /// The line.
+        line: String,
+        /// The name.
+        name: String,
+    },
+}
+
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -51,11 +90,11 @@
             Step::Trickle(a, b, bytes) => write!(f, "trickle {a} {b} {bytes}"),
             Step::Reset(a, b, bytes) => write!(f, "reset {a} {b} {bytes}"),
             Step::HalfClose(a, b) => write!(f, "half-close {a} {b}"),
-            Step::Double(a, b) => write!(f, "double {a} {b}"),
-            Step::Mend(a, b) => write!(f, "mend {a} {b}"),
-            Step::MendAll => write!(f, "mend-all"),
-            Step::Stop(p) => write!(f, "stop {p}"),
-            Step::GoOn(p) => write!(f, "go-on {p}"),
+            Step::Duplicate(a, b) => write!(f, "double {a} {b}"),
+            Step::Heal(a, b) => write!(f, "mend {a} {b}"),
+            Step::HealAll => write!(f, "mend-all"),
+            Step::Suspend(p) => write!(f, "stop {p}"),
+            Step::Resume(p) => write!(f, "go-on {p}"),
             Step::Kill(p) => write!(f, "kill {p}"),
             Step::KillAt(p, point) => write!(f, "kill-at {p} {point}"),
             Step::Start(p) => write!(f, "start {p}"),
@@ -65,40 +104,69 @@
     }
 }
 
-impl FromStr for Step {
-    type Err = String;
+/// The words of a line.
+struct Words<'a> {
+    line: &'a str,
+    words: Vec<&'a str>,
+}
+
+impl<'a> Words<'a> {
+    fn of(line: &'a str) -> Self {
+        Self { line, words: line.split_whitespace().collect() }
+    }
 
-    fn from_str(line: &str) -> Result<Self, String> {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let number = |at: usize| -> Result<u64, String> {
-            let word = words.get(at).ok_or_else(|| format!("{line:?}: word {at} is missing"))?;
-            word.parse().map_err(|e| format!("{line:?}: {word:?}: {e}"))
+    fn name(&self) -> &'a str {
+        self.words.first().copied().unwrap_or_default()
+    }
+
+    fn number<T: FromStr<Err = ParseIntError>>(&self, position: usize) -> Result<T, ParseStepError> {
+        let line = || self.line.to_string();
+        let Some(word) = self.words.get(position) else {
+            return Err(ParseStepError::MissingNumber { line: line(), position });
         };
-        let n = |at: usize| number(at).map(|n| n as usize);
-        let word = |at: usize| words.get(at).map(ToString::to_string).ok_or(format!("{line:?}: too short"));
-        Ok(match words.first().copied().unwrap_or_default() {
-            "cut" => Step::Cut(n(1)?, n(2)?),
-            "hold" => Step::Hold(n(1)?, n(2)?),
-            "delay" => Step::Delay(n(1)?, n(2)?, number(3)?),
-            "trickle" => Step::Trickle(n(1)?, n(2)?, n(3)?),
-            "reset" => Step::Reset(n(1)?, n(2)?, number(3)?),
-            "half-close" => Step::HalfClose(n(1)?, n(2)?),
-            "double" => Step::Double(n(1)?, n(2)?),
-            "mend" => Step::Mend(n(1)?, n(2)?),
-            "mend-all" => Step::MendAll,
-            "stop" => Step::Stop(n(1)?),
-            "go-on" => Step::GoOn(n(1)?),
-            "kill" => Step::Kill(n(1)?),
-            "kill-at" => Step::KillAt(n(1)?, word(2)?),
-            "start" => Step::Start(n(1)?),
-            "start-empty" => Step::StartEmpty(n(1)?),
-            "await" => Step::Await(words[1..].join(" ")),
-            other => return Err(format!("{line:?}: no step is called {other:?}")),
+        word.parse().map_err(|source| ParseStepError::NotANumber {
+            line: line(),
+            word: word.to_string(),
+            source,
         })
     }
+
+    fn text(&self, position: usize) -> Result<String, ParseStepError> {
+        let word = self.words.get(position).map(ToString::to_string);
+        word.ok_or_else(|| ParseStepError::MissingName { line: self.line.to_string() })
+    }
 }
 
-/// Steps, one a line.
+impl FromStr for Step {
+    type Err = ParseStepError;
+
+    fn from_str(line: &str) -> Result<Self, ParseStepError> {
+        let words = Words::of(line);
+        Ok(match words.name() {
+            "cut" => Step::Cut(words.number(1)?, words.number(2)?),
+            "hold" => Step::Hold(words.number(1)?, words.number(2)?),
+            "delay" => Step::Delay(words.number(1)?, words.number(2)?, words.number(3)?),
+            "trickle" => Step::Trickle(words.number(1)?, words.number(2)?, words.number(3)?),
+            "reset" => Step::Reset(words.number(1)?, words.number(2)?, words.number(3)?),
+            "half-close" => Step::HalfClose(words.number(1)?, words.number(2)?),
+            "double" => Step::Duplicate(words.number(1)?, words.number(2)?),
+            "mend" => Step::Heal(words.number(1)?, words.number(2)?),
+            "mend-all" => Step::HealAll,
+            "stop" => Step::Suspend(words.number(1)?),
+            "go-on" => Step::Resume(words.number(1)?),
+            "kill" => Step::Kill(words.number(1)?),
+            "kill-at" => Step::KillAt(words.number(1)?, words.text(2)?),
+            "start" => Step::Start(words.number(1)?),
+            "start-empty" => Step::StartEmpty(words.number(1)?),
+            "await" => Step::Await(words.words[1..].join(" ")),
+            name => {
+                return Err(ParseStepError::UnknownStep { line: line.to_string(), name: name.to_string() })
+            }
+        })
+    }
+}
+
+/// A schedule of faults. It prints as one step a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Script(pub Vec<Step>);
 
@@ -109,9 +177,9 @@
 }
 
 impl FromStr for Script {
-    type Err = String;
+    type Err = ParseStepError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, ParseStepError> {
         text.lines()
             .filter(|line| !line.trim().is_empty())
             .map(str::parse)
@@ -121,33 +189,48 @@
 }
 
 impl Script {
-    /// Draws so many troubles among that many processes. At most one process is away and one link at fault at a time;
-    /// between each and its end the condition is awaited, and so it is after.
+    /// Draws this many faults among that many processes. At most one process is away and one link has a fault at a time;
+    /// between each fault and its end the condition is awaited, and again after the end.
     #[must_use]
-    pub fn rotation(seed: u64, processes: usize, troubles: usize, condition: &str) -> Self {
-        let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut below = |n: usize| (rng.next_u64() % n as u64) as usize;
+    pub fn rotation(seed: u64, processes: usize, faults: usize, condition: &str) -> Self {
+        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
         let mut steps = Vec::new();
-        for turn in 0..troubles {
-            let victim = turn % processes;
-            let (a, b) = (below(processes), 1 + below(processes - 1));
-            let b = (a + b) % processes;
-            steps.push(match below(7) {
-                0 => Step::Cut(a, b),
-                1 => Step::Hold(a, b),
-                2 => Step::Delay(a, b, 5 + below(40) as u64),
-                3 => Step::Trickle(a, b, 1 + below(20)),
-                4 => Step::Reset(a, b, below(2000) as u64),
-                5 => Step::HalfClose(a, b),
-                _ => Step::Double(a, b),
-            });
-            let stops = below(3) == 0;
-            steps.push(if stops { Step::Stop(victim) } else { Step::Kill(victim) });
+        for number in 0..faults {
+            let process = number % processes;
+            steps.push(draw.link_fault(processes));
+            let suspends = draw.below(3) == 0;
+            steps.push(if suspends { Step::Suspend(process) } else { Step::Kill(process) });
             steps.push(Step::Await(condition.into()));
-            steps.push(if stops { Step::GoOn(victim) } else { Step::Start(victim) });
-            steps.push(Step::MendAll);
+            steps.push(if suspends { Step::Resume(process) } else { Step::Start(process) });
+            steps.push(Step::HealAll);
             steps.push(Step::Await(condition.into()));
         }
         Self(steps)
     }
 }
+
+/// Draws faults.
+struct Draw(Pcg64Mcg);
+
+impl Draw {
+    /// A number below `limit`.
+    fn below(&mut self, limit: usize) -> usize {
+        (self.0.next_u64() % limit as u64) as usize
+    }
+
+    /// A fault of the link between two different processes.
+    fn link_fault(&mut self, processes: usize) -> Step {
+        let from = self.below(processes);
+        let distance = 1 + self.below(processes - 1);
+        let to = (from + distance) % processes;
+        match self.below(7) {
+            0 => Step::Cut(from, to),
+            1 => Step::Hold(from, to),
+            2 => Step::Delay(from, to, 5 + self.below(40) as u64),
+            3 => Step::Trickle(from, to, 1 + self.below(20)),
+            4 => Step::Reset(from, to, self.below(2000) as u64),
+            5 => Step::HalfClose(from, to),
+            _ => Step::Duplicate(from, to),
+        }
+    }
+}
--- a/crates/test-harness/tests/history.rs
+++ b/crates/test-harness/tests/history.rs
@@ -1,6 +1,6 @@
 //! The checker of histories, beside stateright's own tester on histories small enough for it.
 
-use dahliaspoke_test_harness::history::{is_linearizable, Answer, Call, Op};
+use dahliaspoke_test_harness::history::{is_linearizable, Answer, Call, Operation};
 use proptest::prelude::*;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
@@ -15,11 +15,11 @@
     fn invoke(&mut self, call: &Call) -> Answer {
         let version = self.0.as_ref().map_or(0, |(version, _)| *version);
         match call {
-            Call::Read => Answer::Held(self.0.clone()),
-            Call::Swap(expected, _) if *expected != version => Answer::Other,
-            Call::Write(value) | Call::Swap(_, value) => {
+            Call::Read => Answer::Value(self.0.clone()),
+            Call::CompareAndSwap(expected, _) if *expected != version => Answer::VersionMismatch,
+            Call::Write(value) | Call::CompareAndSwap(_, value) => {
                 self.0 = Some((version + 1, value.clone()));
-                Answer::Done(version + 1)
+                Answer::Written(version + 1)
             }
         }
     }
@@ -31,7 +31,7 @@
 }
 
 /// Plays clients against a register. Each step moves one client on: call, effect, answer.
-fn play(steps: &[(u8, u8, u8)]) -> Vec<(usize, Op)> {
+fn play(steps: &[(u8, u8, u8)]) -> Vec<(usize, Operation)> {
     let mut register = Register::default();
     let mut now = 0;
     let mut open: [Option<(u64, Call, Option<Answer>)>; 3] = Default::default();
@@ -44,7 +44,7 @@
                 let call = match kind {
                     0 => Call::Read,
                     1 => Call::Write(format!("v{now}")),
-                    _ => Call::Swap(u64::from(*version), format!("v{now}")),
+                    _ => Call::CompareAndSwap(u64::from(*version), format!("v{now}")),
                 };
                 open[client] = Some((now, call, None));
             }
@@ -53,19 +53,19 @@
                 open[client] = Some((at, call, Some(answer)));
             }
             Some((called, call, Some(answer))) => {
-                ops.push((client, Op { called, answered: Some((now, answer)), call }));
+                ops.push((client, Operation { called, answered: Some((now, answer)), call }));
             }
         }
     }
     let unknown = open.into_iter().enumerate();
     ops.extend(unknown.filter_map(|(client, held)| {
-        held.map(|(called, call, _)| (client, Op { called, answered: None, call }))
+        held.map(|(called, call, _)| (client, Operation { called, answered: None, call }))
     }));
     ops
 }
 
 /// The same by stateright.
-fn told(ops: &[(usize, Op)]) -> bool {
+fn told(ops: &[(usize, Operation)]) -> bool {
     let mut events: Vec<(u64, usize, Option<Answer>, Call)> = Vec::new();
     for (client, op) in ops {
         events.push((op.called, *client, None, op.call.clone()));
@@ -85,7 +85,7 @@
     tester.is_consistent()
 }
 
-fn alone(ops: &[(usize, Op)]) -> Vec<Op> {
+fn alone(ops: &[(usize, Operation)]) -> Vec<Operation> {
     ops.iter().map(|(_, op)| op.clone()).collect()
 }
 
@@ -111,7 +111,7 @@
         let reads: Vec<usize> = (0..ops.len()).filter(|at| ops[*at].1.call == Call::Read).collect();
         prop_assume!(reads.len() > 1);
         let (one, other) = (reads[one % reads.len()], reads[other % reads.len()]);
-        let take = |op: &Op| op.answered.clone().map(|(_, answer)| answer);
+        let take = |op: &Operation| op.answered.clone().map(|(_, answer)| answer);
         let (first, second) = (take(&ops[one].1), take(&ops[other].1));
         for (at, answer) in [(one, second), (other, first)] {
             if let (Some((_, held)), Some(answer)) = (&mut ops[at].1.answered, answer) {
@@ -124,20 +124,20 @@
 
 #[test]
 fn a_read_older_than_an_acknowledged_write_is_refused() {
-    let op = |called, at, answer, call| Op { called, answered: Some((at, answer)), call };
-    let write = op(1, 2, Answer::Done(1), Call::Write("a".into()));
-    let stale = op(3, 4, Answer::Held(None), Call::Read);
-    let beside = op(1, 4, Answer::Held(None), Call::Read);
+    let op = |called, at, answer, call| Operation { called, answered: Some((at, answer)), call };
+    let write = op(1, 2, Answer::Written(1), Call::Write("a".into()));
+    let stale = op(3, 4, Answer::Value(None), Call::Read);
+    let beside = op(1, 4, Answer::Value(None), Call::Read);
     assert!(!is_linearizable(&[write.clone(), stale]));
     assert!(is_linearizable(&[write, beside]));
 }
 
 #[test]
 fn a_write_that_nobody_was_told_of_counts_once_or_never() {
-    let op = |called, at, answer, call| Op { called, answered: Some((at, answer)), call };
-    let lost = Op { called: 1, answered: None, call: Call::Write("x".into()) };
-    let seen = |at, version| op(at, at + 1, Answer::Held(Some((version, "x".to_string()))), Call::Read);
-    let none = |at| op(at, at + 1, Answer::Held(None), Call::Read);
+    let op = |called, at, answer, call| Operation { called, answered: Some((at, answer)), call };
+    let lost = Operation { called: 1, answered: None, call: Call::Write("x".into()) };
+    let seen = |at, version| op(at, at + 1, Answer::Value(Some((version, "x".to_string()))), Call::Read);
+    let none = |at| op(at, at + 1, Answer::Value(None), Call::Read);
     assert!(is_linearizable(&[lost.clone(), none(5), seen(7, 4)]));
     assert!(!is_linearizable(&[lost.clone(), seen(5, 4), none(7)]));
     assert!(!is_linearizable(&[lost, seen(5, 4), seen(7, 9)]));
--- a/crates/test-harness/tests/queries.rs
+++ b/crates/test-harness/tests/queries.rs
@@ -1,6 +1,6 @@
 //! The auditor of queries sees what is wrong.
 
-use dahliaspoke_test_harness::queries::{Audit, Engines, Manner, Repeats};
+use dahliaspoke_test_harness::queries::{EngineBehaviour, QueryAudit, Repeats, StubEngines};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -31,24 +31,24 @@
 const TWICE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"page\":[[]]}HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"page\":[[]]}";
 const REFUSED: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-fn verdict(says: &'static str, repeats: Repeats, manner: Manner, sends: usize) -> Vec<String> {
-    let engines = Engines::start(1);
-    engines.manner(0, manner);
-    let audit = Audit::default();
-    audit.ask(door(says, vec![engines.list[0].1; sends]), "lookup", repeats, 7);
-    audit.verdict(&engines).0
+fn verdict(says: &'static str, repeats: Repeats, behaviour: EngineBehaviour, sends: usize) -> Vec<String> {
+    let engines = StubEngines::start(1);
+    engines.set_behaviour(0, behaviour);
+    let audit = QueryAudit::default();
+    audit.send(door(says, vec![engines.list[0].1; sends]), "lookup", repeats, 7);
+    audit.verdict(&engines).violations
 }
 
 #[test]
 fn a_second_answer_a_repeat_and_a_refusal_of_what_may_have_run_are_seen() {
-    assert!(verdict(SERVED, Repeats::Never, Manner::Serve, 1).is_empty());
-    assert!(verdict(SERVED, Repeats::Freely, Manner::Fail, 2).is_empty());
-    assert!(verdict(SERVED, Repeats::Never, Manner::Full, 2).is_empty());
-    assert!(verdict(REFUSED, Repeats::Never, Manner::Full, 1).is_empty());
+    assert!(verdict(SERVED, Repeats::Never, EngineBehaviour::Serve, 1).is_empty());
+    assert!(verdict(SERVED, Repeats::Any, EngineBehaviour::Fail, 2).is_empty());
+    assert!(verdict(SERVED, Repeats::Never, EngineBehaviour::Full, 2).is_empty());
+    assert!(verdict(REFUSED, Repeats::Never, EngineBehaviour::Full, 1).is_empty());
     let seen =
         |wrong: Vec<String>, what: &str| assert!(wrong.iter().any(|w| w.contains(what)), "{what}: {wrong:?}");
-    seen(verdict(TWICE, Repeats::Freely, Manner::Serve, 1), "2 answers");
-    seen(verdict(SERVED, Repeats::Never, Manner::Reset, 2), "may have run 2 times");
-    seen(verdict(REFUSED, Repeats::Never, Manner::Fail, 1), "was refused");
-    seen(verdict("", Repeats::Freely, Manner::Serve, 1), "0 answers");
+    seen(verdict(TWICE, Repeats::Any, EngineBehaviour::Serve, 1), "2 answers");
+    seen(verdict(SERVED, Repeats::Never, EngineBehaviour::Reset, 2), "may have run 2 times");
+    seen(verdict(REFUSED, Repeats::Never, EngineBehaviour::Fail, 1), "was refused");
+    seen(verdict("", Repeats::Any, EngineBehaviour::Serve, 1), "0 answers");
 }
--- a/crates/test-harness/tests/relay.rs
+++ b/crates/test-harness/tests/relay.rs
@@ -1,6 +1,6 @@
 //! Each fault of a link does what it says.
 
-use dahliaspoke_test_harness::relay::{Datagrams, Pace, Relay, Way, Weather};
+use dahliaspoke_test_harness::relay::{DatagramFaults, DatagramRelay, Direction, Pace, Relay};
 use dahliaspoke_test_harness::script::Script;
 use dahliaspoke_test_harness::until;
 use std::io::{ErrorKind, Read, Write};
@@ -11,7 +11,7 @@
 fn link() -> (Relay, TcpListener, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let relay = Relay::start().expect("a port");
-    relay.lead(listener.local_addr().expect("bound"));
+    relay.set_target(listener.local_addr().expect("bound"));
     let near = TcpStream::connect(relay.address).expect("it listens");
     let far = listener.accept().expect("it comes").0;
     for end in [&near, &far] {
@@ -29,12 +29,12 @@
 #[test]
 fn what_is_held_one_way_comes_late_and_the_other_way_goes_on() {
     let (relay, _listener, mut near, mut far) = link();
-    relay.pace(Way::Out, Pace::Hold);
+    relay.set_pace(Direction::Out, Pace::Hold);
     near.write_all(b"late").expect("taken");
     far.write_all(b"here").expect("taken");
     assert_eq!(word(&mut near, 4), "here");
-    assert_eq!(relay.passed(Way::Out), 0);
-    relay.mend();
+    assert_eq!(relay.forwarded(Direction::Out), 0);
+    relay.heal();
     assert_eq!(word(&mut far, 4), "late");
 }
 
@@ -46,7 +46,7 @@
     assert_eq!(far.read(&mut [0; 1]).unwrap_or(0), 0);
     let mut shut = TcpStream::connect(relay.address).expect("the port stays");
     assert_eq!(shut.read(&mut [0; 1]).unwrap_or(0), 0);
-    relay.mend();
+    relay.heal();
     let mut again = TcpStream::connect(relay.address).expect("it listens");
     again.write_all(b"on").expect("taken");
     assert_eq!(word(&mut listener.accept().expect("it comes").0, 2), "on");
@@ -58,19 +58,19 @@
     // The link is already waiting for bytes when it is told: what it is told counts for the next of them.
     near.write_all(b"on").expect("taken");
     assert_eq!(word(&mut far, 2), "on");
-    relay.reset_after(Way::Out, 3);
+    relay.reset_after(Direction::Out, 3);
     near.write_all(b"message").expect("taken");
     let mut come = Vec::new();
     let end = far.read_to_end(&mut come);
     // A reset may overtake what came before it, as on any wire.
-    assert!(b"mes".starts_with(&come) && relay.passed(Way::Out) == 5, "{come:?}");
+    assert!(b"mes".starts_with(&come) && relay.forwarded(Direction::Out) == 5, "{come:?}");
     assert_eq!(end.expect_err("a reset").kind(), ErrorKind::ConnectionReset);
 }
 
 #[test]
 fn half_of_a_connection_may_end() {
     let (relay, _listener, mut near, mut far) = link();
-    relay.half_close(Way::Out);
+    relay.half_close(Direction::Out);
     assert_eq!(far.read(&mut [0; 1]).expect("an end"), 0);
     far.write_all(b"still").expect("taken");
     assert_eq!(word(&mut near, 5), "still");
@@ -79,7 +79,7 @@
 #[test]
 fn a_doubled_connection_says_all_twice_and_is_heard_once() {
     let (relay, listener, _near, _far) = link();
-    relay.double(true);
+    relay.set_duplicate(true);
     let mut near = TcpStream::connect(relay.address).expect("it listens");
     let (mut one, mut two) = (listener.accept().expect("one").0, listener.accept().expect("two").0);
     near.write_all(b"word").expect("taken");
@@ -89,10 +89,10 @@
 #[test]
 fn a_trickle_passes_everything_in_the_end() {
     let (relay, _listener, mut near, mut far) = link();
-    relay.pace(Way::Out, Pace::Trickle(16));
+    relay.set_pace(Direction::Out, Pace::Trickle(16));
     near.write_all(&[7; 1000]).expect("taken");
     assert_eq!(word(&mut far, 1000).len(), 1000);
-    relay.pace(Way::Out, Pace::Delay(3));
+    relay.set_pace(Direction::Out, Pace::Delay(3));
     near.write_all(&[7; 1000]).expect("taken");
     assert_eq!(word(&mut far, 1000).len(), 1000);
 }
@@ -101,11 +101,11 @@
 fn datagrams_are_lost_doubled_and_reordered_by_the_seed() {
     let far = UdpSocket::bind("127.0.0.1:0").expect("a port");
     far.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
-    let link = Datagrams::start(far.local_addr().expect("bound"), 5).expect("a port");
+    let link = DatagramRelay::start(far.local_addr().expect("bound"), 5).expect("a port");
     let near = UdpSocket::bind("127.0.0.1:0").expect("a port");
     near.connect(link.address).expect("set");
-    let come = |weather: Weather, last: u8| {
-        link.weather(Way::Out, weather);
+    let come = |faults: DatagramFaults, last: u8| {
+        link.set_faults(Direction::Out, faults);
         for number in 0..=last {
             near.send(&[number]).expect("sent");
             std::thread::sleep(Duration::from_micros(200));
@@ -117,13 +117,13 @@
         }
         heard
     };
-    let lost = come(Weather { lost: 0.5, ..Weather::default() }, 99).len();
+    let lost = come(DatagramFaults { lost: 0.5, ..DatagramFaults::default() }, 99).len();
     assert!((20..80).contains(&lost), "{lost}");
-    let doubled = come(Weather { doubled: 0.5, ..Weather::default() }, 99).len();
+    let doubled = come(DatagramFaults { duplicated: 0.5, ..DatagramFaults::default() }, 99).len();
     assert!((120..180).contains(&doubled), "{doubled}");
-    let reordered = come(Weather { reordered: 0.5, ..Weather::default() }, 98);
+    let reordered = come(DatagramFaults { reordered: 0.5, ..DatagramFaults::default() }, 98);
     assert!(reordered.windows(2).any(|pair| pair[0] > pair[1]));
-    assert_eq!(come(Weather { lost: 1.0, ..Weather::default() }, 9).len(), 0);
+    assert_eq!(come(DatagramFaults { lost: 1.0, ..DatagramFaults::default() }, 9).len(), 0);
 }
 
 #[test]
@@ -133,6 +133,6 @@
     assert_ne!(script, Script::rotation(12, 5, 30, "leader"));
     assert_eq!(script.to_string().parse(), Ok(script));
     let wrong = "cut 1".parse::<Script>().expect_err("too short");
-    assert!(wrong.contains("cut 1"), "{wrong}");
+    assert!(wrong.to_string().contains("cut 1"), "{wrong}");
     assert!(until("nothing", || Some(true)));
 }
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -5,7 +5,7 @@
 
 use dahliaspoke_ctl::{Client, Connection, Reply};
 use dahliaspoke_test_harness::fleet::Fleet;
-use dahliaspoke_test_harness::history::{self, is_linearizable, Call, Op, Watch};
+use dahliaspoke_test_harness::history::{self, is_linearizable, Call, Clock, Operation};
 use dahliaspoke_test_harness::relay::Pace;
 use dahliaspoke_test_harness::script::{Script, Step};
 use dahliaspoke_test_harness::until;
@@ -25,11 +25,11 @@
         let (key, value) = (format!("k{turn}"), format!("v{turn}"));
         let others: Vec<usize> = (0..3).filter(|at| *at != took).collect();
         // One link stalls: a majority is left.
-        fleet.pace(took, others[0], Pace::Hold);
-        let done = request(fleet.doors[took]["store"], &["SET", &key, &value]);
+        fleet.set_pace(took, others[0], Pace::Hold);
+        let done = request(fleet.addresses[took]["store"], &["SET", &key, &value]);
         assert!(done.is_some_and(|done| done.starts_with("+OK")));
-        fleet.act(&Step::StartEmpty(took), |_, _| true);
-        fleet.mend();
+        fleet.apply(&Step::StartEmpty(took), |_, _| true);
+        fleet.heal();
         assert_eq!(get(&mut fleet, &key), value);
         // It lost its disk: it is another member of the same name, and comes in anew.
         replace_member(&mut fleet, &format!("c{took}"));
@@ -42,7 +42,7 @@
     doors: Mutex<Vec<Option<SocketAddr>>>,
     over: AtomicBool,
     calls: AtomicU64,
-    ops: Mutex<BTreeMap<usize, Vec<Op>>>,
+    ops: Mutex<BTreeMap<usize, Vec<Operation>>>,
     micros: Mutex<Vec<u64>>,
 }
 
@@ -50,7 +50,7 @@
 const CALLS_A_KEY: u64 = 150;
 
 /// A client: reads, writes and swaps, said again in its session until it is told.
-fn client(board: &Board, watch: Watch, number: u64) {
+fn client(board: &Board, clock: Clock, number: u64) {
     let (mut session, mut serial, mut guess, mut told) = (number, 0, number as usize, 0);
     let mut lines: BTreeMap<SocketAddr, Connection> = BTreeMap::new();
     while !board.over.load(Ordering::SeqCst) {
@@ -61,9 +61,9 @@
         let call = match (call + number) % 3 {
             0 => Call::Read,
             1 => Call::Write(value),
-            _ => Call::Swap(told, value),
+            _ => Call::CompareAndSwap(told, value),
         };
-        let called = watch.now();
+        let called = clock.now();
         let mut answered = None;
         for _ in 0..40 {
             let doors = board.doors.lock().expect("no panic").clone();
@@ -74,7 +74,7 @@
             let words = match &call {
                 Call::Read => vec!["READ".to_string(), name.clone()],
                 Call::Write(value) => vec!["SET".into(), name.clone(), value.clone()],
-                Call::Swap(version, value) => {
+                Call::CompareAndSwap(version, value) => {
                     vec!["CAS".into(), name.clone(), version.to_string(), value.clone()]
                 }
             };
@@ -93,13 +93,13 @@
             answered = match answer {
                 Some(Reply::Texts(texts)) => {
                     let version = texts[0].parse().expect("a version");
-                    Some(history::Answer::Held(Some((version, texts[1].clone()))))
+                    Some(history::Answer::Value(Some((version, texts[1].clone()))))
                 }
-                Some(Reply::Text(None)) => Some(history::Answer::Held(None)),
+                Some(Reply::Text(None)) => Some(history::Answer::Value(None)),
                 Some(Reply::Status(word)) => {
-                    word.strip_prefix("OK ").and_then(|v| v.parse().ok()).map(history::Answer::Done)
+                    word.strip_prefix("OK ").and_then(|v| v.parse().ok()).map(history::Answer::Written)
                 }
-                Some(Reply::Error { code, .. }) if code == "OTHER" => Some(history::Answer::Other),
+                Some(Reply::Error { code, .. }) if code == "OTHER" => Some(history::Answer::VersionMismatch),
                 _ => None,
             };
             if answered.is_some() {
@@ -109,38 +109,44 @@
             guess += 1;
             std::thread::sleep(Duration::from_millis(15));
         }
-        if let Some(history::Answer::Done(version) | history::Answer::Held(Some((version, _)))) = &answered {
+        if let Some(history::Answer::Written(version) | history::Answer::Value(Some((version, _)))) =
+            &answered
+        {
             told = *version;
         }
         if answered.is_none() {
             // Nobody knows what became of it: another client goes on.
             (session, serial) = (session + 1000, 0);
         }
-        let answered = answered.map(|answer| (watch.now(), answer));
-        board.ops.lock().expect("no panic").entry(key).or_default().push(Op { called, answered, call });
+        let answered = answered.map(|answer| (clock.now(), answer));
+        board.ops.lock().expect("no panic").entry(key).or_default().push(Operation {
+            called,
+            answered,
+            call,
+        });
     }
 }
 
 /// Plays a script with four clients; all histories must be linearizable, and the last writes must be there.
 fn play(fleet: &mut Fleet, script: &Script) -> (usize, Vec<Duration>) {
     let board = Arc::new(Board::default());
-    let watch = Watch::default();
+    let clock = Clock::default();
     let post = |fleet: &mut Fleet| {
-        let doors: Vec<_> = fleet.doors.iter().map(|doors| doors.get("store").copied()).collect();
+        let doors: Vec<_> = fleet.addresses.iter().map(|doors| doors.get("store").copied()).collect();
         *board.doors.lock().expect("no panic") = doors;
     };
     post(fleet);
     let clients: Vec<_> = (1..=4)
         .map(|number| {
             let board = board.clone();
-            std::thread::spawn(move || client(&board, watch, number))
+            std::thread::spawn(move || client(&board, clock, number))
         })
         .collect();
     let mut elections = Vec::new();
     for step in &script.0 {
         let led = leader(fleet);
         let began = Instant::now();
-        fleet.act(step, |fleet, what| {
+        fleet.apply(step, |fleet, what| {
             let before = board.calls.load(Ordering::SeqCst);
             assert_eq!(what, "served");
             // Somebody leads, and calls are answered.
@@ -148,7 +154,7 @@
             until("calls are made", || (board.calls.load(Ordering::SeqCst) > before + 2).then_some(()));
             serves
         });
-        if let (Step::Kill(at) | Step::Stop(at), true) = (step, led.is_some()) {
+        if let (Step::Kill(at) | Step::Suspend(at), true) = (step, led.is_some()) {
             if led == Some(*at) {
                 until("another leads", || leader(fleet).filter(|now| now != at));
                 elections.push(began.elapsed());
@@ -205,7 +211,7 @@
         for leads in [true, false] {
             let led = until("a leader", || leader(&mut fleet));
             let victim = if leads { led } else { (led + 1) % 3 };
-            fleet.act(&Step::KillAt(victim, format!("store.{point}@{}", 2 + turn)), |_, _| true);
+            fleet.apply(&Step::KillAt(victim, format!("store.{point}@{}", 2 + turn)), |_, _| true);
             if leads {
                 // It leads again, if it lives so long.
                 let name = format!("c{victim}");
@@ -214,7 +220,7 @@
                         return Some(());
                     }
                     let now = leader(&mut fleet)?;
-                    request(fleet.doors[now]["store"], &["MEMBER", "TRANSFER", &name]);
+                    request(fleet.addresses[now]["store"], &["MEMBER", "TRANSFER", &name]);
                     (now == victim).then_some(())
                 });
             }
@@ -233,7 +239,7 @@
             }
             assert_eq!(get(&mut fleet, &key), last.to_string());
             fleet.processes[victim].kill();
-            fleet.up(victim, None);
+            fleet.start_process(victim, None);
         }
     }
 }
@@ -247,21 +253,21 @@
         let led = until("a leader", || leader(&mut fleet));
         let minor = [led, (led + 1) % 5];
         let major: Vec<usize> = (0..5).filter(|at| !minor.contains(at)).collect();
-        fleet.split(&minor, &major);
-        let said = request(fleet.doors[led]["store"], &["SET", "k", "minor"]).expect("an answer");
+        fleet.partition(&minor, &major);
+        let said = request(fleet.addresses[led]["store"], &["SET", "k", "minor"]).expect("an answer");
         assert!(said.starts_with("-UNKNOWN") || said.starts_with("-LEADER"), "{said}");
         let other = until("the major side has a leader", || {
             major.iter().copied().find(|at| status(&fleet, *at).contains("role=leader"))
         });
-        let (value, door) = (format!("major{round}"), fleet.doors[other]["store"]);
+        let (value, door) = (format!("major{round}"), fleet.addresses[other]["store"]);
         until("the major side writes", || {
             request(door, &["SET", "k", &value])?.starts_with("+OK").then_some(())
         });
         for at in minor {
-            let read = request(fleet.doors[at]["store"], &["GET", "k"]).expect("an answer");
+            let read = request(fleet.addresses[at]["store"], &["GET", "k"]).expect("an answer");
             assert!(read.starts_with("-LEADER"), "the minor side serves {read}");
         }
-        fleet.mend();
+        fleet.heal();
         assert_eq!(get(&mut fleet, "k"), value);
     }
 }
@@ -275,15 +281,17 @@
         let led = until("a leader", || leader(&mut fleet));
         // Calls that it finds when it wakes.
         let mut doors: Vec<Connection> = (0..4)
-            .map(|_| Connection::open(fleet.doors[led]["store"], Duration::from_secs(20)).expect("connected"))
+            .map(|_| {
+                Connection::open(fleet.addresses[led]["store"], Duration::from_secs(20)).expect("connected")
+            })
             .collect();
         doors.iter_mut().for_each(|door| drop(door.request(&["STATUS"]).expect("up")));
-        fleet.processes[led].stop();
+        fleet.processes[led].suspend();
         doors.iter_mut().for_each(|door| door.send(&["GET", "k"]).expect("sent"));
         until("another leads", || leader(&mut fleet));
         let value = format!("new{round}");
         set(&mut fleet, &format!("{}", 10 + round), "k", &value);
-        fleet.processes[led].go_on();
+        fleet.processes[led].resume();
         for door in &mut doors {
             let said = reply_text(door.receive().expect("an answer"));
             assert!(said.starts_with("-LEADER"), "{said}");
@@ -306,9 +314,9 @@
         let sleeper = (led + 1) % 3;
         wait_until_caught_up(&mut fleet, sleeper);
         let mut found =
-            Connection::open(fleet.doors[sleeper]["store"], Duration::from_secs(60)).expect("connected");
+            Connection::open(fleet.addresses[sleeper]["store"], Duration::from_secs(60)).expect("connected");
         found.request(&["STATUS"]).expect("up");
-        fleet.processes[sleeper].stop();
+        fleet.processes[sleeper].suspend();
         // A call that it finds when it wakes.
         found.send(&["GET", "k"]).expect("sent");
         let began = Instant::now();
@@ -318,7 +326,7 @@
         }
         let now = until("a leader", || leader(&mut fleet));
         let before = term(&fleet, now);
-        fleet.processes[sleeper].go_on();
+        fleet.processes[sleeper].resume();
         let said = reply_text(found.receive().expect("an answer"));
         assert!(said.starts_with("-LEADER"), "{said}");
         wait_until_caught_up(&mut fleet, sleeper);
@@ -329,12 +337,12 @@
     assert!(undisturbed > 0, "an election came of each wake");
 }
 
-/// Of many that watch, some read nothing: they are let go, the others have every change in order.
+/// Of many that clock, some read nothing: they are let go, the others have every change in order.
 #[test]
 fn watchers_that_read_nothing_are_disconnected_and_others_miss_no_change() {
     let mut fleet = start(3, 3);
     let led = until("a leader", || leader(&mut fleet));
-    let door = fleet.doors[led]["store"];
+    let door = fleet.addresses[led]["store"];
     let patience = Duration::from_secs(30);
     let (reads, hears_nothing) = (env_number("READING", 8), env_number("DEAF", 4));
     let mut reading: Vec<Connection> =
@@ -369,7 +377,7 @@
         assert_eq!(seen, (0..=24).map(|n| n.to_string()).collect::<Vec<_>>());
     }
     let gone = || {
-        let said = fleet.processes[led].said();
+        let said = fleet.processes[led].output();
         said.iter().filter(|line| line.contains("reads nothing")).count()
     };
     until("those that read nothing are let go", || (gone() == hears_nothing as usize).then_some(()));
@@ -379,7 +387,7 @@
 #[test]
 fn client_calls_reach_the_leader() {
     let mut fleet = start(3, 3);
-    let members: Vec<SocketAddr> = (0..3).map(|at| fleet.doors[at]["store"]).collect();
+    let members: Vec<SocketAddr> = (0..3).map(|at| fleet.addresses[at]["store"]).collect();
     let mut version = 0;
     for turn in 0..6 {
         let give_up = Instant::now() + Duration::from_secs(30);
@@ -412,14 +420,14 @@
     for round in 0..3 {
         let led = until("a leader", || leader(&mut fleet));
         for to in (0..3).filter(|to| *to != led) {
-            fleet.pace(led, to, Pace::Hold);
+            fleet.set_pace(led, to, Pace::Hold);
         }
         until("another leads", || leader(&mut fleet).filter(|now| *now != led));
         set(&mut fleet, &format!("{round}1"), "k", &format!("v{round}"));
-        let door = fleet.doors[led]["store"];
+        let door = fleet.addresses[led]["store"];
         assert!(request(door, &["GET", "k"]).is_some_and(|said| said.starts_with("-LEADER")));
         // What it said meanwhile arrives late.
-        fleet.mend();
+        fleet.heal();
         assert_eq!(get(&mut fleet, "k"), format!("v{round}"));
     }
 }
@@ -431,8 +439,8 @@
     let led = until("a leader", || leader(&mut fleet));
     let full = (led + 1) % 3;
     fleet.processes[full].kill();
-    fleet.processes[full].first = Some("trap '' XFSZ; ulimit -f 64;".into()); // blocks of 512 bytes
-    fleet.up(full, None);
+    fleet.processes[full].shell_prefix = Some("trap '' XFSZ; ulimit -f 64;".into()); // blocks of 512 bytes
+    fleet.start_process(full, None);
     let large = "x".repeat(10_000);
     let mut n = 0;
     while !status(&fleet, full).contains("role=failed") {
@@ -441,13 +449,13 @@
         set(&mut fleet, &format!("{n}"), &format!("k{}", n % 5), &large);
     }
     assert!(status(&fleet, full).contains("failed=File too large"), "{}", status(&fleet, full));
-    let said = request(fleet.doors[full]["store"], &["GET", "k1"]).expect("an answer");
+    let said = request(fleet.addresses[full]["store"], &["GET", "k1"]).expect("an answer");
     assert!(said.starts_with("-REFUSED") || said.starts_with("-LEADER"), "{said}");
     set(&mut fleet, "1000", "after", "still");
     // With room again it comes back by itself, with what it had told.
     fleet.processes[full].kill();
-    fleet.processes[full].first = None;
-    fleet.up(full, None);
+    fleet.processes[full].shell_prefix = None;
+    fleet.start_process(full, None);
     wait_until_caught_up(&mut fleet, full);
     assert_eq!(get(&mut fleet, "after"), "still");
 }
@@ -466,14 +474,14 @@
     }
     until("a key is gone", || {
         let led = leader(&mut fleet)?;
-        request(fleet.doors[led]["store"], &["DEL", "old"])?.starts_with("+OK").then_some(())
+        request(fleet.addresses[led]["store"], &["DEL", "old"])?.starts_with("+OK").then_some(())
     });
-    fleet.up(away, None);
+    fleet.start_process(away, None);
     wait_until_caught_up(&mut fleet, away);
     let name = format!("c{away}");
     until("it leads", || {
         let now = leader(&mut fleet)?;
-        request(fleet.doors[now]["store"], &["MEMBER", "TRANSFER", &name]);
+        request(fleet.addresses[now]["store"], &["MEMBER", "TRANSFER", &name]);
         (now == away).then_some(())
     });
     assert_eq!(get(&mut fleet, "old"), "");
@@ -488,9 +496,9 @@
     let mut fleet = start(5, 5);
     let led = until("a leader", || leader(&mut fleet));
     let (minor, major) = ([led, (led + 1) % 5], [(led + 2) % 5, (led + 3) % 5, (led + 4) % 5]);
-    fleet.split(&minor, &major);
+    fleet.partition(&minor, &major);
     let out = format!("c{}", minor[1]);
-    let said = request(fleet.doors[led]["store"], &["MEMBER", "REMOVE", &out]).expect("an answer");
+    let said = request(fleet.addresses[led]["store"], &["MEMBER", "REMOVE", &out]).expect("an answer");
     assert!(said.starts_with("-UNKNOWN") || said.starts_with("-LEADER"), "{said}");
     // One that took it says that it does not count yet.
     let told = until("it tells", || Some(status(&fleet, led)).filter(|told| !told.is_empty()));
@@ -500,16 +508,18 @@
     });
     let gone = format!("c{}", minor[1]);
     until("the major side takes one out", || {
-        request(fleet.doors[other]["store"], &["MEMBER", "REMOVE", &gone])?.starts_with("+OK").then_some(())
+        request(fleet.addresses[other]["store"], &["MEMBER", "REMOVE", &gone])?
+            .starts_with("+OK")
+            .then_some(())
     });
-    fleet.mend();
+    fleet.heal();
     set(&mut fleet, "1", "k", "v");
     let led = until("a leader", || leader(&mut fleet));
     assert!(!status(&fleet, led).contains(&format!("member={gone} ")));
     let own = format!("c{led}");
     until("it takes itself out", || {
         let now = leader(&mut fleet)?;
-        let said = request(fleet.doors[now]["store"], &["MEMBER", "REMOVE", &own])?;
+        let said = request(fleet.addresses[now]["store"], &["MEMBER", "REMOVE", &own])?;
         (said.starts_with("+OK") || said.contains("no member")).then_some(())
     });
     until("another leads", || leader(&mut fleet).filter(|now| *now != led));
@@ -521,19 +531,19 @@
 fn a_member_change_is_reported_as_done_only_once_it_is_committed() {
     let mut fleet = start(3, 3);
     for (a, b) in [(0, 1), (0, 2), (1, 2)] {
-        fleet.pace(a, b, Pace::Delay(50));
-        fleet.pace(b, a, Pace::Delay(50));
+        fleet.set_pace(a, b, Pace::Delay(50));
+        fleet.set_pace(b, a, Pace::Delay(50));
     }
     let led = until("a leader", || leader(&mut fleet));
     let anew = (led + 1) % 3;
-    fleet.act(&Step::StartEmpty(anew), |_, _| true);
+    fleet.apply(&Step::StartEmpty(anew), |_, _| true);
     let name = format!("c{anew}");
     replace_member(&mut fleet, &name);
     let led = until("a leader", || leader(&mut fleet));
     let others: Vec<usize> = (0..3).filter(|at| *at != led).collect();
-    fleet.split(&[led], &others);
+    fleet.partition(&[led], &others);
     // No change is under way that could be undone now.
-    let said = request(fleet.doors[led]["store"], &["MEMBER", "REMOVE", &name]).expect("an answer");
+    let said = request(fleet.addresses[led]["store"], &["MEMBER", "REMOVE", &name]).expect("an answer");
     assert!(!said.starts_with("-REFUSED"), "{said}");
 }
 
@@ -545,7 +555,7 @@
         let mut fleet = start(members, members);
         let led = until("a leader", || leader(&mut fleet));
         for clients in [1, 8] {
-            let (store, seconds) = (fleet.doors[led]["store"], env_number("SECONDS", 5));
+            let (store, seconds) = (fleet.addresses[led]["store"], env_number("SECONDS", 5));
             let write = |client: u64| {
                 let mut door = Connection::open(store, Duration::from_secs(5)).expect("connected");
                 let (mut micros, began) = (Vec::new(), Instant::now());
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -8,7 +8,7 @@
 use dahliaspoke_simulator::sockets::{self, Target, TrafficClass};
 use dahliaspoke_simulator::standin::EngineServer;
 use dahliaspoke_test_harness::fleet::Fleet;
-use dahliaspoke_test_harness::queries::{self, Audit, Engines, Repeats};
+use dahliaspoke_test_harness::queries::{QueryAudit, Repeats, StubEngines, Verdict};
 use dahliaspoke_test_harness::until;
 use members::*;
 use std::net::SocketAddr;
@@ -35,19 +35,20 @@
         let began = Instant::now();
         let counts = format!("settings of version {version} count");
         for at in (0..6).filter(|at| n % 4 != 0 || *at != away) {
-            let said = || fleet.processes[at].said().iter().any(|line| line.contains(&counts)).then_some(());
+            let said =
+                || fleet.processes[at].output().iter().any(|line| line.contains(&counts)).then_some(());
             until(&format!("c{at} has the settings {n}"), said);
         }
         longest = longest.max(began.elapsed());
         if n % 4 == 0 {
-            fleet.up(away, None);
+            fleet.start_process(away, None);
         }
     }
     println!("{count} changes of settings; the longest until all that were up had one: {longest:?}");
     // All are at the same version in the end, and each has taken the last settings.
     let versions = |fleet: &Fleet| -> Vec<String> {
         let version = |at: usize| {
-            let stats = statistics(fleet.doors[at]["console"]);
+            let stats = statistics(fleet.addresses[at]["console"]);
             stats.lines().find_map(|l| l.strip_prefix("app.store.version=")).unwrap_or_default().to_string()
         };
         (0..6).map(version).collect()
@@ -56,8 +57,8 @@
         let versions = versions(&fleet);
         versions.iter().all(|v| *v == versions[0]).then_some(())
     });
-    let wrong =
-        request(fleet.doors[0]["store"], &["SET", "settings", r#"{"classes":"none"}"#]).expect("an answer");
+    let wrong = request(fleet.addresses[0]["store"], &["SET", "settings", r#"{"classes":"none"}"#])
+        .expect("an answer");
     assert!(wrong.starts_with("-ERR settings: "), "{wrong}");
 }
 
@@ -89,8 +90,9 @@
     let seconds = env_number("SECONDS", 4) as f64;
     let engines = engines(4);
     let known: Vec<(&str, SocketAddr)> = engines.iter().map(|e| (e.id.as_str(), e.address)).collect();
-    let doors =
-        |fleet: &Fleet| -> Vec<SocketAddr> { fleet.doors[3..].iter().map(|doors| doors["http"]).collect() };
+    let doors = |fleet: &Fleet| -> Vec<SocketAddr> {
+        fleet.addresses[3..].iter().map(|doors| doors["http"]).collect()
+    };
     let config = |at: usize| daemon::config_told(&known).replace("\"n1\"", &format!("\"c{at}\""));
     let plain = Fleet::start(program(), 9, "http", "store", |at, _| vec![("config.json".into(), config(at))]);
     let without = load(doors(&plain), seconds, 200.0);
@@ -107,9 +109,9 @@
             set(&mut fleet, &changes.to_string(), "settings", &settings);
             match changes % 6 {
                 1 => fleet.processes[changes / 6 % 3].kill(),
-                3 => fleet.up(changes / 6 % 3, None),
-                4 => fleet.processes[(changes / 6 + 1) % 3].stop(),
-                5 => fleet.processes[(changes / 6 + 1) % 3].go_on(),
+                3 => fleet.start_process(changes / 6 % 3, None),
+                4 => fleet.processes[(changes / 6 + 1) % 3].suspend(),
+                5 => fleet.processes[(changes / 6 + 1) % 3].resume(),
                 _ => {}
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -132,13 +134,13 @@
 /// that may have run is sent again but as its class allows. A load without its key is never repeated.
 #[test]
 fn each_query_has_one_answer_and_repeats_keep_within_its_class() {
-    use queries::Manner::{Fail, Full, Reset, Serve};
-    let engines = Engines::start(4);
+    use dahliaspoke_test_harness::queries::EngineBehaviour::{Fail, Full, Reset, Serve};
+    let engines = StubEngines::start(4);
     let known: Vec<(&str, SocketAddr)> = engines.list.iter().map(|(id, at)| (id.as_str(), *at)).collect();
     let config = |at: usize| daemon::config_told(&known).replace("\"n1\"", &format!("\"c{at}\""));
     let mut fleet = start_with(3, 6, config);
-    let doors: Vec<SocketAddr> = fleet.doors[3..].iter().map(|doors| doors["http"]).collect();
-    let (audit, over) = (Audit::default(), AtomicBool::new(false));
+    let doors: Vec<SocketAddr> = fleet.addresses[3..].iter().map(|doors| doors["http"]).collect();
+    let (audit, over) = (QueryAudit::default(), AtomicBool::new(false));
     std::thread::scope(|scope| {
         for client in 0..6u64 {
             let (audit, over, doors) = (&audit, &over, &doors);
@@ -148,20 +150,20 @@
                         return;
                     }
                     let (class, repeats) =
-                        if n % 3 == 0 { ("load", Repeats::Never) } else { ("lookup", Repeats::Freely) };
+                        if n % 3 == 0 { ("load", Repeats::Never) } else { ("lookup", Repeats::Any) };
                     let door = doors[(client + n) as usize % doors.len()];
-                    audit.ask(door, class, repeats, client << 32 | n);
+                    audit.send(door, class, repeats, client << 32 | n);
                 }
             });
         }
         for turn in 0..16 {
             let manner = [Fail, Reset, Full, Serve][turn % 4];
-            engines.manner(turn % 3, manner);
+            engines.set_behaviour(turn % 3, manner);
             let away = turn / 2 % 3;
             if turn % 2 == 0 {
                 fleet.processes[away].kill();
             } else {
-                fleet.up(away, None);
+                fleet.start_process(away, None);
             }
             let give_up = format!("\"giveUp\":{}", 3.0 + turn as f64 / 100.0);
             let settings = daemon::SETTINGS.replace("\"giveUp\":3", &give_up);
@@ -170,7 +172,7 @@
         }
         over.store(true, Ordering::SeqCst);
     });
-    let (wrong, [served, refused, failed]) = audit.verdict(&engines);
+    let Verdict { violations: wrong, served, rejected: refused, failed } = audit.verdict(&engines);
     println!("{served} served, {refused} refused, {failed} failed");
     assert!(wrong.is_empty(), "{wrong:#?}");
     assert!(served > 100 && failed > 0);
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -6,7 +6,7 @@
 
 use daemon::{config, Daemon};
 use dahliaspoke_simulator::standin::DirectoryEntry;
-use dahliaspoke_test_harness::queries::Engines;
+use dahliaspoke_test_harness::queries::StubEngines;
 use dahliaspoke_test_harness::until;
 use faulty_directory::{Behaviour, FaultyDirectory};
 use rustix::process::{getrlimit, prlimit, Pid, Resource, Rlimit};
@@ -17,8 +17,8 @@
 
 /// Two engines, the directory that tells of them, and a coordinator between them and a client.
 struct Site {
-    stays: Engines,
-    drains: Engines,
+    stays: StubEngines,
+    drains: StubEngines,
     directory: FaultyDirectory,
     daemon: Daemon,
     asked: Cell<u64>,
@@ -29,7 +29,7 @@
 
 impl Site {
     fn start() -> Self {
-        let (stays, drains) = (Engines::start(1), Engines::start(1));
+        let (stays, drains) = (StubEngines::start(1), StubEngines::start(1));
         let known = [("stays", stays.list[0].1), ("drains", drains.list[0].1)];
         let list = known.iter().map(|(id, address)| Self::told(id, *address)).collect();
         let directory = FaultyDirectory::start(Behaviour { serial: 1, list, ..Behaviour::default() });
--- a/tests/members/mod.rs
+++ b/tests/members/mod.rs
@@ -67,14 +67,14 @@
 
 /// A member's status; empty where it does not answer.
 pub fn status(fleet: &Fleet, at: usize) -> String {
-    let member = fleet.doors[at].get("store");
+    let member = fleet.addresses[at].get("store");
     member.and_then(|member| request_with_timeout(*member, &["STATUS"], STATUS_TIMEOUT)).unwrap_or_default()
 }
 
 /// The member that says that it leads: it was in touch with a quorum just now.
 pub fn leader(fleet: &mut Fleet) -> Option<usize> {
-    let awake = fleet.awake();
-    awake.into_iter().find(|at| status(fleet, *at).contains("role=leader"))
+    let running = fleet.running();
+    running.into_iter().find(|at| status(fleet, *at).contains("role=leader"))
 }
 
 /// Starts that many processes, of which the first `members` are members of one store.
@@ -89,7 +89,7 @@
     let mut fleet = Fleet::start(program(), processes, "store", "store", |at, reach| {
         daemon_files(at, reach, members, config(at))
     });
-    assert_eq!(request(fleet.doors[0]["store"], &["INIT"]).as_deref(), Some("+OK"));
+    assert_eq!(request(fleet.addresses[0]["store"], &["INIT"]).as_deref(), Some("+OK"));
     until("the first leads", || leader(&mut fleet));
     for at in 1..members {
         let name = format!("c{at}");
@@ -109,7 +109,7 @@
             return Some(());
         }
         // It may be too early for that; then it is requested again.
-        request(fleet.doors[leader]["store"], &["MEMBER", "ADD", name]);
+        request(fleet.addresses[leader]["store"], &["MEMBER", "ADD", name]);
         None
     });
 }
@@ -130,7 +130,7 @@
     until(&format!("{key} is set"), || {
         let leader = leader(fleet)?;
         let arguments = ["SET", key, value, "SESSION", session, "1"];
-        request(fleet.doors[leader]["store"], &arguments)?.strip_prefix("+OK ")?.parse().ok()
+        request(fleet.addresses[leader]["store"], &arguments)?.strip_prefix("+OK ")?.parse().ok()
     })
 }
 
@@ -138,7 +138,7 @@
 pub fn get(fleet: &mut Fleet, key: &str) -> String {
     until(&format!("{key} is read"), || {
         let leader = leader(fleet)?;
-        request(fleet.doors[leader]["store"], &["GET", key]).filter(|reply| !reply.starts_with('-'))
+        request(fleet.addresses[leader]["store"], &["GET", key]).filter(|reply| !reply.starts_with('-'))
     })
 }
 
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -5,8 +5,8 @@
 use daemon::{config, SETTINGS};
 use dahliaspoke_simulator::standin::{Directory, DirectoryEntry};
 use dahliaspoke_test_harness::fleet::Fleet;
-use dahliaspoke_test_harness::queries::{Audit, Engines, Repeats};
-use dahliaspoke_test_harness::relay::{Pace, Relay, Way};
+use dahliaspoke_test_harness::queries::{QueryAudit, Repeats, StubEngines, Verdict};
+use dahliaspoke_test_harness::relay::{Direction, Pace, Relay};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -15,17 +15,17 @@
 
 /// Engines, each behind a link of its own; every other one is in hall-b.
 struct Halls {
-    engines: Engines,
+    engines: StubEngines,
     links: Vec<Relay>,
     first: usize,
 }
 
 impl Halls {
     fn start(count: usize, first: usize) -> Self {
-        let engines = Engines::start(count);
+        let engines = StubEngines::start(count);
         let link = |(_, address): &(String, SocketAddr)| {
             let link = Relay::start().expect("a port");
-            link.lead(*address);
+            link.set_target(*address);
             link
         };
         let links = engines.list.iter().map(link).collect();
@@ -49,15 +49,15 @@
 }
 
 /// So many queries by each coordinator that is up, one at a time at each; all are answered.
-fn ask(fleet: &mut Fleet, audit: &Audit, from: u64, count: u64) {
+fn ask(fleet: &mut Fleet, audit: &QueryAudit, from: u64, count: u64) {
     let doors: Vec<(usize, SocketAddr)> =
-        fleet.awake().into_iter().map(|at| (at, fleet.doors[at]["http"])).collect();
+        fleet.running().into_iter().map(|at| (at, fleet.addresses[at]["http"])).collect();
     std::thread::scope(|scope| {
         for (at, door) in doors {
             scope.spawn(move || {
                 for n in 0..count {
                     audit
-                        .ask(door, "lookup", Repeats::Freely, ((at as u64 + 1) << 40) + from + n)
+                        .send(door, "lookup", Repeats::Any, ((at as u64 + 1) << 40) + from + n)
                         .expect("an answer");
                 }
             });
@@ -92,14 +92,14 @@
         }
         vec![("config.json".into(), config)]
     });
-    let audit = Audit::default();
+    let audit = QueryAudit::default();
     ask(&mut fleet, &audit, 0, 40);
     let first = old.connections();
     println!("connections by engine, all twelve up: {first:?}");
     // So few coordinators keep to all engines (`KNOWN_BY`): a connection each at the most, for one query at a time.
     let (least, most) = (first.iter().min().expect("some"), first.iter().max().expect("some"));
     assert!(*least >= 3 && *most <= COORDINATORS, "{first:?}");
-    let work: Vec<u64> = old.links.iter().map(|link| link.passed(Way::Out)).collect();
+    let work: Vec<u64> = old.links.iter().map(|link| link.forwarded(Direction::Out)).collect();
     let mean = work.iter().sum::<u64>() / ENGINES as u64;
     println!("bytes sent by engine: {work:?}");
     assert!(
@@ -110,8 +110,8 @@
     // Half of the engines are replaced; three coordinators die; the links to one hall's old engines hold.
     let new = Halls::start(ENGINES / 2, ENGINES);
     for link in old.links.iter().skip(ENGINES / 2 + 1).step_by(2) {
-        link.pace(Way::Out, Pace::Hold);
-        link.pace(Way::Back, Pace::Hold);
+        link.set_pace(Direction::Out, Pace::Hold);
+        link.set_pace(Direction::Back, Pace::Hold);
     }
     directory.change(|list| {
         list.drain(..ENGINES / 2);
@@ -119,9 +119,9 @@
     });
     (0..3).for_each(|at| fleet.processes[at].kill());
     ask(&mut fleet, &audit, 1000, 40);
-    (0..3).for_each(|at| fleet.up(at, None));
+    (0..3).for_each(|at| fleet.start_process(at, None));
     ask(&mut fleet, &audit, 2000, 20);
-    old.links.iter().for_each(Relay::mend);
+    old.links.iter().for_each(Relay::heal);
     let before = old.connections();
     ask(&mut fleet, &audit, 3000, 60);
     println!("connections by new engine: {:?}", new.connections());
@@ -132,7 +132,7 @@
         old.connections()[..ENGINES / 2],
         "engines that are gone are left alone"
     );
-    let (wrong, [served, refused, failed]) = audit.verdict(&old.engines);
+    let Verdict { violations: wrong, served, rejected: refused, failed } = audit.verdict(&old.engines);
     println!("{served} served, {refused} refused, {failed} failed");
     assert!(wrong.is_empty(), "{wrong:#?}");
     assert!(served >= 12 * 40, "{served}");
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -4,7 +4,7 @@
 
 use daemon::{config, Daemon};
 use dahliaspoke_simulator::standin::{Directory, DirectoryEntry};
-use dahliaspoke_test_harness::queries::Engines;
+use dahliaspoke_test_harness::queries::StubEngines;
 use dahliaspoke_test_harness::until;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -44,7 +44,7 @@
 /// hears of the drain before it admits: nothing goes to that engine, and nothing goes out whose client has stopped waiting.
 #[test]
 fn one_that_slept_hears_what_it_missed_before_it_admits() {
-    let (stays, drains) = (Engines::start(1), Engines::start(1));
+    let (stays, drains) = (StubEngines::start(1), StubEngines::start(1));
     let list = [("stays", stays.list[0].1), ("drains", drains.list[0].1)];
     let directory = Directory::start(list.iter().map(|(id, at)| told(id, *at)).collect()).expect("a port");
     let daemon = Daemon::start(&config(&list, directory.address), &[], None);
@@ -97,7 +97,7 @@
 /// The directory is away as well: a moment later it goes on with what it knew.
 #[test]
 fn one_that_slept_and_hears_nothing_goes_on_with_what_it_knew() {
-    let engines = Engines::start(2);
+    let engines = StubEngines::start(2);
     let list: Vec<(&str, SocketAddr)> = engines.list.iter().map(|(id, at)| (id.as_str(), *at)).collect();
     let daemon = Daemon::start(&config(&list, daemon::names().local_addr().expect("bound")), &[], None);
     let door = daemon.http.expect("a door");
