--- a/crates/simulator/tests/account.rs
+++ b/crates/simulator/tests/account.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn logs_of_nothing_make_an_empty_account() {
+fn logs_without_steps_make_an_empty_account() {
     let mut account = Account::default();
     account.read("");
     account.read("no line of ours\n5.0\n6.0 taken\n");
--- a/crates/simulator/tests/arrivals.rs
+++ b/crates/simulator/tests/arrivals.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_spike_is_where_it_is_said() {
+fn a_spike_is_in_the_middle_of_the_run() {
     let points = schedule(1000.0, 10.0, Shape::Spike, Intervals::Even, 1);
     let within = points.iter().filter(|at| (5_000_000..6_000_000).contains(*at)).count();
     assert!((2990..=3010).contains(&within), "{within}");
--- a/crates/simulator/tests/engine.rs
+++ b/crates/simulator/tests/engine.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn readers_stand_still_under_a_load_of_their_group() {
+fn readers_wait_for_a_load_of_their_table_group() {
     let mut engine = Engine::new(EngineSpec::default());
     engine.admit(0, Job { is_load: true, table_group: 7, ..job(1, 1000.0) });
     engine.admit(0, Job { yields_to_loads: true, table_group: 7, ..job(2, 100.0) });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_cold_engine_falls_over_under_too_much_and_not_under_less() {
+fn a_warming_engine_stops_under_too_much_load_and_not_under_less() {
     for (each, falls) in [(100.0, false), (900.0, true)] {
         let mut engine = Engine::new(EngineSpec { queue_per_core: 1e6, ..EngineSpec::default() });
         engine.restart(0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn sessions_then_the_line_then_full() {
+fn sessions_then_the_queue_then_full() {
     let mut engine = Engine::new(EngineSpec { queue_per_core: 1.0, ..EngineSpec::default() });
     let taken: Vec<Admission> = (0..41).map(|tag| engine.admit(0, job(tag, 100.0))).collect();
     assert!(taken[..40].iter().all(|t| *t == Admission::Accepted));
--- a/crates/simulator/tests/experiment.rs
+++ b/crates/simulator/tests/experiment.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_verdict_needs_an_interval_that_leaves_0_out() {
+fn a_verdict_needs_an_interval_without_0() {
     let verdict = |pairs: &[(f64, f64)]| Difference::of(pairs).verdict();
     assert_eq!(verdict(&[(0.5, 0.6), (0.4, 0.5), (0.6, 0.71)]), "better");
     assert_eq!(verdict(&[(0.6, 0.5), (0.5, 0.4), (0.71, 0.6)]), "worse");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_was_played_is_not_played_again_and_a_line_that_was_cut_is() {
+fn finished_runs_are_not_played_again_and_an_incomplete_row_is() {
     let folder = tempfile::tempdir().expect("a folder");
     let experiment = Experiment::read(FILE).expect("an experiment");
     let played = AtomicUsize::new(0);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_bad_file_is_told() {
+fn an_invalid_file_is_reported() {
     let bad = |from: &str, to: &str| Experiment::read(&FILE.replace(from, to)).expect_err("bad").to_string();
     assert_eq!(bad("seeds = 3", "seeds = \"x\""), "line 3: invalid type: string \"x\", expected u64");
     assert!(bad("engines = 3", "egines = 3").contains("unknown field `egines`"));
--- a/crates/simulator/tests/load.rs
+++ b/crates/simulator/tests/load.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn one_that_is_tried_again_counts_once_and_from_its_first_time() {
+fn a_retried_request_counts_once_and_from_its_first_due_time() {
     let points = schedule(100.0, 2.0, Shape::Steady, Intervals::Even, 1);
     for (behaviour, wait) in [(RetryBehaviour::Immediately, 20.0), (RetryBehaviour::HonourRetryAfter, 320.0)]
     {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_tool_that_falls_behind_says_by_how_much_and_voids_its_figures() {
+fn a_late_generator_reports_its_lateness_and_voids_its_figures() {
     let points = schedule(1000.0, 2.0, Shape::Steady, Intervals::Poisson, 1);
     let quick = |sent, _| (sent + 1000, Response::Served);
     let sound = play(Driver::new(&points, Mode::Open, RetryBehaviour::GiveUp, 200), quick);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_has_no_answer_at_the_end_has_failed() {
+fn requests_without_an_answer_at_the_end_have_failed() {
     let mut driver = Driver::new(&[0, 10], Mode::Open, RetryBehaviour::GiveUp, 4);
     let outgoing = driver.poll(20);
     assert_eq!(outgoing.len(), 2);
--- a/crates/simulator/tests/model.rs
+++ b/crates/simulator/tests/model.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_module_keeps_the_rules_through_every_trouble() {
+fn the_module_keeps_the_rules_through_every_fault() {
     for text in [RELEASE, ROUGH, "load = 1.4", "[[trouble]]\nkind = \"lost-hall\"\nat_s = 10.0\nfor_s = 5.0"]
     {
         for seed in 1..4 {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn cold_engines_bear_the_sum_of_the_fleet_at_any_size() {
+fn warming_engines_bear_the_load_of_a_fleet_of_any_size() {
     for coordinators in [3, 20, 30, 300] {
         let ramp = widest(coordinators, PolicyKind::Module);
         println!("{coordinators} coordinators: {ramp:?}");
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn coordinators_that_all_pour_onto_a_cold_engine_are_caught() {
+fn coordinators_that_all_overload_a_warming_engine_are_caught() {
     // The one engine that is left is new: who sends it all that comes, knowingly, breaks the rule.
     let world = scenario(
         "seconds = 20.0\nengines = 2\nload = 1.6\nlist_ms = 50.0\n\
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_bad_file_is_told_with_its_line() {
+fn an_invalid_file_is_reported_with_its_line() {
     let bad = |text| Scenario::read(text).expect_err("bad").to_string();
     assert!(
         bad("load = 1.0\nlaod = 2.0").starts_with("line 2: unknown field `laod`"),
--- a/crates/simulator/tests/sockets.rs
+++ b/crates/simulator/tests/sockets.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_address_that_is_not_on_loopback_is_refused() {
+fn an_address_that_is_not_on_loopback_is_rejected() {
     let classes = || vec![class("lookup", 1.0, false)];
     let other = "192.0.2.1:80".parse().expect("an address");
     let error = Target::new(vec!["127.0.0.1:1".parse().expect("an address"), other], classes(), 1)
--- a/crates/simulator/tests/trial.rs
+++ b/crates/simulator/tests/trial.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn words_that_are_none_are_told() {
+fn invalid_arguments_are_reported() {
     let run = |words: &[&str]| {
         let lab =
             Command::new(env!("CARGO_BIN_EXE_dahliaspoke-simulator")).args(words).output().expect("it runs");
--- a/crates/test-harness/tests/history.rs
+++ b/crates/test-harness/tests/history.rs
@@ -93,7 +93,7 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_a_register_did_is_linearizable(steps in draw()) {
+    fn the_history_of_a_register_is_linearizable(steps in draw()) {
         let ops = play(&steps);
         prop_assert!(is_linearizable(&alone(&ops)));
         prop_assert!(told(&ops));
@@ -102,7 +102,7 @@
     /// The answers of two reads change places: both checkers say the same, where every call was answered. (Of writes,
     /// stateright's register wants versions without gaps, and ours does not.)
     #[test]
-    fn both_checkers_agree_on_spoilt_histories(steps in draw(), one in 0usize..40, other in 0usize..40) {
+    fn both_checkers_agree_on_corrupt_histories(steps in draw(), one in 0usize..40, other in 0usize..40) {
         // Enough steps of everyone to end with no call open.
         let rest = (0..9).map(|n| (n % 3, 0, 0));
         let mut ops = play(&steps.into_iter().chain(rest).collect::<Vec<_>>());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_read_older_than_an_acknowledged_write_is_refused() {
+fn a_read_older_than_an_acknowledged_write_is_rejected() {
     let op = |called, at, answer, call| Operation { called, answered: Some((at, answer)), call };
     let write = op(1, 2, Answer::Written(1), Call::Write("a".into()));
     let stale = op(3, 4, Answer::Value(None), Call::Read);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_write_that_nobody_was_told_of_counts_once_or_never() {
+fn an_unacknowledged_write_counts_once_or_never() {
     let op = |called, at, answer, call| Operation { called, answered: Some((at, answer)), call };
     let lost = Operation { called: 1, answered: None, call: Call::Write("x".into()) };
     let seen = |at, version| op(at, at + 1, Answer::Value(Some((version, "x".to_string()))), Call::Read);
--- a/crates/test-harness/tests/relay.rs
+++ b/crates/test-harness/tests/relay.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_is_held_one_way_comes_late_and_the_other_way_goes_on() {
+fn bytes_held_in_one_direction_arrive_late_and_the_other_goes_on() {
     let (relay, _listener, mut near, mut far) = link();
     relay.set_pace(Direction::Out, Pace::Hold);
     near.write_all(b"late").expect("taken");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_cut_ends_connections_and_lets_none_up_until_it_is_mended() {
+fn a_cut_ends_connections_and_accepts_none_until_it_is_healed() {
     let (relay, listener, mut near, mut far) = link();
     relay.cut();
     assert_eq!(near.read(&mut [0; 1]).unwrap_or(0), 0);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_reset_comes_in_the_middle_of_a_message() {
+fn a_reset_happens_in_the_middle_of_a_message() {
     let (relay, _listener, mut near, mut far) = link();
     // The link is already waiting for bytes when it is told: what it is told counts for the next of them.
     near.write_all(b"on").expect("taken");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn half_of_a_connection_may_end() {
+fn one_direction_of_a_connection_may_end() {
     let (relay, _listener, mut near, mut far) = link();
     relay.half_close(Direction::Out);
     assert_eq!(far.read(&mut [0; 1]).expect("an end"), 0);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_doubled_connection_says_all_twice_and_is_heard_once() {
+fn a_duplicated_connection_sends_everything_twice_and_receives_once() {
     let (relay, listener, _near, _far) = link();
     relay.set_duplicate(true);
     let mut near = TcpStream::connect(relay.address).expect("it listens");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_reordered_by_the_seed() {
+fn datagrams_are_lost_duplicated_and_reordered_by_the_seed() {
     let far = UdpSocket::bind("127.0.0.1:0").expect("a port");
     far.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
     let link = DatagramRelay::start(far.local_addr().expect("bound"), 5).expect("a port");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_script_is_drawn_alike_and_plays_again_from_its_print() {
+fn a_fault_schedule_is_drawn_from_its_seed_and_parsed_from_its_text() {
     let script = Script::rotation(11, 5, 30, "leader");
     assert_eq!(script, Script::rotation(11, 5, 30, "leader"));
     assert_ne!(script, Script::rotation(12, 5, 30, "leader"));
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -62,7 +62,7 @@
     assert!(wrong.starts_with("-ERR settings: "), "{wrong}");
 }
 
-/// Engines of the lab, as the daemon's settings know their classes.
+/// Engines of the simulator, as the daemon's settings know their classes.
 fn engines(count: usize) -> Vec<EngineServer> {
     let scenario = Scenario::default();
     let mut class = scenario.classes[0].clone();
