--- a/crates/body-store/src/store/arrival.rs
+++ b/crates/body-store/src/store/arrival.rs
@@ -27,7 +27,7 @@
         Ok((self.insert(admission.id, content), admission.tier))
     }
 
-    /// Admits a body of unknown length, which [`BodyStore::end`] tells. It is kept, or not taken.
+    /// Admits a body of unknown length, which [`BodyStore::finish`] tells. It is kept, or not taken.
     ///
     /// # Errors
     /// [`Rejection::NoCapacity`] where neither memory nor files can take it.
@@ -100,7 +100,7 @@
         taken
     }
 
-    /// Takes the next bytes of a body, which must be no more than [`BodyStore::room`] returned.
+    /// Takes the next bytes of a body, which must be no more than [`BodyStore::capacity`] returned.
     pub fn append(&mut self, now: f64, id: BodyId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let Some(content) = self.contents.get_mut(&id) else { return };
