--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter, fed by hand.
+//! The simulator adapter as a child process, with hand-written input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -11,17 +11,17 @@
         .spawn()
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
-    // The adapter may end before it has read all: that is not this side's failure.
+    // The adapter may exit before it has read all input; a failed write is no test failure.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 const CREATE: &str = r#"["create",0,11,{"classes":[{"name":"q","effect":"repeatable","objective":0.5,"giveUp":2.0,"importance":1,"novelty":[1]}],"flavors":["std"],"familyInfo":{"classThreads":[1],"sizeCores":[8]},"fleetSize":1,"limits":{"tryLimit":3,"retryAfter":true,"maxRetryAfter":0.5},"report":{"columns":["q","brand_new","x0"]},"rules":{"coldShare":0.3,"cold":14,"fallMultiple":2,"overloadFor":1},"granularity":0.005,"unheard":7}]"#;
 const LIST: &str =
     r#"["catalog",0,[["node-a","room","std",0,"ready",1,null]]],["membership",0,0,1,"restored"]"#;
 
-fn opening() -> String {
+fn setup_batch() -> String {
     format!(r#"{{"moment":1.0,"input":[{CREATE},{LIST}]}}"#)
 }
 
@@ -30,11 +30,11 @@
 }
 
 #[test]
-fn a_query_goes_out_and_its_outcome_comes_back() {
+fn query_is_placed_and_its_outcome_accepted() {
     let knock = r#"{"moment":1.1,"input":[["knock",0,"rq_1","q",null,null,1.9,0.1,0,1,1]]}"#;
     let ended = r#"{"moment":1.2,"input":[["ended",0,"rq_1",0.1,"node-a",0,"success",true,0,[3,5,0.4]]]}"#;
     let late = r#"{"moment":1.3,"input":[["withdrawn",0,"rq_1"],["due",0,1]]}"#;
-    let out = feed(&[&opening(), knock, ended, late]);
+    let out = feed(&[&setup_batch(), knock, ended, late]);
     assert!(out.status.success(), "{}", text(&out.stderr));
     let stdout = text(&out.stdout);
     let replies: Vec<&str> = stdout.lines().collect();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn list_slots_are_resolved_in_event_order_and_instances_are_apart() {
+fn catalog_slots_are_resolved_in_event_order_and_instances_are_separate() {
     let create1 = CREATE.replacen("\"create\",0", "\"create\",1", 1);
     let lists = r#"["catalog",0,[["node-a","z","std",0,"ready",1,null]]],["membership",0,0,1,"restored"],["catalog",0,[["node-b","z","std",0,"ready",1,null]]],["membership",1,0,1,"restored"]"#;
     let first = format!(r#"{{"moment":1.0,"input":[{CREATE},{create1},{lists}]}}"#);
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn grants_go_out_and_notes_of_spills_come_in() {
-    let granting = CREATE.replacen("\"sizeCores\"", "\"grantsCount\":true,\"notePeriod\":2,\"sizeCores\"", 1);
-    // There is one engine: it may get it again where second copies are allowed.
+fn spill_report_leads_to_a_retry_with_a_larger_grant() {
+    let create = CREATE.replacen("\"sizeCores\"", "\"grantsCount\":true,\"notePeriod\":2,\"sizeCores\"", 1);
+    // With a single engine, a retry there is allowed only with hedging (`parallelTries`).
     let limits = "\"cancel\":true,\"parallelTries\":true,\"tryLimit\":3";
-    let granting = granting.replacen("\"tryLimit\":3", limits, 1);
-    let first = format!(r#"{{"moment":1.0,"input":[{granting},{LIST}]}}"#);
+    let create = create.replacen("\"tryLimit\":3", limits, 1);
+    let first = format!(r#"{{"moment":1.0,"input":[{create},{LIST}]}}"#);
     let knock = r#"{"moment":1.1,"input":[["knock",0,"rq_1","q",null,null,1.9,0.1,384,1,1]]}"#;
     let spills = r#"{"moment":1.105,"input":[["interim",0,"rq_1",0,"node-a",2,100],["interim",0,"rq_1",0,"node-a",9,1]]}"#;
     let ended = r#"{"moment":1.11,"input":[["ended",0,"rq_1",0.01,"node-a",0,"withdrawn",false,0,null],["probeResult",0,0.001,"node-a","success",[3]]]}"#;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn end_of_input_is_a_clean_end() {
+fn adapter_exits_cleanly_at_end_of_input() {
     let out = feed(&[r#"{"moment":0.5,"input":[]}"#]);
     assert!(out.status.success());
     assert_eq!(text(&out.stdout), "{\"outbox\":[]}\n");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn bad_input_ends_it_with_one_plain_message() {
+fn adapter_exits_with_a_one_line_message_on_bad_input() {
     let cases = [
         ("this is no JSON", "not JSON"),
         (r#"[1,2]"#, "a batch is not an object"),
@@ -100,11 +100,11 @@
         (r#"{"moment":1,"input":[[]]}"#, "an event has no name"),
     ];
     for (line, reason) in cases {
-        let out = feed(&[&opening(), line]);
+        let out = feed(&[&setup_batch(), line]);
         let stderr = text(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{line}");
         assert!(stderr.contains("line 2: ") && stderr.contains(reason), "{line}: {stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
-        assert_eq!(text(&out.stdout).lines().count(), 1, "nothing but the wire on standard output");
+        assert_eq!(text(&out.stdout).lines().count(), 1, "only replies on standard output");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small world for tests: settings, and a gateway that keeps what it asked for.
+//! Fixtures for tests of the policy: default settings, and a harness that drives one [`Policy`] and records
+//! its actions.
 #![allow(dead_code)]
 
 use dahliaspoke::policy::Policy;
@@ -65,27 +66,28 @@
     }
 }
 
-pub struct World {
-    pub gateway: Policy,
+/// Drives one [`Policy`] on a simulated clock.
+pub struct Harness {
+    pub policy: Policy,
     pub now: f64,
     pub actions: Vec<Action>,
-    ticks: f64,
+    last_tick: f64,
 }
 
-impl World {
+impl Harness {
     pub fn new(settings: Settings, engines: &[&str]) -> Self {
         Self::seeded(settings, engines, 7)
     }
     pub fn seeded(settings: Settings, engines: &[&str], seed: u64) -> Self {
-        let gateway = Policy::new(settings, seed);
-        let mut world = World { gateway, now: 100.0, actions: vec![], ticks: 100.0 };
-        world.list(ListScope::Complete, engines.iter().map(|id| engine(id)).collect());
-        world
+        let policy = Policy::new(settings, seed);
+        let mut harness = Harness { policy, now: 100.0, actions: vec![], last_tick: 100.0 };
+        harness.list(ListScope::Complete, engines.iter().map(|id| engine(id)).collect());
+        harness
     }
-    /// One event; returns what was asked for, timers aside.
+    /// Feeds one event to the policy; records and returns its actions, except for timers.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
-        self.gateway.handle(self.now, event, &mut out);
+        self.policy.handle(self.now, event, &mut out);
         out.retain(|a| !matches!(a, Action::SetTimer { .. }));
         self.actions.extend(out.iter().cloned());
         out
@@ -119,26 +121,26 @@
             report: None,
         }))
     }
-    /// Lets time pass with the housekeeping ticks that fall due.
+    /// Advances the clock and fires the housekeeping timer every 0.1 s; returns the resulting actions.
     pub fn wait(&mut self, seconds: f64) -> Vec<Action> {
         let until = self.now + seconds;
         let mut out = vec![];
-        while self.ticks + 0.1 <= until {
-            self.ticks += 0.1;
-            self.now = self.ticks;
+        while self.last_tick + 0.1 <= until {
+            self.last_tick += 0.1;
+            self.now = self.last_tick;
             out.extend(self.event(Event::Timer(0)));
         }
         self.now = until;
         out
     }
     pub fn bound(&self, engine: &str) -> f64 {
-        self.gateway.engine(engine).unwrap().bound
+        self.policy.engine(engine).unwrap().bound
     }
     pub fn is_ejected(&self, engine: &str) -> bool {
-        self.gateway.engine(engine).is_some_and(|e| e.ejected)
+        self.policy.engine(engine).is_some_and(|e| e.ejected)
     }
     pub fn backlog(&self, engine: &str) -> f64 {
-        self.gateway.engine(engine).unwrap().backlog
+        self.policy.engine(engine).unwrap().backlog
     }
 }
 
@@ -150,7 +152,7 @@
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
--- a/tests/example.rs
+++ b/tests/example.rs
@@ -1,4 +1,4 @@
-//! The example's dispatcher does what its actions ask for.
+//! The example dispatcher carries out the actions of the policy.
 
 #[path = "../examples/dispatcher.rs"]
 mod dispatcher;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_query_is_sent_with_terms_and_served() {
+fn query_is_sent_with_memory_and_rank_and_served() {
     let mut d = two_engines();
     assert!(d.subscribed);
     d.feed(query("q"));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_spill_is_cancelled_and_sent_again_with_the_memory_that_it_lacks() {
+fn spilling_attempt_is_cancelled_and_retried_with_the_missing_memory() {
     let mut d = two_engines();
     d.feed(query("q"));
     d.feed(Event::Progress { id: "q".into(), attempt: 0, progress: Progress::Spills(100.0) });
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn timers_end_a_query_that_no_engine_answers() {
+fn unanswered_query_is_rejected_by_timers() {
     let mut d = two_engines();
     d.feed(query("q"));
     d.wait(3.0);
     assert!(matches!(d.answers[&RequestId::from("q")], Answer::Rejected(Some(_))));
-    assert!(d.attempts.is_empty(), "what was out is cancelled");
-    assert!(!d.log.is_empty(), "silent engines are ejected, and the log says so");
+    assert!(d.attempts.is_empty(), "attempts in flight are cancelled");
+    assert!(!d.log.is_empty(), "silent engines are ejected, which is logged");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,150 +1,158 @@
-//! The seven rules, each with a case that breaks when its guard is gone.
+//! The seven rules that the policy must never break; each has a test that fails if its check is removed.
 
 mod common;
 use common::*;
 use dahliaspoke::policy::*;
 
 #[test]
-fn every_request_is_answered_once_before_its_time_is_up() {
-    let mut w = World::new(settings(vec![class("q", Idempotency::Always)]), &["e1"]);
-    w.query("r", 0, 50.0);
-    w.now += 9.99;
-    let end = w.event(Event::Timer(1));
-    assert!(refused(&end));
-    assert!(w.event(Event::Timer(1)).is_empty(), "no second answer");
-    assert!(w.end("r", 0, Outcome::Timeout).is_empty(), "nothing more is sent or answered");
-    assert_eq!(w.gateway.state_counts().requests, 0);
+fn every_request_is_answered_exactly_once_before_its_deadline() {
+    let mut h = Harness::new(settings(vec![class("q", Idempotency::Always)]), &["e1"]);
+    h.query("r", 0, 50.0);
+    h.now += 9.99;
+    let end = h.event(Event::Timer(1));
+    assert!(rejected(&end));
+    assert!(h.event(Event::Timer(1)).is_empty(), "no second answer");
+    assert!(h.end("r", 0, Outcome::Timeout).is_empty(), "nothing more is sent or answered");
+    assert_eq!(h.policy.state_counts().requests, 0);
 }
 
 #[test]
-fn with_no_list_a_request_is_refused_with_a_come_back_time() {
-    let mut w = World::new(settings(vec![class("q", Idempotency::Always)]), &[]);
-    let out = w.query("r", 0, 50.0);
+fn without_engines_a_request_is_rejected_with_a_retry_after() {
+    let mut h = Harness::new(settings(vec![class("q", Idempotency::Always)]), &[]);
+    let out = h.query("r", 0, 50.0);
     assert!(matches!(out[..], [Action::Reject { retry_after: Some(t), .. }] if t > 0.0 && t <= 0.5));
 }
 
 #[test]
-fn once_is_sent_again_only_when_it_never_ran() {
+fn non_idempotent_request_is_retried_only_if_it_never_ran() {
     let s = settings(vec![class("load", Idempotency::Never)]);
-    let mut w = World::new(s.clone(), &["e1", "e2"]);
-    w.query("r", 0, 50.0);
-    assert_eq!(sent_to(&w.end("r", 0, Outcome::Full)).len(), 1, "full proves that it never ran");
-    let out = w.end("r", 1, Outcome::Reset);
-    assert!(failed(&out) && !refused(&out) && sent_to(&out).is_empty());
+    let mut h = Harness::new(s.clone(), &["e1", "e2"]);
+    h.query("r", 0, 50.0);
+    assert_eq!(sent_to(&h.end("r", 0, Outcome::Full)).len(), 1, "full proves that it never ran");
+    let out = h.end("r", 1, Outcome::Reset);
+    assert!(failed(&out) && !rejected(&out) && sent_to(&out).is_empty());
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Cancelled] {
-        let mut w = World::new(s.clone(), &["e1", "e2"]);
-        w.query("r", 0, 50.0);
-        let out = w.end("r", 0, outcome);
+        let mut h = Harness::new(s.clone(), &["e1", "e2"]);
+        h.query("r", 0, 50.0);
+        let out = h.end("r", 0, outcome);
         assert!(failed(&out) && sent_to(&out).is_empty(), "{outcome:?}");
     }
 }
 
 #[test]
-fn keyed_stays_in_its_group_and_within_its_span() {
+fn retries_with_a_key_stay_in_the_dedup_scope_and_window() {
     let mut keyed = class("k", Idempotency::WithKey);
     keyed.dedup_scope = DedupScope::Zone;
-    let mut w = World::new(settings(vec![keyed]), &[]);
+    let mut h = Harness::new(settings(vec![keyed]), &[]);
     let in_zone = |id: &str, zone: &str| EngineEntry { zone: zone.into(), ..engine(id) };
-    w.list(ListScope::Complete, vec![in_zone("a1", "a"), in_zone("a2", "a"), in_zone("b1", "b")]);
+    h.list(ListScope::Complete, vec![in_zone("a1", "a"), in_zone("a2", "a"), in_zone("b1", "b")]);
     for n in 0..20 {
         let id = format!("r{n}");
-        let first = sent_to(&w.query(&id, 0, 5.0))[0].clone();
-        let second = w.end(&id, 0, Outcome::Reset);
+        let first = sent_to(&h.query(&id, 0, 5.0))[0].clone();
+        let second = h.end(&id, 0, Outcome::Reset);
         for other in sent_to(&second) {
             assert_eq!(other.as_bytes()[0], first.as_bytes()[0], "{first} then {other}");
         }
         if sent_to(&second).is_empty() {
-            assert!(failed(&second), "outside group `all` nothing may be refused once it may have run");
+            assert!(failed(&second), "only dedup scope `All` allows a rejection once it may have run");
         } else {
-            w.end(&id, 1, Outcome::Ok);
+            h.end(&id, 1, Outcome::Ok);
         }
     }
-    w.wait(5.0);
-    w.query("late", 0, 5.0);
-    w.now += 6.0;
-    assert!(failed(&w.end("late", 0, Outcome::Reset)), "its span is over");
+    h.wait(5.0);
+    h.query("late", 0, 5.0);
+    h.now += 6.0;
+    assert!(failed(&h.end("late", 0, Outcome::Reset)), "its dedup window is over");
 }
 
 #[test]
-fn never_two_attempts_out_together() {
-    let mut w = World::new(settings(vec![class("q", Idempotency::Always)]), &["e1", "e2"]);
-    w.query("r", 0, 50.0);
-    assert!(sent_to(&w.wait(9.0)).is_empty());
+fn never_two_attempts_in_flight_at_once() {
+    let mut h = Harness::new(settings(vec![class("q", Idempotency::Always)]), &["e1", "e2"]);
+    h.query("r", 0, 50.0);
+    assert!(sent_to(&h.wait(9.0)).is_empty());
 }
 
 #[test]
-fn nothing_goes_to_an_engine_told_to_drain_or_gone() {
+fn draining_or_removed_engine_gets_no_requests() {
     for state in [Lifecycle::Draining, Lifecycle::Gone] {
-        let mut w = World::new(settings(vec![class("q", Idempotency::Always)]), &["e1", "e2"]);
-        w.list(ListScope::Changes, vec![EngineEntry { lifecycle: state, ..engine("e1") }]);
+        let mut h = Harness::new(settings(vec![class("q", Idempotency::Always)]), &["e1", "e2"]);
+        h.list(ListScope::Changes, vec![EngineEntry { lifecycle: state, ..engine("e1") }]);
         for n in 0..30 {
-            assert!(!sent_to(&w.query(&format!("r{n}"), 0, 1.0)).contains(&"e1".into()));
+            assert!(!sent_to(&h.query(&format!("r{n}"), 0, 1.0)).contains(&"e1".into()));
         }
     }
-    let mut w = World::new(settings(vec![class("q", Idempotency::Always)]), &["e1", "e2"]);
-    w.list(ListScope::Complete, vec![engine("e2")]);
+    let mut h = Harness::new(settings(vec![class("q", Idempotency::Always)]), &["e1", "e2"]);
+    h.list(ListScope::Complete, vec![engine("e2")]);
     for n in 0..30 {
-        assert_eq!(sent_to(&w.query(&format!("r{n}"), 0, 1.0)), ["e2"], "absent from a complete list");
+        assert_eq!(sent_to(&h.query(&format!("r{n}"), 0, 1.0)), ["e2"], "absent from a complete list");
     }
 }
 
-/// Work sent to a cold engine in one second by one gateway of `gateways`.
-fn cold_work(gateways: f64, scope: ListScope) -> f64 {
+/// Work (ms) that one of `coordinators` coordinators sends to a warming engine in one second.
+fn work_sent_while_warming(coordinators: f64, scope: ListScope) -> f64 {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
-    s.gateways = gateways;
-    let mut w = World::new(s, &[]);
-    w.list(scope, vec![EngineEntry { started: Some(w.now - 0.1), ..engine("e1") }]);
+    s.gateways = coordinators;
+    let mut h = Harness::new(s, &[]);
+    h.list(scope, vec![EngineEntry { started: Some(h.now - 0.1), ..engine("e1") }]);
     let mut sent = 0.0;
     for n in 0..200 {
-        if !sent_to(&w.query(&format!("r{n}"), 0, 100.0)).is_empty() {
+        if !sent_to(&h.query(&format!("r{n}"), 0, 100.0)).is_empty() {
             sent += 100.0;
-            w.end(&format!("r{n}"), 0, Outcome::Ok); // all kinds of sends count, finished or not
+            h.end(&format!("r{n}"), 0, Outcome::Ok); // every attempt uses up budget, finished or not
         }
-        w.now += 0.9 / 200.0;
+        h.now += 0.9 / 200.0;
     }
     sent
 }
 
 #[test]
-fn a_cold_engine_gets_no_more_than_this_gateways_share() {
+fn warming_engine_gets_at_most_this_coordinators_share() {
     let limit = 2.0 * 0.3 * 8.0 * 1000.0;
-    let (alone, of_four) = (cold_work(1.0, ListScope::Complete), cold_work(4.0, ListScope::Complete));
+    let (alone, of_four) = (
+        work_sent_while_warming(1.0, ListScope::Complete),
+        work_sent_while_warming(4.0, ListScope::Complete),
+    );
     assert!(alone > 0.0 && alone <= limit, "{alone}");
     assert!(of_four <= limit / 4.0, "{of_four}");
     assert!(
         of_four >= 0.55 * limit / 4.0,
-        "each has its turn in every window, and knows its own sends: {of_four}"
+        "every coordinator has its share of each window and knows its own sends: {of_four}"
+    );
+    assert_eq!(
+        work_sent_while_warming(1.0, ListScope::Restored),
+        0.0,
+        "a restarted coordinator treats the budget of the window as spent"
     );
-    assert_eq!(cold_work(1.0, ListScope::Restored), 0.0, "a restarted gateway counts the window as spent");
 }
 
-/// What is given up at an engine may run on there until that engine hears of it, on another connection than the next try.
+/// An abandoned attempt may keep running until its engine is notified, which happens on another connection
+/// than the one that the retry uses.
 #[test]
-fn without_second_copies_none_goes_where_one_was_given_up() {
+fn without_hedging_no_retry_goes_to_the_engine_of_an_abandoned_attempt() {
     for outcome in [Outcome::Timeout, Outcome::Cancelled] {
-        for copies in [false, true] {
-            let allowed = Settings { may_hedge: copies, ..settings(vec![class("q", Idempotency::Always)]) };
-            let mut w = World::new(allowed, &["e1"]);
-            w.query("r", 0, 100.0);
-            assert_eq!(sent_to(&w.end("r", 0, outcome)).len(), usize::from(copies), "{outcome:?}");
+        for hedging in [false, true] {
+            let allowed = Settings { may_hedge: hedging, ..settings(vec![class("q", Idempotency::Always)]) };
+            let mut h = Harness::new(allowed, &["e1"]);
+            h.query("r", 0, 100.0);
+            assert_eq!(sent_to(&h.end("r", 0, outcome)).len(), usize::from(hedging), "{outcome:?}");
         }
     }
-    // One that never ran there may go there again.
-    let mut w = World::new(settings(vec![class("q", Idempotency::Always)]), &["e1"]);
-    w.query("r", 0, 100.0);
-    assert_eq!(sent_to(&w.end("r", 0, Outcome::Unsent)), ["e1"]);
+    // A request that never ran there may be retried there.
+    let mut h = Harness::new(settings(vec![class("q", Idempotency::Always)]), &["e1"]);
+    h.query("r", 0, 100.0);
+    assert_eq!(sent_to(&h.end("r", 0, Outcome::Unsent)), ["e1"]);
 }
 
 #[test]
-fn without_second_copies_none_is_called_off_that_has_nowhere_else_to_go() {
+fn without_hedging_an_attempt_is_cancelled_only_if_another_engine_exists() {
     for (engines, moves) in [(&["e1"][..], false), (&["e1", "e2"][..], true)] {
         let mut s = settings(vec![class("q", Idempotency::Always)]);
         (s.grants, s.may_cancel) = (true, true);
-        let mut w = World::new(s, engines);
-        w.query_with(Query { memory: Some(100.0), ..ordered("r", "k") });
-        w.now += 0.005;
+        let mut h = Harness::new(s, engines);
+        h.query_with(Query { memory: Some(100.0), ..ordered("r", "k") });
+        h.now += 0.005;
         let spills = Event::Progress { id: "r".into(), attempt: 0, progress: Progress::Spills(500.0) };
-        assert_eq!(!w.event(spills).is_empty(), moves, "{engines:?}");
+        assert_eq!(!h.event(spills).is_empty(), moves, "{engines:?}");
     }
 }
 
@@ -154,65 +162,65 @@
 }
 
 #[test]
-fn one_key_runs_one_at_a_time_in_order_and_rests() {
+fn requests_of_one_key_run_in_order_with_a_pause_after_a_timeout() {
     let mut load = class("load", Idempotency::Never);
     load.ordered = true;
-    let mut w = World::new(settings(vec![load]), &["e1", "e2"]);
-    assert_eq!(sent_to(&w.query_with(ordered("r1", "k"))).len(), 1);
-    assert!(w.query_with(ordered("r2", "k")).is_empty(), "held");
-    assert!(w.query_with(ordered("r3", "k")).is_empty(), "held");
-    assert_eq!(sent_to(&w.query_with(ordered("other", "k2"))).len(), 1, "another key is free");
-    let next = w.end("r1", 0, Outcome::Ok);
+    let mut h = Harness::new(settings(vec![load]), &["e1", "e2"]);
+    assert_eq!(sent_to(&h.query_with(ordered("r1", "k"))).len(), 1);
+    assert!(h.query_with(ordered("r2", "k")).is_empty(), "waits for r1");
+    assert!(h.query_with(ordered("r3", "k")).is_empty(), "waits for r1");
+    assert_eq!(sent_to(&h.query_with(ordered("other", "k2"))).len(), 1, "another key does not wait");
+    let next = h.end("r1", 0, Outcome::Ok);
     assert!(matches!(&next[..], [Action::Send { id, .. }] if &**id == "r2"));
-    let next = w.end("r2", 0, Outcome::Timeout);
-    assert!(failed(&next) && sent_to(&next).is_empty(), "the key rests");
-    assert!(sent_to(&w.wait(0.25)).is_empty());
-    assert_eq!(sent_to(&w.wait(0.3)).len(), 1, "then the next has its turn");
+    let next = h.end("r2", 0, Outcome::Timeout);
+    assert!(failed(&next) && sent_to(&next).is_empty(), "the key pauses");
+    assert!(sent_to(&h.wait(0.25)).is_empty());
+    assert_eq!(sent_to(&h.wait(0.3)).len(), 1, "then the next request runs");
 }
 
 #[test]
-fn a_follower_that_cannot_be_served_in_time_is_told_at_once() {
+fn queued_request_that_cannot_meet_its_deadline_is_rejected_at_once() {
     let mut load = class("load", Idempotency::Never);
     load.ordered = true;
-    let mut w = World::new(settings(vec![load]), &["e1"]);
-    w.query_with(Query { work: Some(4000.0), ..ordered("r1", "k") });
-    assert!(refused(&w.query_with(Query { time_left: 3.0, ..ordered("r2", "k") })));
+    let mut h = Harness::new(settings(vec![load]), &["e1"]);
+    h.query_with(Query { work: Some(4000.0), ..ordered("r1", "k") });
+    assert!(rejected(&h.query_with(Query { time_left: 3.0, ..ordered("r2", "k") })));
 }
 
 #[test]
-fn a_bound_class_stays_on_its_kind_and_zone_even_if_all_are_lost() {
-    let mut bound = class("report", Idempotency::Always);
-    bound.kinds = Some(vec!["big".into()]);
-    bound.zones = Some(vec!["a".into()]);
-    let mut w = World::new(settings(vec![bound]), &[]);
+fn restricted_class_never_leaves_its_engine_kind_and_zone() {
+    let mut restricted = class("report", Idempotency::Always);
+    restricted.kinds = Some(vec!["big".into()]);
+    restricted.zones = Some(vec!["a".into()]);
+    let mut h = Harness::new(settings(vec![restricted]), &[]);
     let big = |id: &str, zone: &str| EngineEntry { kind: "big".into(), zone: zone.into(), ..engine(id) };
-    w.list(ListScope::Complete, vec![engine("small"), big("right", "a"), big("far", "b")]);
+    h.list(ListScope::Complete, vec![engine("small"), big("right", "a"), big("far", "b")]);
     for n in 0..10 {
-        assert_eq!(sent_to(&w.query(&format!("r{n}"), 0, 1.0)), ["right"]);
+        assert_eq!(sent_to(&h.query(&format!("r{n}"), 0, 1.0)), ["right"]);
     }
-    w.list(ListScope::Complete, vec![engine("small"), big("far", "b")]);
-    assert!(refused(&w.query("last", 0, 1.0)));
+    h.list(ListScope::Complete, vec![engine("small"), big("far", "b")]);
+    assert!(rejected(&h.query("last", 0, 1.0)));
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_retry_budget() {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
     s.retry_budget = Some(RetryBudget { min_attempts: 2.0, attempts_per_request: 0.1, window: 10.0 });
-    let mut w = World::new(s, &["e1", "e2", "e3"]);
-    let mut again = 0;
+    let mut h = Harness::new(s, &["e1", "e2", "e3"]);
+    let mut retries = 0;
     for n in 0..20 {
-        w.query(&format!("r{n}"), 0, 1.0);
-        again += sent_to(&w.end(&format!("r{n}"), 0, Outcome::Unreachable)).len();
+        h.query(&format!("r{n}"), 0, 1.0);
+        retries += sent_to(&h.end(&format!("r{n}"), 0, Outcome::Unreachable)).len();
     }
-    assert!((1..=4).contains(&again), "{again} further attempts for 20 requests");
+    assert!((1..=4).contains(&retries), "{retries} retries for 20 requests");
 }
 
 #[test]
 fn attempts_per_request_are_limited() {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
     s.max_attempts = 2;
-    let mut w = World::new(s, &["e1", "e2", "e3"]);
-    w.query("r", 0, 1.0);
-    assert_eq!(sent_to(&w.end("r", 0, Outcome::Error)).len(), 1);
-    assert!(refused(&w.end("r", 1, Outcome::Error)));
+    let mut h = Harness::new(s, &["e1", "e2", "e3"]);
+    h.query("r", 0, 1.0);
+    assert_eq!(sent_to(&h.end("r", 0, Outcome::Error)).len(), 1);
+    assert!(rejected(&h.end("r", 1, Outcome::Error)));
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,13 +1,13 @@
-//! Source files stay short enough to read: none grows past the limit.
+//! Limits on the length and width of source files, to keep them readable.
 
 use std::path::{Path, PathBuf};
 
-/// Lines that a source file may hold, comments included.
+/// Maximum length of a source file (lines, comments included).
 const MAX_LINES: usize = 400;
-/// Characters that a line of code may hold; rustfmt keeps them but in string literals and comments.
+/// Maximum width of a line (characters); rustfmt does not enforce its limit in string literals and comments.
 const MAX_WIDTH: usize = 140;
 
-/// All Rust files below a folder.
+/// Collects all Rust files below a folder.
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn source_files_keep_their_line_limits() {
+fn source_files_keep_their_length_and_width_limits() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     sources(&root.join("src"), &mut files);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn decision_files_keep_their_width() {
+fn policy_files_keep_their_line_width() {
     let mut files = Vec::new();
     sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy"), &mut files);
     for path in files {
