--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,20 +1,21 @@
-//! Feeds the policy and carries out its actions.
+//! Passes events to the policy and executes the actions that it returns.
 
 use super::{Answer, Attempt, AttemptId, AttemptReport, Core, Route, TimerEvent};
 use crate::net::Time;
 use dahliaspoke::policy::{Action, EngineId, Event, Outcome, RequestId};
 
-/// How long an attempt may take, from when it is sent (s).
+/// Time limits of an attempt, counted from when it is sent (s).
 #[derive(Clone, Copy)]
 struct AttemptTimeouts {
-    /// Until its end; `None`: until the client gives up.
+    /// Until it has ended; `None`: until the request's deadline.
     total: Option<f64>,
-    /// Until its first byte has gone out; `None`: as `total`.
+    /// Until its first byte is sent; `None`: the same as `total`.
     send: Option<f64>,
 }
 
 impl Core {
-    /// Hands the policy one event, and what follows from its actions, until nothing more follows.
+    /// Passes an event to the policy and executes the resulting actions, then does the same for the events
+    /// that these actions cause, until none is left.
     pub(super) fn feed(&mut self, now: Time, event: Event, routes: &mut [Route]) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends the request's next attempt, unless its client has gone.
+    /// Sends the request's next attempt, unless its client has disconnected.
     fn send(
         &mut self,
         now: Time,
@@ -56,9 +57,10 @@
         routes: &mut [Route],
     ) {
         let Some(request) = self.requests.get(&id) else { return };
-        // The listener's report that the client has gone may wait behind what led here: its connection is asked now.
-        let client_gone = request.is_open() && !routes[request.route].listener.is_client_waiting(&id);
-        if client_gone && self.withdraw(&id) {
+        // The listener's disconnect event may still be queued behind the current one, so the connection
+        // itself is checked here.
+        let client_disconnected = request.is_open() && !routes[request.route].listener.is_client_waiting(&id);
+        if client_disconnected && self.withdraw(&id) {
             self.events.push_back(Event::ClientGone { id: id.clone() });
         }
         if self.requests.is_open(&id) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Has the upstream start an attempt of an open request.
+    /// Starts an attempt of an open request on its upstream.
     fn start_attempt(
         &mut self,
         now: Time,
@@ -99,14 +101,14 @@
         upstream.start(now, attempt);
     }
 
-    /// Ends the next attempt of a closed request before it is sent.
+    /// Ends the next attempt of a closed request without sending it.
     fn skip_attempt(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let number = request.add_ended_attempt();
         self.end_without_report(now, AttemptId { request: id, number }, Outcome::Expired);
     }
 
-    /// Gives a running attempt up.
+    /// Cancels a running attempt.
     fn cancel(&mut self, now: Time, attempt: AttemptId, routes: &mut [Route]) {
         if self.requests.end_attempt(&attempt) {
             self.abandon(now, &attempt, routes);
@@ -114,7 +116,8 @@
         }
     }
 
-    /// Has the policy handle an attempt's end after the actions that are being carried out.
+    /// Ends an attempt without a report from the engine. The policy handles its end after the actions that
+    /// are currently being executed.
     fn end_without_report(&mut self, now: Time, attempt: AttemptId, outcome: Outcome) {
         let id = attempt.request.clone();
         let event = self.attempt_end(now, attempt, outcome, AttemptReport::default());
@@ -122,13 +125,13 @@
         self.requests.remove_finished(&id);
     }
 
-    /// Gives a request the final answer that the policy decided on.
+    /// Sends a request the final answer that the policy decided on.
     fn finish(&mut self, now: Time, id: &RequestId, answer: Answer, routes: &mut [Route]) {
         self.answer(now, id, answer, routes);
         self.requests.remove_finished(id);
     }
 
-    /// Sets memory and priority of a request's attempts, also of those that run.
+    /// Sets the memory and priority of a request's attempts. Running attempts get the new priority as well.
     fn set_terms(
         &mut self,
         now: Time,
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,31 +1,31 @@
-//! Attempts, their outcomes, and what upstreams and the core report to each other.
+//! Attempts, their outcomes, and the interface between the core and upstreams.
 
 use super::request::{QueryPayload, ResultParts};
 use crate::net::Time;
 use dahliaspoke::policy::{EngineId, LoadReport, Outcome, Progress, RequestId};
 
-/// An attempt that an upstream is to run.
+/// An attempt for an upstream to run.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The request.
     pub id: RequestId,
     /// The number of the attempt, from 0.
     pub attempt: u32,
-    /// The engine that is to run it.
+    /// The engine to run it on.
     pub engine: EngineId,
-    /// When the core stops waiting for its end.
+    /// When the core times it out.
     pub deadline: Time,
-    /// When its first byte must have gone out, or it is not sent at all.
+    /// Latest time for its first byte to be sent; after that, the attempt is not sent at all.
     pub send_deadline: Time,
     /// Memory granted (MB); `None` leaves it to the engine.
     pub memory: Option<f64>,
     /// Priority, 0 to 3; 3 is the most urgent.
     pub priority: u8,
-    /// What the engine is to run.
+    /// The query to run.
     pub payload: QueryPayload,
 }
 
-/// How an upstream saw an attempt end.
+/// The outcome of an attempt, as seen by the upstream.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// Served, with the result.
@@ -36,16 +36,16 @@
     Full,
     /// The engine's machine refused the connection.
     ConnectionRefused,
-    /// No byte of it went out in time.
+    /// None of its bytes were sent in time.
     Unsent,
-    /// The connection broke after a byte of it went out.
+    /// The connection broke after at least one of its bytes was sent.
     Reset,
-    /// The engine reports that its time was over before it could run.
+    /// The engine reported that its time had run out before it could run.
     Expired,
 }
 
 impl AttemptOutcome {
-    /// The outcome as the policy knows it, without the result.
+    /// The corresponding policy outcome, without the result.
     pub(super) fn for_policy(&self) -> Outcome {
         match self {
             Self::Served(_) => Outcome::Ok,
@@ -59,7 +59,7 @@
     }
 }
 
-/// What an engine reported with an attempt's end.
+/// What an engine reported at the end of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptReport {
     /// Work that the query needed (ms of one thread, at least 0).
@@ -70,7 +70,7 @@
     pub load: Option<LoadReport>,
 }
 
-/// What upstreams report to the core.
+/// An event that an upstream reports to the core.
 #[derive(Debug)]
 pub enum UpstreamEvent {
     /// An attempt has ended.
@@ -84,7 +84,7 @@
         /// What the engine reported with it.
         report: AttemptReport,
     },
-    /// A running attempt reported of itself.
+    /// A running attempt reported its progress.
     Progress {
         /// The request.
         id: RequestId,
@@ -96,25 +96,25 @@
 }
 
 impl UpstreamEvent {
-    /// The end of an attempt of which the engine reported nothing.
+    /// The end of an attempt without a report from the engine.
     pub fn ended(id: &RequestId, attempt: u32, outcome: AttemptOutcome) -> Self {
         Self::AttemptEnd { id: id.clone(), attempt, outcome, report: AttemptReport::default() }
     }
 }
 
-/// Runs attempts on engines. The core calls all of it.
+/// Runs attempts on engines. All methods are called by the core.
 pub trait Upstream {
-    /// Starts an attempt, when the policy asks to send one. Its end is reported once, by [`UpstreamEvent::AttemptEnd`],
-    /// unless it is abandoned.
+    /// Starts an attempt that the policy decided to send. Its end is reported exactly once, by
+    /// [`UpstreamEvent::AttemptEnd`], unless it is abandoned.
     fn start(&mut self, now: Time, attempt: Attempt);
 
-    /// Gives a running attempt up, when it timed out or the policy cancels it; nothing more is reported of it. Returns
-    /// whether no byte of it has gone out.
+    /// Abandons a running attempt that timed out or that the policy cancelled; nothing more is reported about
+    /// it. Returns whether none of its bytes were sent.
     fn abandon(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool;
 
-    /// Changes the priority of a running attempt, when the policy sets another for its request.
+    /// Changes the priority of a running attempt, after the policy changed that of its request.
     fn set_priority(&mut self, now: Time, id: &RequestId, attempt: u32, priority: u8);
 
-    /// How many attempts have gone out complete since the start, for statistics.
+    /// Number of attempts that were sent completely since the start, for statistics.
     fn sent_attempts(&self) -> u64;
 }
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -25,14 +25,14 @@
     }
 }
 
-/// All counts. They are printed with the names that the operators' tools read.
+/// All counts, printed under the names that the operators' tools read.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Requests received, and calls rejected before they were requests; printed as `taken`.
+    /// Requests received, and calls rejected before they became requests; printed as `taken`.
     pub received: u64,
     /// By class, in the order of the settings.
     pub answers: Vec<Answers>,
-    /// Requests whose client went before it had an answer.
+    /// Requests whose client disconnected before they were answered.
     pub withdrawn: u64,
     /// Calls that could not be decoded.
     pub bad: u64,
@@ -54,9 +54,9 @@
     pub reset: u64,
     /// Attempts that the policy cancelled.
     pub cancelled: u64,
-    /// Attempts that were over before they could run; printed as `moot`.
+    /// Attempts that expired before they could run, or whose request was already closed; printed as `moot`.
     pub expired: u64,
-    /// Attempts of which no byte went out in time.
+    /// Attempts of which no byte was sent in time.
     pub unsent: u64,
 }
 
--- a/src/core/derived_classes.rs
+++ b/src/core/derived_classes.rs
@@ -1,12 +1,13 @@
-//! Classes for requests that must not be repeated although their class may be.
+//! Classes for requests that must not be repeated even though their class allows it.
 
 use super::Request;
 use dahliaspoke::policy::{ClassSettings, Idempotency, Settings};
 
-/// For each class of the settings, the classes of its requests that must not run twice: those without the idempotency key
-/// that the class needs, and those whose body is unbuffered: it is not kept and cannot be sent again.
+/// For each class of the settings, the classes of those of its requests that must not run twice: requests
+/// without the idempotency key that the class requires, and requests with an unbuffered body, which is not
+/// retained and so cannot be sent again.
 ///
-/// A derived class is the original with [`Idempotency::Never`]; both cases share one.
+/// A derived class is a copy of the original with [`Idempotency::Never`]; both cases share it.
 pub(super) struct DerivedClasses {
     /// By class, the class of its requests without a key.
     without_key: Vec<usize>,
@@ -15,7 +16,7 @@
 }
 
 impl DerivedClasses {
-    /// Appends the derived classes to the settings. `may_have_unbuffered` says that there may be unbuffered bodies.
+    /// Appends the derived classes to the settings. `may_have_unbuffered`: whether bodies may be unbuffered.
     ///
     /// Settings with the same idempotencies in the same order get the same derived classes.
     pub(super) fn append_to(settings: &mut Settings, may_have_unbuffered: bool) -> Self {
@@ -39,7 +40,7 @@
         Self { without_key, unbuffered }
     }
 
-    /// The position of the class by which the policy decides on a request.
+    /// The position of the class that the policy applies to a request.
     pub(super) fn class_of(&self, request: &Request) -> usize {
         if request.uploading {
             self.unbuffered[request.class]
--- a/src/core/fixed_settings.rs
+++ b/src/core/fixed_settings.rs
@@ -1,9 +1,10 @@
-//! What of the settings cannot change in service: open requests name classes and tenants by position.
+//! The part of the settings that cannot change in service, since open requests refer to classes and tenants
+//! by position.
 
 use dahliaspoke::policy::{ClassSettings, Idempotency, Settings};
 use thiserror::Error;
 
-/// Why settings cannot apply in service.
+/// Why settings cannot be applied in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FixedSettingsError {
     /// Classes differ in number, order, name or idempotency.
@@ -14,7 +15,7 @@
     Tenants,
 }
 
-/// A class as far as it is fixed.
+/// The fixed part of a class.
 #[derive(Clone, Debug, PartialEq)]
 struct FixedClass {
     name: String,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Checks whether other settings may apply in service.
+    /// Checks whether other settings can be applied in service.
     pub(super) fn check(&self, settings: &Settings) -> Result<(), FixedSettingsError> {
         let other = Self::of(settings);
         if other.classes != self.classes {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,10 +1,11 @@
 //! Requests, attempts and outcomes.
 //!
-//! The core stands between the listeners, the upstreams and the policy. It hands the policy what happens, carries out the
-//! actions that the policy returns, and sees to it that every request gets one final answer and every attempt one end. It
-//! knows no wire protocol: listeners decode requests and encode answers, upstreams run attempts.
+//! The core connects the listeners, the upstreams and the policy. It passes events to the policy, executes
+//! the actions that the policy returns, and ensures that every request gets one final answer and every
+//! attempt one end. It is independent of wire protocols: listeners decode requests and encode answers,
+//! upstreams run attempts.
 //!
-//! The daemon calls it from the event loop, each time with the present time and with the [`Route`]s.
+//! The daemon calls it from the event loop, passing the current time and the [`Route`]s each time.
 
 mod actions;
 mod attempt;
@@ -37,29 +38,29 @@
 use std::collections::VecDeque;
 use trace::EngineTotals;
 
-/// How often the sums over all engines are written to the trace (s).
+/// Interval between trace lines with the sums over all engines (s).
 const TOTALS_INTERVAL: Time = 1.0;
 
-/// A point in time at which the core has something to do.
+/// An event on the core's timer queue.
 enum TimerEvent {
-    /// The policy asked for a timer; the number is its token.
+    /// A timer that the policy set, with its token.
     Policy(u64),
     /// An attempt times out.
     AttemptDeadline(AttemptId),
 }
 
-/// Everything between the listeners, the upstreams and the policy.
+/// The state of all requests, and the policy that decides on them.
 pub struct Core {
     policy: Policy,
     fixed_settings: FixedSettings,
-    /// Whether there may be bodies that are passed on without being kept.
+    /// Whether bodies may be unbuffered: forwarded without being retained.
     may_have_unbuffered: bool,
     derived_classes: DerivedClasses,
     requests: RequestTable,
     timers: TimerQueue<TimerEvent>,
-    /// What the policy has not handled yet.
+    /// Events that the policy has not handled yet.
     events: VecDeque<Event>,
-    /// Empty between two events; kept for its allocation.
+    /// Empty between events; reused to avoid reallocation.
     actions: Vec<Action>,
     /// Counts since the start.
     pub counters: Counters,
@@ -69,8 +70,8 @@
 }
 
 impl Core {
-    /// A core without engines. `seed` is that of the policy's random numbers; `may_have_unbuffered` says that there may be
-    /// bodies that are not kept.
+    /// Creates a core without engines. `seed` is the seed of the policy's random numbers;
+    /// `may_have_unbuffered`: whether bodies may be unbuffered, that is, not retained.
     pub fn new(mut settings: Settings, seed: u64, may_have_unbuffered: bool, trace: Trace) -> Self {
         let answers = vec![Answers::default(); settings.classes.len()];
         let fixed_settings = FixedSettings::of(&settings);
@@ -95,31 +96,31 @@
         self.timers.next_deadline()
     }
 
-    /// Whether the policy has ejected an engine for now.
+    /// Whether an engine is currently ejected.
     pub fn is_ejected(&self, engine: &EngineId) -> bool {
         self.policy.engine(engine).is_some_and(|status| status.ejected)
     }
 
-    /// How many requests are owed an answer.
+    /// Number of requests that still need an answer.
     pub fn open_requests(&self) -> usize {
-        self.requests.open()
+        self.requests.open_count()
     }
 
-    /// Gives up all open requests, each with an answer: the program ends before they do.
+    /// Answers all open requests at once, since the process exits before they would complete.
     pub fn shut_down(&mut self, now: Time, routes: &mut [Route]) {
         self.feed(now, Event::Shutdown, routes);
     }
 
-    /// A check whether settings can apply in service, which outlives the borrow of the core.
+    /// Returns a check of whether settings can be applied in service; it does not borrow the core.
     pub fn settings_check(&self) -> impl Fn(&Settings) -> Result<(), FixedSettingsError> + 'static {
         let fixed_settings = self.fixed_settings.clone();
         move |settings| fixed_settings.check(settings)
     }
 
-    /// Applies settings from here on. What the policy has learnt stays, and open requests keep their deadlines.
+    /// Applies new settings. The policy keeps its learned statistics, and open requests keep their deadlines.
     ///
     /// # Errors
-    /// Which part of the settings cannot change in service.
+    /// Names the part of the settings that cannot change in service.
     pub fn apply_settings(
         &mut self,
         now: Time,
@@ -132,7 +133,7 @@
         Ok(())
     }
 
-    /// Hands the policy a list of engines, or changes of it.
+    /// Passes a list of engines, or changes to the list, to the policy.
     pub fn update_engines(
         &mut self,
         now: Time,
@@ -143,7 +144,7 @@
         self.feed(now, Event::EngineList(scope, entries), routes);
     }
 
-    /// Handles what a listener reports.
+    /// Handles an event from a listener.
     pub fn on_listener_event(&mut self, now: Time, event: ListenerEvent, routes: &mut [Route]) {
         match event {
             ListenerEvent::Request(request) => self.receive(now, request, routes),
@@ -160,14 +161,14 @@
         }
     }
 
-    /// Handles the loss of bytes of a body: the request that it belongs to gets no further attempt.
+    /// Handles the loss of bytes of a stored body: the request that it belongs to gets no further attempt.
     pub fn on_body_dropped(&mut self, now: Time, body: BodyId, routes: &mut [Route]) {
-        if let Some(id) = self.requests.with_body(body).cloned() {
+        if let Some(id) = self.requests.find_by_body(body).cloned() {
             self.feed(now, Event::BodyDropped { id }, routes);
         }
     }
 
-    /// Handles what an upstream reports.
+    /// Handles an event from an upstream.
     pub fn on_upstream_event(&mut self, now: Time, event: UpstreamEvent, routes: &mut [Route]) {
         match event {
             UpstreamEvent::AttemptEnd { id, attempt, outcome, report } => {
@@ -198,7 +199,8 @@
     fn receive(&mut self, now: Time, request: Request, routes: &mut [Route]) {
         self.counters.received += 1;
         self.trace.request_received(now, &request);
-        // The policy keeps requests by id, and engines are sent the client's id as it is.
+        // A request with a duplicate id fails: the policy indexes requests by id, and engines are sent the
+        // client's id unchanged.
         if self.requests.get(&request.id).is_some() {
             self.counters.answers[request.class].count(&Answer::Failed);
             routes[request.route].listener.answer(now, &request.id, Answer::Failed);
@@ -209,7 +211,7 @@
         self.feed(now, Event::Query(query), routes);
     }
 
-    /// A request as the policy sees it.
+    /// The policy's view of a request.
     fn query(&self, now: Time, request: &Request) -> Query {
         Query {
             id: request.id.clone(),
@@ -224,7 +226,7 @@
         }
     }
 
-    /// Closes a request whose client has gone. Returns false if it was not open.
+    /// Closes a request whose client has disconnected. Returns false if it was not open.
     fn withdraw(&mut self, id: &RequestId) -> bool {
         let was_open = self.requests.close(id, RequestStatus::Withdrawn).is_some();
         self.counters.withdrawn += u64::from(was_open);
@@ -268,13 +270,13 @@
         self.feed_attempt_end(now, attempt, outcome, AttemptReport::default(), routes);
     }
 
-    /// Has the upstream give an attempt up. Returns whether no byte of it has gone out.
+    /// Has the upstream abandon an attempt. Returns whether none of its bytes were sent.
     fn abandon(&self, now: Time, attempt: &AttemptId, routes: &mut [Route]) -> bool {
         let route = self.requests.get(&attempt.request).map_or(0, |request| request.route);
         routes[route].upstream.abandon(now, &attempt.request, attempt.number)
     }
 
-    /// Hands the policy an attempt's one end.
+    /// Reports the end of an attempt to the policy.
     fn feed_attempt_end(
         &mut self,
         now: Time,
@@ -289,7 +291,7 @@
         self.requests.remove_finished(&id);
     }
 
-    /// Counts an attempt's end and returns it as the policy sees it.
+    /// Counts an attempt's end and returns the event that reports it to the policy.
     fn attempt_end(
         &mut self,
         now: Time,
@@ -305,7 +307,7 @@
         Event::AttemptEnded(AttemptEnd { id, attempt, outcome, finished, work, memory, report: load })
     }
 
-    /// Gives a request its final answer, unless it is closed.
+    /// Sends a request its final answer, unless it is closed.
     fn answer(&mut self, now: Time, id: &RequestId, answer: Answer, routes: &mut [Route]) {
         let Some(request) = self.requests.close(id, RequestStatus::Answered) else { return };
         self.counters.answers[request.class].count(&answer);
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -1,4 +1,4 @@
-//! Requests, their final answers, and what listeners and the core report to each other.
+//! Requests, their final answers, and the interface between the core and listeners.
 
 use crate::net::Time;
 use dahliaspoke::policy::RequestId;
@@ -6,7 +6,7 @@
 use dahliaspoke_body_store::Body;
 use std::sync::Arc;
 
-/// What an engine is to run, as the listener decoded it and the upstream sends it; opaque to the core.
+/// The query for an engine, as the listener decoded it and the upstream sends it; opaque to the core.
 #[derive(Clone, Debug, Default)]
 pub struct QueryPayload {
     /// The name of the request's class.
@@ -15,15 +15,15 @@
     pub statement: Arc<[u8]>,
     /// Arguments of a prepared statement.
     pub arguments: Option<Arc<[u8]>>,
-    /// What the body store has: the statement, or what follows `arguments` where there are any.
+    /// The part that is in the body store: the statement or, if there are `arguments`, what follows them.
     pub body: Option<Body>,
-    /// Parameters whose values came ahead of the execution, in the order of their positions.
+    /// Parameters whose values were sent ahead of the execution, in the order of their positions.
     pub long_parameters: Vec<LongParameter>,
     /// The client's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
 }
 
-/// A parameter of a prepared statement whose value came ahead of the execution.
+/// A parameter of a prepared statement whose value was sent ahead of the execution.
 #[derive(Clone, Debug)]
 pub struct LongParameter {
     /// Its position among the statement's parameters, from 0.
@@ -42,7 +42,7 @@
 }
 
 impl ParameterValue {
-    /// The value's body, if the body store has it.
+    /// The value's body, if it is in the body store.
     pub fn stored_body(&self) -> Option<&Body> {
         match self {
             Self::Inline(_) => None,
@@ -52,13 +52,13 @@
 }
 
 impl QueryPayload {
-    /// All bodies that the body store has of the payload: the statement's, then those of the parameters.
+    /// All bodies of the payload that are in the body store: the statement's, then those of the parameters.
     pub fn stored_bodies(&self) -> impl Iterator<Item = &Body> {
         let parameters = self.long_parameters.iter().filter_map(|parameter| parameter.value.stored_body());
         self.body.iter().chain(parameters)
     }
 
-    /// Whether that body is a part of the payload.
+    /// Whether the body with this id is part of the payload.
     pub(super) fn contains_body(&self, id: BodyId) -> bool {
         self.stored_bodies().any(|body| body.id() == id)
     }
@@ -67,15 +67,15 @@
 /// A request that a listener has received.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The position of the route that it came in by.
+    /// Position of the route that it arrived on.
     pub route: usize,
-    /// The client's id; engines are sent it as it is.
+    /// The client's id, which is sent to engines unchanged.
     pub id: RequestId,
     /// Position of its class in the settings.
     pub class: usize,
-    /// Position of its tenant in the settings, where it belongs to one.
+    /// Position of its tenant in the settings, if it has one.
     pub tenant: Option<usize>,
-    /// Requests of an ordered class run one at a time if they have the same key.
+    /// The key for ordering: requests of an ordered class with the same key run one at a time.
     pub order_key: Option<Arc<str>>,
     /// When the client gives up.
     pub deadline: Time,
@@ -83,11 +83,12 @@
     pub estimated_work: Option<f64>,
     /// Estimated memory (MB).
     pub estimated_memory: Option<f64>,
-    /// Group of tables that it reads or writes; -1 if it is not known.
+    /// Group of tables that it reads or writes; -1 if unknown.
     pub table_group: i64,
-    /// Its body is passed on as it arrives and not kept: it must not run twice, whatever its class.
+    /// Its body is unbuffered: it is forwarded as it arrives and not retained, so the request must not run
+    /// twice, whatever its class.
     pub uploading: bool,
-    /// What an engine is to run.
+    /// The query to run.
     pub payload: QueryPayload,
 }
 
@@ -99,30 +100,31 @@
 pub enum Answer {
     /// Served, with the result.
     Served(ResultParts),
-    /// Not served, and nothing ran: a retry is harmless, after so many seconds.
+    /// Not served, and nothing ran: it is safe to retry, after this many seconds if given.
     Rejected(Option<f64>),
     /// Not served; it may have run.
     Failed,
 }
 
-/// What listeners report to the core.
+/// An event that a listener reports to the core.
 #[derive(Debug)]
 pub enum ListenerEvent {
-    /// A request came in; it is owed one final answer.
+    /// A request arrived; it must get one final answer.
     Request(Request),
-    /// The client of a request has gone; no answer is owed any more.
+    /// The client of a request has disconnected; no answer is needed any more.
     ClientGone(RequestId),
-    /// A call of the class at this position was rejected, with an answer, before it was a request.
+    /// A call of the class at this position was rejected, and answered, before it became a request.
     Rejected(usize),
 }
 
 /// Accepts requests and delivers answers.
 pub trait Listener {
-    /// Delivers the final answer to a request. The core calls it once for a request, and not at all once the listener has
-    /// reported that its client has gone. A request whose client has gone meanwhile is passed over.
+    /// Delivers the final answer to a request. The core calls it once per request, and not at all after the
+    /// listener has reported that the client has disconnected. If the client has disconnected since, the
+    /// answer is dropped.
     fn answer(&mut self, now: Time, id: &RequestId, answer: Answer);
 
-    /// Whether the request's client still waits for its answer, by the state of its connection at this moment. The core
-    /// calls it before each attempt: a report of the client's end may not be read yet.
+    /// Whether the request's client is still waiting for its answer, according to the current state of its
+    /// connection. The core calls it before each attempt, because a disconnect may not have been read yet.
     fn is_client_waiting(&mut self, id: &RequestId) -> bool;
 }
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,5 +1,5 @@
-//! The state of requests and of their attempts, from a request's arrival until it has its answer and its last attempt has
-//! ended.
+//! The state of requests and of their attempts, from a request's arrival until it is answered and its last
+//! attempt has ended.
 
 use super::{QueryPayload, Request};
 use crate::net::Time;
@@ -10,7 +10,7 @@
 /// The priority of a request before the policy sets one.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// Names one attempt.
+/// Identifies an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptId {
     /// The request.
@@ -19,18 +19,18 @@
     pub number: u32,
 }
 
-/// Whether a request is owed an answer.
+/// Whether a request still needs an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestStatus {
-    /// It is.
+    /// It still needs an answer.
     Open,
     /// It has its final answer.
     Answered,
-    /// Its client has gone.
+    /// Its client has disconnected.
     Withdrawn,
 }
 
-/// Whether the end of an attempt is still to come.
+/// Whether an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptStatus {
     Running,
@@ -43,14 +43,14 @@
     priority: u8,
 }
 
-/// A request that is open, or has an attempt that runs.
+/// A request that is open or has a running attempt.
 #[derive(Debug)]
 pub(super) struct RequestState {
     /// The position of its route.
     pub route: usize,
     /// The position of its class in the settings.
     pub class: usize,
-    /// What an engine is to run.
+    /// The query to run.
     pub payload: QueryPayload,
     /// When the client gives up.
     pub deadline: Time,
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Whether it is owed an answer.
+    /// Whether it still needs an answer.
     pub(super) fn is_open(&self) -> bool {
         self.status == RequestStatus::Open
     }
 
-    /// Adds an attempt that runs, and returns its number.
+    /// Adds a running attempt and returns its number.
     pub(super) fn add_running_attempt(&mut self) -> u32 {
         self.add_attempt(AttemptStatus::Running)
     }
 
-    /// Adds an attempt that ended before it was sent, and returns its number.
+    /// Adds an attempt that ended before it was sent and returns its number.
     pub(super) fn add_ended_attempt(&mut self) -> u32 {
         self.add_attempt(AttemptStatus::Ended)
     }
@@ -98,8 +98,8 @@
         number
     }
 
-    /// Sets memory and priority of its attempts from here on. Returns the numbers of the running attempts whose priority
-    /// changes.
+    /// Sets the memory and priority of its attempts from now on. Returns the numbers of the running attempts
+    /// whose priority changed.
     pub(super) fn set_terms(&mut self, memory: Option<f64>, priority: u8) -> Vec<u32> {
         self.memory = memory;
         self.priority = priority;
@@ -113,7 +113,7 @@
         changed
     }
 
-    /// Whether nothing more is to come: it is not open, and all attempts have ended.
+    /// Whether it is closed and all of its attempts have ended.
     fn is_finished(&self) -> bool {
         !self.is_open() && self.attempts.iter().all(|attempt| attempt.status == AttemptStatus::Ended)
     }
@@ -123,53 +123,54 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, RequestState>,
-    open: usize,
+    /// How many of them still need an answer.
+    open_count: usize,
 }
 
 impl RequestTable {
-    /// How many requests are owed an answer.
-    pub(super) fn open(&self) -> usize {
-        self.open
+    /// Number of requests that still need an answer.
+    pub(super) fn open_count(&self) -> usize {
+        self.open_count
     }
 
     /// Adds a request that has just arrived.
     pub(super) fn insert(&mut self, id: RequestId, request: RequestState) {
         self.requests.insert(id, request);
-        self.open += 1;
+        self.open_count += 1;
     }
 
-    /// The request of that id, if it is not finished.
+    /// The request with this id, if it is not finished.
     pub(super) fn get(&self, id: &RequestId) -> Option<&RequestState> {
         self.requests.get(id)
     }
 
-    /// The same, to be changed.
+    /// Mutable variant of [`Self::get`].
     pub(super) fn get_mut(&mut self, id: &RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(id)
     }
 
-    /// Whether the request is owed an answer.
+    /// Whether the request still needs an answer.
     pub(super) fn is_open(&self, id: &RequestId) -> bool {
         self.get(id).is_some_and(RequestState::is_open)
     }
 
-    /// Closes an open request with a status that is not [`RequestStatus::Open`]. Returns the request; `None` if it was not
-    /// open.
+    /// Closes an open request with a status other than [`RequestStatus::Open`]. Returns the request; `None`
+    /// if it was not open.
     pub(super) fn close(&mut self, id: &RequestId, status: RequestStatus) -> Option<&RequestState> {
         let request = self.requests.get_mut(id).filter(|request| request.is_open())?;
         request.status = status;
-        self.open -= 1;
+        self.open_count -= 1;
         Some(request)
     }
 
-    /// Whether the attempt's end is still to come.
+    /// Whether the attempt has not ended yet.
     pub(super) fn is_running(&self, id: &AttemptId) -> bool {
         let request = self.requests.get(&id.request);
         let attempt = request.and_then(|request| request.attempts.get(id.number as usize));
         attempt.is_some_and(|attempt| attempt.status == AttemptStatus::Running)
     }
 
-    /// Marks an attempt as ended. Returns false if it was not running: a second end does not count.
+    /// Marks an attempt as ended. Returns false if it was not running, so that a second end is ignored.
     pub(super) fn end_attempt(&mut self, id: &AttemptId) -> bool {
         let request = self.requests.get_mut(&id.request);
         let Some(attempt) = request.and_then(|request| request.attempts.get_mut(id.number as usize)) else {
@@ -178,7 +179,7 @@
         std::mem::replace(&mut attempt.status, AttemptStatus::Ended) == AttemptStatus::Running
     }
 
-    /// Removes a request if nothing more is to come of it.
+    /// Removes a request if it is finished.
     pub(super) fn remove_finished(&mut self, id: &RequestId) {
         if self.get(id).is_some_and(RequestState::is_finished) {
             self.requests.remove(id);
@@ -186,7 +187,7 @@
     }
 
     /// The request that the body belongs to.
-    pub(super) fn with_body(&self, body: BodyId) -> Option<&RequestId> {
+    pub(super) fn find_by_body(&self, body: BodyId) -> Option<&RequestId> {
         let mut requests = self.requests.iter();
         requests.find(|(_, request)| request.payload.contains_body(body)).map(|(id, _)| id)
     }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -2,11 +2,11 @@
 
 use super::{Listener, Upstream};
 
-/// A listener and the upstream that runs its requests. Requests name their route by its position in the list that the core
-/// is handed.
+/// A listener and the upstream that runs its requests. Requests refer to their route by its position in the
+/// list that is passed to the core.
 pub struct Route<'a> {
-    /// Where requests of this route come from.
+    /// Receives the requests of this route.
     pub listener: &'a mut dyn Listener,
-    /// Where attempts of this route run.
+    /// Runs the attempts of this route.
     pub upstream: &'a mut dyn Upstream,
 }
--- a/src/core/trace.rs
+++ b/src/core/trace.rs
@@ -1,5 +1,6 @@
-//! A log line for each step of a request, for tools that add up the logs of many coordinators; the simulator's `account`
-//! reads them. Off unless `deploy/trace.toml` switches it on: under load it is most of what the program writes.
+//! A log line for each step of a request, for tools that aggregate the logs of many coordinators, such as the
+//! simulator's `account`. Off unless `deploy/trace.toml` enables it: under load, trace lines make up most of
+//! the program's output.
 
 use super::request_table::AttemptId;
 use super::{Answer, AttemptReport, Request};
@@ -9,16 +10,16 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// The file's path, relative to the working directory.
+/// Path of the configuration file, relative to the working directory.
 const FILE: &str = "deploy/trace.toml";
-/// Stands for a figure that was not reported.
+/// Placeholder for a value that was not reported.
 const NOT_REPORTED: &str = "-";
 
-/// Which lines are written.
+/// Which trace lines are written.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trace {
-    /// Each request, attempt, end and answer.
+    /// Lines for each request, attempt, progress report, end and answer, and for the sums over all engines.
     #[serde(default)]
     requests: bool,
 }
@@ -26,19 +27,19 @@
 /// Sums over all engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EngineTotals {
-    /// Bounds of the work in hand (ms of one thread).
+    /// Bounds on the backlogs (ms of one thread).
     pub bounds: f64,
-    /// Work in hand (ms of one thread).
+    /// Backlogs (ms of one thread).
     pub backlog: f64,
-    /// Engines that are ejected.
+    /// Number of ejected engines.
     pub ejected: u32,
 }
 
 impl Trace {
-    /// Reads the file; nothing is written without one.
+    /// Reads the configuration file; without it, nothing is traced.
     ///
     /// # Errors
-    /// What is wrong with the file.
+    /// If the file cannot be read or is invalid.
     pub fn from_file() -> Result<Self, ConfigError> {
         Ok(read_optional(FILE)?.unwrap_or_default())
     }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// A request came in: its class, its estimated work (ms of one thread), and how long its client waits (s).
+    /// A request arrived: its class, its estimated work (ms of one thread), and its client's timeout (s).
     pub(super) fn request_received(self, now: Time, request: &Request) {
         let Request { id, class, .. } = request;
         let work = request.estimated_work.unwrap_or(0.0);
@@ -63,8 +64,8 @@
         self.write(now, format_args!("sent {request} {number} {engine}"));
     }
 
-    /// An attempt ended: the parts of the engine's cores, memory and disks in use, and the work (ms of one thread) and memory
-    /// (MB) that the query needed, as far as they were reported.
+    /// An attempt ended: the shares of the engine's cores, memory and disks in use, and the work (ms of one
+    /// thread) and memory (MB) that the query needed, each if reported.
     pub(super) fn attempt_ended(
         self,
         now: Time,
@@ -82,7 +83,7 @@
         );
     }
 
-    /// A running attempt reported of itself.
+    /// A running attempt reported its progress.
     pub(super) fn progress(self, now: Time, attempt: &AttemptId, progress: Progress) {
         let AttemptId { request, number } = attempt;
         self.write(now, format_args!("noted {request} {number} {progress:?}"));
@@ -107,12 +108,12 @@
     }
 }
 
-/// A share with two digits.
+/// Formats a share with two decimals.
 fn share(share: Option<f64>) -> String {
     share.map_or(NOT_REPORTED.into(), |share| format!("{share:.2}"))
 }
 
-/// An amount without a fraction.
+/// Formats an amount without decimals.
 fn amount(amount: Option<f64>) -> String {
     amount.map_or(NOT_REPORTED.into(), |amount| format!("{amount:.0}"))
 }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -1,11 +1,12 @@
-//! The endpoints that the coordinator may forward to: which there are, in which state, and for how long that is believed.
+//! The endpoints that the coordinator may forward to: their addresses, their states, and how long they are
+//! valid.
 //!
 //! Pure: no I/O and no clock. The daemon's `discovery` module passes in what the sources report.
 //!
 //! - [`set`]: endpoints by engine id;
-//! - [`lease`]: how long the endpoint set may be believed;
-//! - [`state`]: the life of one engine, and what an entry of a list makes of it;
-//! - `tracked`: the states of all engines, as the accepted lists change them;
+//! - [`lease`]: how long the endpoint set is valid;
+//! - [`state`]: the state machine of one engine, driven by the entries of the accepted lists;
+//! - `tracked`: the states of all engines, updated by the accepted lists;
 //! - [`tracker`]: which lists are accepted, and in which order.
 
 pub mod lease;
--- a/src/endpoints/set.rs
+++ b/src/endpoints/set.rs
@@ -9,29 +9,29 @@
 pub struct Endpoint {
     /// What the policy knows of the engine.
     pub entry: EngineEntry,
-    /// Where the engine listens; absent for one that is gone.
+    /// Where the engine listens; `None` for one that has been removed.
     pub address: Option<SocketAddr>,
 }
 
 impl Endpoint {
-    /// Whether new attempts may begin at the engine.
+    /// Whether new attempts may start on the engine.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.entry.lifecycle == Lifecycle::Ready
     }
 
-    /// Whether its process started later than that (Unix seconds; `None` is long ago).
+    /// Whether its process started later than `started` (Unix seconds; `None`: long ago).
     pub(super) fn started_after(&self, started: Option<f64>) -> bool {
         self.entry.started > started
     }
 }
 
-/// All endpoints that are known, by engine id.
+/// All known endpoints, by engine id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointSet(BTreeMap<EngineId, Endpoint>);
 
 impl EndpointSet {
-    /// Applies changed endpoints: those that are gone are removed, the others added or replaced.
+    /// Applies changes: endpoints in the [`Lifecycle::Gone`] state are removed, the others added or replaced.
     pub fn apply_changes(&mut self, changes: Vec<Endpoint>) {
         for endpoint in changes {
             if endpoint.entry.lifecycle == Lifecycle::Gone {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Replaces all endpoints by a complete list and returns the changes. Endpoints that the list lacks are returned as
-    /// gone, without an address, after the others.
+    /// Replaces all endpoints by a complete list and returns the changes. Endpoints that the list lacks are
+    /// returned after the others, as [`Lifecycle::Gone`] and without an address.
     pub fn replace(&mut self, list: Vec<Endpoint>) -> Vec<Endpoint> {
         let Self(new) = Self::from(list);
         let changed =
@@ -76,7 +76,7 @@
         self.0.is_empty()
     }
 
-    /// Whether a list holds these endpoints and no others.
+    /// Whether a list consists of exactly these endpoints.
     pub(super) fn equals(&self, list: &[Endpoint]) -> bool {
         self.0.len() == list.len()
             && list.iter().all(|endpoint| self.get(&endpoint.entry.id) == Some(endpoint))
@@ -84,7 +84,7 @@
 }
 
 impl From<Vec<Endpoint>> for EndpointSet {
-    /// The set with these endpoints; of those with one id the last.
+    /// Builds the set; of several endpoints with the same id, the last one is used.
     fn from(list: Vec<Endpoint>) -> Self {
         Self(list.into_iter().map(|endpoint| (endpoint.entry.id.clone(), endpoint)).collect())
     }
--- a/src/endpoints/state.rs
+++ b/src/endpoints/state.rs
@@ -1,116 +1,119 @@
-//! The life of one engine, as the accepted lists make it.
+//! The state machine of one engine, driven by the accepted lists.
 //!
 //! ```text
 //! Unknown --listed--> Ready --> Draining --> Departed --60 s--> Unknown
 //! ```
 //!
-//! A list moves an engine forwards at once. It moves one back, or lets a new one in, in these cases:
+//! A list moves an engine forwards at once. Moving one back, or adding a new one, is subject to these rules:
 //!
-//! - a list may carry a high number of an earlier numbering, so an engine that a list adds is a candidate until
-//!   [`CONFIRMATIONS_TO_JOIN`] lists in a row agree (at once, where no other engine is ready);
-//! - a draining or departed engine is ready again as a later start of its process;
-//! - without a later start it is a candidate where one numbering reports both the drain and the return, until
-//!   [`CONFIRMATIONS_TO_RETURN`] lists in a row agree;
-//! - a drain or a departure is remembered for a minute and then outweighs a list no longer.
+//! - a list may carry a high number from an earlier numbering, so an engine that a list adds is a candidate
+//!   until [`CONFIRMATIONS_TO_JOIN`] lists in a row agree (ready at once if no other engine is ready);
+//! - a draining engine is ready again as soon as a later start of its process is listed; a departed one with
+//!   a later start joins like a new engine;
+//! - without a later start it is a candidate if the same numbering reports both the drain and the return,
+//!   until [`CONFIRMATIONS_TO_RETURN`] lists in a row agree;
+//! - a drain or a departure is remembered for a minute; after that it no longer overrides a list.
 //!
 //! Times are seconds on the caller's monotonic clock.
 
 use super::set::{Endpoint, EndpointSet};
 use crate::policy::Lifecycle;
 
-/// Lists in a row that must report an engine as ready that was not in the endpoint set.
+/// Consecutive lists that must report an engine as ready before it is added to the endpoint set.
 pub const CONFIRMATIONS_TO_JOIN: u32 = 2;
 
-/// Lists in a row that must report a draining or departed engine as ready where its process did not start again.
+/// Consecutive lists that must report a draining or departed engine as ready if its process did not restart.
 pub const CONFIRMATIONS_TO_RETURN: u32 = 5;
 
-/// How long (s) a drain or a departure outweighs a list that says otherwise: far beyond the age of any response.
+/// How long (s) a drain or a departure overrides a list that contradicts it: far longer than any response can
+/// be delayed.
 const RETENTION: f64 = 60.0;
 
-/// Whether a list is numbered as the one before it.
+/// Whether a list continues the numbering of the previous list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Numbering {
-    /// Its number continues that of the list before it.
+    /// Its number continues the previous list's numbering.
     Same,
-    /// It is the first list of a numbering: nothing reported before says what it changes.
+    /// It is the first list of a numbering: it cannot be compared with earlier lists to see what it changes.
     New,
 }
 
-/// A list that is being applied, and what was known before it.
+/// The circumstances of a list that is being applied, and the state before it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListContext<'a> {
     /// When the list arrived.
     pub now: f64,
     pub numbering: Numbering,
-    /// The list that was accepted before.
+    /// The previously accepted list.
     pub previous: &'a EndpointSet,
-    /// Whether any engine was in the endpoint set.
+    /// Whether any engine was in the endpoint set before this list.
     pub had_endpoints: bool,
 }
 
 impl ListContext<'_> {
-    /// Whether the previous list reported another life cycle of this engine, or did not have it.
+    /// Whether the previous list reported a different life cycle state for this engine, or lacked it.
     fn is_change(&self, listed: &Endpoint) -> bool {
         let previous = self.previous.get(&listed.entry.id);
         previous.is_none_or(|previous| previous.entry.lifecycle != listed.entry.lifecycle)
     }
 }
 
-/// That an engine has left the endpoint set.
+/// The departure of an engine from the endpoint set.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Departure {
     /// Start of the process that left (Unix seconds).
     started: Option<f64>,
     /// When it left.
     pub at: f64,
-    /// The engine was ready until the latest list lacked it, and no further list has agreed.
+    /// The engine was ready before the list with which it left, and no further list has agreed yet.
     pub is_unconfirmed: bool,
 }
 
-/// Where an engine is in its life.
+/// The state of an engine.
 #[derive(Clone, Debug, Default)]
 pub(super) enum EndpointState {
     /// It is not in the endpoint set, and no departure is remembered.
     #[default]
     Unknown,
-    /// New attempts may begin at it.
+    /// New attempts may start on it.
     Ready(Endpoint),
-    /// Its attempts may end, and no new one begins. Where it had left before that, the departure still decides whether it
-    /// may return.
+    /// Its running attempts may finish, but no new one starts. If the engine had left the set before, that
+    /// departure still decides whether it may return.
     Draining { endpoint: Endpoint, since: f64, departure: Option<Departure> },
     /// It has left the endpoint set.
     Departed(Departure),
-    /// It is in the endpoint set as gone: a list of the configuration or of the store names it so.
+    /// It is in the endpoint set as [`Lifecycle::Gone`], because a list from the configuration or the store
+    /// reports it so.
     ListedAsGone { endpoint: Endpoint, departure: Option<Departure> },
 }
 
-/// How far the return or the joining of an engine is confirmed.
+/// How far the joining or the return of an engine is confirmed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidacy {
-    /// Accepted lists in a row that reported the engine as ready.
+    /// Consecutive lists so far that reported the engine as ready.
     confirmations: u32,
-    /// How many must do so.
+    /// How many such lists are required.
     required: u32,
 }
 
-/// What the entry of a list makes of its engine.
+/// The effect of a list entry on its engine.
 #[derive(Debug)]
 pub(super) struct Classification {
-    /// As what the engine is in the endpoint set; absent: it is not in it.
+    /// The engine's entry in the endpoint set; `None`: it is not in the set.
     pub endpoint: Option<Endpoint>,
-    /// What is still to be confirmed until the engine is ready.
+    /// The confirmations that are pending until the engine is ready.
     pub candidacy: Option<Candidacy>,
 }
 
 impl Classification {
-    /// The entry counts as it stands.
+    /// The entry is adopted unchanged.
     fn accepted(listed: &Endpoint) -> Self {
         Self { endpoint: Some(listed.clone()), candidacy: None }
     }
 
-    /// Adds what an earlier entry of the same list made of the engine. Only an entry that reports it as ready
-    /// (`is_ready`) decides about its candidacy.
-    pub fn complete_by(&mut self, earlier: Option<Self>, is_ready: bool) {
+    /// Fills in the effect of an earlier entry for the same engine in the same list. Only an entry that
+    /// reports the engine as ready (`is_ready`) decides on its candidacy.
+    pub fn merge_earlier(&mut self, earlier: Option<Self>, is_ready: bool) {
         let Some(earlier) = earlier else { return };
         self.endpoint = self.endpoint.take().or(earlier.endpoint);
         if !is_ready {
@@ -124,7 +127,7 @@
     }
 }
 
-/// An engine with all that is known of it.
+/// The tracked state of an engine, and its candidacy if it has one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TrackedEndpoint {
     state: EndpointState,
@@ -132,7 +135,7 @@
 }
 
 impl TrackedEndpoint {
-    /// The engine as it is in the endpoint set.
+    /// The engine's entry in the endpoint set, if it is in the set.
     pub fn endpoint(&self) -> Option<&Endpoint> {
         match &self.state {
             EndpointState::Unknown | EndpointState::Departed(_) => None,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// The departure that is remembered.
+    /// The remembered departure.
     pub fn departure(&self) -> Option<&Departure> {
         match &self.state {
             EndpointState::Unknown | EndpointState::Ready(_) => None,
@@ -153,12 +156,12 @@
         }
     }
 
-    /// Whether nothing is known of the engine.
+    /// Whether nothing is known about the engine.
     pub fn is_unknown(&self) -> bool {
         matches!(self.state, EndpointState::Unknown) && self.candidacy.is_none()
     }
 
-    /// What the entry of a list makes of this engine.
+    /// Determines the effect of a list entry on this engine.
     pub fn classify(&self, listed: &Endpoint, list: ListContext) -> Classification {
         if !listed.is_ready() {
             return Classification::accepted(listed);
@@ -182,7 +185,7 @@
         }
     }
 
-    /// A draining engine is listed as ready.
+    /// Classifies a draining engine that is listed as ready.
     fn classify_return_from_drain(
         &self,
         listed: &Endpoint,
@@ -202,7 +205,7 @@
         Classification { endpoint: Some(endpoint), candidacy: self.candidacy_or_new(list, required) }
     }
 
-    /// An engine that has departed is listed as ready.
+    /// Classifies a departed engine that is listed as ready.
     fn classify_return(&self, listed: &Endpoint, list: ListContext, departure: &Departure) -> Classification {
         let has_restarted = listed.started_after(departure.started);
         let required = if has_restarted { CONFIRMATIONS_TO_JOIN } else { CONFIRMATIONS_TO_RETURN };
@@ -213,8 +216,8 @@
         Classification::absent(candidacy)
     }
 
-    /// The candidacy under way, or a new one that takes `required` confirmations. The first list of a numbering, and one
-    /// that finds no endpoints, make none.
+    /// The current candidacy, or a new one that needs `required` confirmations. The first list of a numbering
+    /// ends a candidacy, and a list that arrives when the endpoint set is empty starts none.
     fn candidacy_or_new(&self, list: ListContext, required: Option<u32>) -> Option<Candidacy> {
         if list.numbering == Numbering::New {
             return None;
@@ -224,14 +227,14 @@
         self.candidacy.or(new)
     }
 
-    /// Whether applying this begins a departure.
+    /// Whether the engine departs when this classification is applied.
     pub fn departs_with(&self, classification: &Classification) -> bool {
         let next = classification.endpoint.as_ref();
-        let is_gone = next.is_none_or(|next| next.entry.lifecycle == Lifecycle::Gone);
-        is_gone && self.endpoint() != next
+        let is_departed = next.is_none_or(|next| next.entry.lifecycle == Lifecycle::Gone);
+        is_departed && self.endpoint() != next
     }
 
-    /// Applies what a list made of the engine. Where the endpoint stays the same, so does the state.
+    /// Applies a classification. The state changes only if the endpoint does.
     pub fn apply(&mut self, now: f64, classification: Classification) {
         self.candidacy = classification.candidacy;
         if self.endpoint() != classification.endpoint.as_ref() {
@@ -239,12 +242,13 @@
         }
     }
 
-    /// The state that begins at `now` with this endpoint, or without one.
+    /// The state that the engine enters at `now` with this endpoint, or without one.
     fn next_state(&self, now: f64, next: Option<Endpoint>) -> EndpointState {
         let Some(endpoint) = next else {
             let last = self.endpoint();
-            return last
-                .map_or(EndpointState::Unknown, |last| EndpointState::Departed(self.depart(now, last)));
+            return last.map_or(EndpointState::Unknown, |last| {
+                EndpointState::Departed(self.new_departure(now, last))
+            });
         };
         match endpoint.entry.lifecycle {
             Lifecycle::Ready => EndpointState::Ready(endpoint),
@@ -252,20 +256,20 @@
                 EndpointState::Draining { endpoint, since: now, departure: self.departure().copied() }
             }
             Lifecycle::Gone => {
-                let departure = Some(self.depart(now, &endpoint));
+                let departure = Some(self.new_departure(now, &endpoint));
                 EndpointState::ListedAsGone { endpoint, departure }
             }
         }
     }
 
     /// The departure at `now` of the process that `last` describes.
-    fn depart(&self, now: f64, last: &Endpoint) -> Departure {
+    fn new_departure(&self, now: f64, last: &Endpoint) -> Departure {
         let was_ready = self.endpoint().is_some_and(Endpoint::is_ready);
         Departure { started: last.entry.started, at: now, is_unconfirmed: was_ready }
     }
 
-    /// A further accepted list agrees with what is known. A candidate with all of its confirmations is ready, as
-    /// `listed` reports it.
+    /// Counts another list that agrees with the accepted one. A candidate that has all of its confirmations
+    /// becomes ready, as `listed` reports it.
     pub fn confirm(&mut self, listed: Option<&Endpoint>) {
         let Some(candidacy) = &mut self.candidacy else { return };
         candidacy.confirmations += 1;
@@ -278,21 +282,22 @@
         }
     }
 
-    /// No more confirmations are needed of an engine that joins; one that returns still needs all of them.
+    /// Waives the remaining confirmations of an engine that joins; one that returns still needs all of them.
     pub fn expedite_joining(&mut self) {
         if let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.required == CONFIRMATIONS_TO_JOIN) {
             candidacy.confirmations = candidacy.required;
         }
     }
 
-    /// Confirmations must follow each other: those so far count no more.
+    /// Discards the confirmations so far, because they must be consecutive.
     pub fn reset_confirmations(&mut self) {
         if let Some(candidacy) = &mut self.candidacy {
             candidacy.confirmations = 0;
         }
     }
 
-    /// Another list agrees that the engine has left, or a newer one decides anew.
+    /// Marks the departure as confirmed: another list agrees with it, or a newer one supersedes the list that
+    /// reported it.
     pub fn confirm_departure(&mut self) {
         if let Some(departure) = self.departure_mut() {
             departure.is_unconfirmed = false;
@@ -306,7 +311,7 @@
         }
     }
 
-    /// From here on the engine counts as if it had never left.
+    /// Treats the engine from now on as if it had never left.
     pub fn forget_departure(&mut self) {
         match &mut self.state {
             EndpointState::Departed(_) => self.state = EndpointState::Unknown,
--- a/src/endpoints/tracked.rs
+++ b/src/endpoints/tracked.rs
@@ -1,40 +1,40 @@
-//! The states of all engines, as the accepted lists change them.
+//! The states of all engines, updated by the accepted lists.
 
 use super::set::{Endpoint, EndpointSet};
 use super::state::{Classification, Departure, ListContext, Numbering, TrackedEndpoint};
 use crate::policy::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Departures that are remembered at most; the oldest are forgotten first.
+/// Maximum number of remembered departures; the oldest are forgotten first.
 const MAX_DEPARTURES: usize = 4_096;
 
-/// Engines by id, with their states, and the list that was accepted last.
+/// The states of all engines by id, and the last accepted list.
 #[derive(Debug, Default)]
 pub(super) struct TrackedEndpoints {
     engines: BTreeMap<EngineId, TrackedEndpoint>,
-    /// The accepted list, as it was reported.
+    /// The last accepted list, as it was reported.
     reported: EndpointSet,
 }
 
 impl TrackedEndpoints {
-    /// The list that was accepted last.
+    /// The last accepted list.
     pub fn reported(&self) -> &EndpointSet {
         &self.reported
     }
 
-    /// The endpoint set, in the order of the ids.
+    /// The endpoint set, in the order of engine ids.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.engines.values().filter_map(TrackedEndpoint::endpoint)
     }
 
-    /// Accepts a complete list; an engine that it lacks has left.
+    /// Accepts a complete list; an engine that is missing from it has left.
     pub fn accept(&mut self, now: f64, list: Vec<Endpoint>, numbering: Numbering) {
         for engine in self.engines.values_mut() {
             engine.expire_departure(now);
         }
         let classifications = self.classify(now, &list, numbering);
         self.confirm_departures();
-        // Departures last: a return forgets one, and so frees its place.
+        // Departures are applied last: a return forgets a departure, which frees capacity for another.
         let (present, absent): (Vec<_>, Vec<_>) =
             classifications.into_iter().partition(|(_, classification)| classification.endpoint.is_some());
         for (id, classification) in present.into_iter().chain(absent) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What a list makes of each engine that is known or listed.
+    /// Determines the effect of a list on each engine that is known or listed.
     fn classify(
         &self,
         now: f64,
@@ -65,8 +65,9 @@
             let engine = self.engines.get(id).unwrap_or(&unknown);
             let mut classification = engine.classify(listed, context);
             if !seen.insert(id) {
-                // The list names the engine twice: what this entry does not say, the one before it does.
-                classification.complete_by(classifications.remove(id), listed.is_ready());
+                // The list contains the engine twice: whatever this entry leaves open is taken from the
+                // previous one.
+                classification.merge_earlier(classifications.remove(id), listed.is_ready());
             }
             classifications.insert(id.clone(), classification);
         }
@@ -80,10 +81,11 @@
         self.engines.entry(id).or_default().apply(now, classification);
     }
 
-    /// Forgets the oldest departure where a further one would be too many.
+    /// Forgets the oldest departure if another one would exceed the maximum.
     fn limit_departures(&mut self) {
         let departure = |engine: &TrackedEndpoint| engine.departure().map(|departure| departure.at);
-        // Most engines have none: they need not be counted where even all of them were not too many.
+        // Most engines have no departure: counting is needed only if there would be too many were every
+        // engine to have one.
         let may_be_full = self.engines.len() >= MAX_DEPARTURES;
         if !may_be_full || self.engines.values().filter_map(departure).count() < MAX_DEPARTURES {
             return;
@@ -95,29 +97,31 @@
         }
     }
 
-    /// A complete replacement of the fleet need not wait for a second list.
+    /// Lets joining engines become ready without a second list, as after a complete replacement of the fleet.
     fn expedite_joining(&mut self) {
         self.engines.values_mut().for_each(TrackedEndpoint::expedite_joining);
     }
 
-    /// A list agreed with the one that was accepted last: candidates come closer to ready.
+    /// Counts a list that agrees with the last accepted one as a confirmation of every candidate.
     pub fn confirm_candidates(&mut self) {
         for (id, engine) in &mut self.engines {
             engine.confirm(self.reported.get(id));
         }
     }
 
-    /// A list contradicted the one that was accepted last: candidates begin anew.
+    /// Resets the confirmations of every candidate, after a list that contradicts the last accepted one.
     pub fn reset_confirmations(&mut self) {
         self.engines.values_mut().for_each(TrackedEndpoint::reset_confirmations);
     }
 
-    /// A further list agrees with what the last one lacked.
+    /// Marks all departures as confirmed, after another list that agrees with the last accepted one or
+    /// supersedes it.
     pub fn confirm_departures(&mut self) {
         self.engines.values_mut().for_each(TrackedEndpoint::confirm_departure);
     }
 
-    /// The list that was accepted last was an old one: what it alone lacked has never been away.
+    /// Forgets the departures that were only reported by the last accepted list, because that list turned out
+    /// to be an old one: the engines never left.
     pub fn forget_unconfirmed_departures(&mut self) {
         let is_unconfirmed = |departure: &Departure| departure.is_unconfirmed;
         for engine in self.engines.values_mut() {
--- a/src/endpoints/tracker.rs
+++ b/src/endpoints/tracker.rs
@@ -1,14 +1,17 @@
 //! Which of the directory's lists are accepted, and in which order.
 //!
-//! A response counts only for the query that it answers, and queries are ordered by when they were sent. The number in a
-//! response orders lists within one numbering and no further: a directory that restarted, or another one, begins again. So
+//! A response is evidence only as of its query, and queries are ordered by when they were sent. The number in
+//! a response orders lists within one numbering only: a directory that restarted, or a different one, starts
+//! over. Therefore
 //!
-//! - a higher number brings a newer list, and the current number with the current content confirms it;
-//! - any other response to a later query contradicts the current list. What it does not report as ready is withheld at
-//!   once; after [`CONTRADICTIONS`] in a row without a confirmation between them the numbering has begun again.
+//! - a higher number identifies a newer list, and the current number with the current content confirms the
+//!   current list;
+//! - any other response to a later query contradicts the current list. Engines that it does not report as
+//!   ready are withheld at once; after [`CONTRADICTIONS`] in a row without a confirmation in between, the
+//!   numbering is considered restarted.
 //!
-//! What an accepted list makes of each engine is decided in [`state`](super::state). Times are seconds on the caller's
-//! monotonic clock.
+//! The effect of an accepted list on each engine is determined in [`state`](super::state). Times are seconds
+//! on the caller's monotonic clock.
 
 use super::lease::Lease;
 use super::set::{Endpoint, EndpointSet};
@@ -17,11 +20,11 @@
 use crate::policy::{EngineId, Lifecycle};
 use std::collections::BTreeSet;
 
-/// Responses in a row that contradict the current list until they are taken for a new numbering. A directory that now and
-/// then responds with an old list confirms the current one in between.
+/// Consecutive responses that must contradict the current list before a new numbering is assumed. A directory
+/// that only occasionally responds with an old list confirms the current one in between.
 pub const CONTRADICTIONS: u32 = 5;
 
-/// A complete list, as a response carries it.
+/// A complete list, as contained in a response.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     /// Number of the last event in the list. Numbers wrap around.
@@ -30,31 +33,31 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What became of a list.
+/// The verdict on a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListVerdict {
     /// It is newer, and was accepted.
     Newer,
     /// It agrees with the current list.
     Confirmed,
-    /// It answers an earlier query than the one that confirmed the current list.
+    /// It answers a query that is not later than the one that last confirmed the current list.
     Overtaken,
-    /// It contradicts the current list, as that many did in a row.
+    /// It contradicts the current list; holds the number of consecutive contradictions.
     Contradicts(u32),
-    /// The numbering began again, and this list was accepted.
+    /// The numbering restarted, and this list was accepted.
     Renumbered,
 }
 
-/// What a response changed.
+/// The result of applying a response.
 #[derive(Clone, Debug)]
 pub struct ListOutcome {
-    /// What became of its list.
+    /// The verdict on its list.
     pub verdict: ListVerdict,
-    /// The endpoints that are others than before. A withheld one counts as draining.
+    /// The endpoints that changed. A withheld one is reported as draining.
     pub changes: Vec<Endpoint>,
 }
 
-/// Responses in a row that contradict the current list.
+/// Consecutive responses that contradict the current list.
 #[derive(Clone, Copy, Debug, Default)]
 struct Contradictions {
     count: u32,
@@ -62,11 +65,11 @@
     latest_query: f64,
 }
 
-/// The endpoint set of one coordinator, as the responses of a directory make it.
+/// The endpoint set of one coordinator, derived from the responses of a directory.
 #[derive(Debug)]
 pub struct EndpointTracker {
     lease: Lease,
-    /// The number of the current list; none where the next response begins a numbering.
+    /// The number of the current list; `None` if the next response starts a numbering.
     number: Option<u32>,
     tracked: TrackedEndpoints,
     /// Engines that the latest contradiction does not report as ready.
@@ -75,8 +78,8 @@
 }
 
 impl EndpointTracker {
-    /// Starts from the endpoints of the configuration, which are true at `now`. New attempts may begin at a draining
-    /// engine for `drain_grace` seconds after its drain counts as notified.
+    /// Starts from the endpoints of the configuration, which are correct at `now`. New attempts may start on
+    /// a draining engine for `drain_grace` seconds after its drain counts as notified.
     #[must_use]
     pub fn new(now: f64, drain_grace: f64, number: u32, endpoints: &EndpointSet) -> Self {
         let mut tracker = Self {
@@ -107,13 +110,14 @@
         self.tracked.accept(now, endpoints.to_vec(), Numbering::New);
     }
 
-    /// The next list is of another directory: its numbers do not continue those so far.
+    /// Makes the next list start a numbering: it is from another directory, whose numbers do not continue the
+    /// previous ones.
     pub fn reset_numbering(&mut self) {
         self.number = None;
         self.contradictions = Contradictions::default();
     }
 
-    /// Applies the response, arrived at `now`, to a query sent at `queried_at`.
+    /// Applies a response that arrived at `now`; its query was sent at `queried_at`.
     pub fn apply_response(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListOutcome {
         let mut endpoints = self.endpoints();
         let verdict = self.evaluate(now, queried_at, list);
@@ -123,9 +127,9 @@
 
     fn evaluate(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListVerdict {
         let Some(number) = self.number else {
-            return self.begin_numbering(now, queried_at, list);
+            return self.start_numbering(now, queried_at, list);
         };
-        // Numbers wrap around: the shorter way decides which is ahead.
+        // Numbers wrap around: the sign of the wrapping difference decides which is ahead.
         let ahead = list.number.wrapping_sub(number) as i32;
         if ahead > 0 {
             self.accept(now, queried_at, list, Numbering::Same);
@@ -139,11 +143,12 @@
             self.confirm(queried_at);
             return ListVerdict::Confirmed;
         }
-        self.contradict(now, queried_at, list)
+        self.on_contradiction(now, queried_at, list)
     }
 
-    /// Either the list is an old one, or the numbering began again: only further responses decide which.
-    fn contradict(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListVerdict {
+    /// Handles a contradicting list. Either it is an old one, or the numbering restarted: only further
+    /// responses decide which.
+    fn on_contradiction(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListVerdict {
         if queried_at > self.contradictions.latest_query {
             self.contradictions.latest_query = queried_at;
             self.contradictions.count += 1;
@@ -151,13 +156,13 @@
         self.tracked.reset_confirmations();
         if self.contradictions.count >= CONTRADICTIONS {
             self.tracked.forget_unconfirmed_departures();
-            return self.begin_numbering(now, queried_at, list);
+            return self.start_numbering(now, queried_at, list);
         }
         self.withhold(&list);
         ListVerdict::Contradicts(self.contradictions.count)
     }
 
-    /// Withholds what a contradicting list does not report as ready.
+    /// Withholds the engines that a contradicting list does not report as ready.
     fn withhold(&mut self, list: &EndpointList) {
         let ready: BTreeSet<&EngineId> = list
             .endpoints
@@ -169,7 +174,7 @@
         self.withheld = known.filter(|id| !ready.contains(id)).cloned().collect();
     }
 
-    fn begin_numbering(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListVerdict {
+    fn start_numbering(&mut self, now: f64, queried_at: f64, list: EndpointList) -> ListVerdict {
         self.accept(now, queried_at, list, Numbering::New);
         ListVerdict::Renumbered
     }
@@ -180,7 +185,7 @@
         self.confirm(queried_at);
     }
 
-    /// The current list was true when this query was sent.
+    /// Records that the current list was correct when the query was sent.
     fn confirm(&mut self, queried_at: f64) {
         self.lease.confirm(queried_at);
         self.withheld.clear();
@@ -188,7 +193,7 @@
         self.tracked.confirm_candidates();
     }
 
-    /// The endpoint set; a withheld endpoint counts as draining.
+    /// The endpoint set; a withheld endpoint is included as draining.
     fn endpoints(&self) -> EndpointSet {
         let mut endpoints = self.tracked.endpoints().cloned().collect::<Vec<_>>();
         for endpoint in &mut endpoints {
--- a/src/limits/clients.rs
+++ b/src/limits/clients.rs
@@ -1,39 +1,40 @@
-//! Limits of clients: their connections, requests, request bodies and `MySQL` sessions.
+//! Limits on clients: their connections, requests, request bodies and `MySQL` sessions.
 
 use super::machine::Machine;
 
-/// Bytes of a megabyte.
+/// Bytes per megabyte.
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 
 /// Share of the descriptors that `MySQL` sessions may use.
 const SESSION_DESCRIPTOR_SHARE: f64 = 0.1;
-/// Share of the memory that request bodies may take which are not complete yet.
+/// Share of the memory that incomplete request bodies may occupy.
 const INCOMPLETE_BODY_MEMORY_SHARE: f64 = 0.125;
-/// Least bound of a body that one request may have in memory (bytes).
+/// Lower bound of the limit on the body that one request may have in memory (bytes).
 const MIN_BODY_BYTES: f64 = 16.0 * 1024.0;
-/// Greatest bound of such a body (bytes).
+/// Upper bound of that limit (bytes).
 const MAX_BODY_BYTES: f64 = 128.0 * 1024.0;
 
-/// Limits of client connections.
+/// Limits on client connections.
 #[derive(Clone, Debug)]
 pub struct ClientLimits {
-    /// Connections open at once. For a further one an idle connection is closed, or it waits in the kernel's backlog.
+    /// Maximum number of open connections. At the limit, an idle connection is closed to admit a new one;
+    /// otherwise the new one waits in the kernel's backlog.
     pub max_connections: usize,
-    /// From its first byte, or from connecting, until a request or a login must be complete.
+    /// Time limit for completing a request or a login, from its first byte or from connecting.
     pub request_timeout: f64,
-    /// A new connection is not closed to make room before this age.
+    /// A connection younger than this is not closed to admit a new one.
     pub min_connection_age: f64,
-    /// A connection without an open request is closed after this.
+    /// A connection without an open request is closed after this time.
     pub idle_timeout: f64,
-    /// A rejected connection that is being closed has this long to read its answer.
+    /// How long the client of a rejected connection has to read its answer before the connection is closed.
     pub linger_timeout: f64,
-    /// Answer bytes that one client may leave unread.
+    /// Maximum number of answer bytes that one client may leave unread.
     pub max_unread_answer_bytes: usize,
-    /// The longest that a request is worked on, however long its client would wait.
+    /// Maximum time spent on a request, however long its client would wait.
     pub max_request_time: f64,
-    /// Connections accepted in one iteration of the event loop.
+    /// Maximum number of connections accepted in one iteration of the event loop.
     pub accept_batch: usize,
-    /// After the system had no descriptor or memory for a further connection, none is accepted for so long.
+    /// How long accepting pauses after the system lacked a descriptor or memory for a new connection.
     pub accept_backoff: f64,
 }
 
@@ -53,14 +54,14 @@
     }
 }
 
-/// Limits of messages that are read whole into memory, on every listener.
+/// Limits on messages that are read into memory as a whole, on every listener.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// Request line and headers of one request.
+    /// Size of the request line and headers of one request.
     pub max_head_bytes: usize,
-    /// Header fields of one request.
+    /// Number of header fields of one request.
     pub max_header_fields: usize,
-    /// Body of one request.
+    /// Size of the body of one request.
     pub max_body_bytes: usize,
 }
 
@@ -76,23 +77,24 @@
     }
 }
 
-/// Limits of bodies that go through the body store.
+/// Limits on bodies that pass through the body store.
 #[derive(Clone, Debug)]
 pub struct BodyLimits {
-    /// A body above this goes through the body store, where there is one.
+    /// A body larger than this passes through the body store, if there is one.
     pub max_inline_bytes: usize,
-    /// The largest body that the store takes; 0 without a store.
+    /// The largest body that the store accepts; 0 without a store.
     pub max_bytes: usize,
-    /// A body that is coming in is given up after so long without a byte.
+    /// An incoming body is abandoned after this long without a byte.
     pub stall_timeout: f64,
-    /// From the end of a request's head until its whole body must be here.
+    /// Time limit for receiving a complete body, from the end of the request's head.
     pub upload_timeout: f64,
     /// Retry-After of rejected uploads; `None` where the settings do not allow it.
     pub retry_after: Option<f64>,
 }
 
 impl BodyLimits {
-    /// Without a body store no body goes there; its configuration file changes that.
+    /// Limits without a body store: no body passes through it. They are overwritten if the store's
+    /// configuration file is present.
     pub(super) fn without_store() -> Self {
         Self { max_inline_bytes: 0, max_bytes: 0, stall_timeout: 0.0, upload_timeout: 0.0, retry_after: None }
     }
@@ -101,9 +103,9 @@
 /// Limits of the `MySQL` listener.
 #[derive(Clone, Debug)]
 pub struct MysqlLimits {
-    /// Sessions open at once.
+    /// Maximum number of open sessions.
     pub max_sessions: usize,
-    /// A session without an open request is closed after this.
+    /// A session without an open request is closed after this time.
     pub session_idle_timeout: f64,
     /// Prepared statements of one session, and of one connection to an engine.
     pub max_statements: usize,
--- a/src/limits/discovery.rs
+++ b/src/limits/discovery.rs
@@ -1,25 +1,27 @@
 //! Limits of the sources of the endpoint set.
 
-/// Limits of the sources of the endpoint list.
+/// Limits of the sources of the endpoint set.
 #[derive(Clone, Debug)]
 pub struct DiscoveryLimits {
     /// Interval between two DNS queries.
     pub poll_interval: f64,
-    /// DNS queries that an answer may still come to: 8 s of them. Lists come late, and what they tell counts as notified 7 s
-    /// after it happened in any case.
+    /// DNS queries that may still be answered: those of the last 8 s. Responses may be late, but a change
+    /// counts as notified 7 s after it happened in any case.
     pub max_outstanding_queries: usize,
-    /// A DNS answer: as much as a datagram holds. The protocol says 8,000 bytes, some 75 engines.
+    /// Size of a DNS answer: the maximum size of a datagram. The protocol says 8,000 bytes, about 75 engines.
     pub max_datagram_bytes: usize,
-    /// An answer of Consul.
+    /// Size of an answer from Consul.
     pub max_consul_answer_bytes: usize,
-    /// How long Consul holds a blocking query. What it answers is true as of the query, so with a quarter more, after which
-    /// a silent agent is queried anew, two in a row must fit in the lease on the list.
+    /// How long Consul blocks a query. Its response is valid as of the query, and a silent agent is queried
+    /// again after a quarter more than this time, so two such periods in a row must fit in the lease on the
+    /// list.
     pub consul_wait: f64,
-    /// Delay before Consul is tried again.
+    /// Delay before Consul is queried again after a failure.
     pub consul_retry_delay: f64,
     /// Interval between two reads of the maintenance file, which another process may have changed.
     pub maintenance_poll_interval: f64,
-    /// An engine that has left the list may be put into maintenance for so long: it may be restarting.
+    /// How long an engine that has left the list may still be put into maintenance, since it may be
+    /// restarting.
     pub departed_retention: f64,
 }
 
--- a/src/limits/engines.rs
+++ b/src/limits/engines.rs
@@ -1,4 +1,4 @@
-//! Limits of engines: connections to them and their results.
+//! Limits on connections to engines and on their results.
 
 use super::machine::Machine;
 use super::ADMIN_CONNECTIONS;
@@ -7,26 +7,29 @@
 
 /// Descriptors that the daemon needs for itself: listeners, signals, the directory, standard streams.
 const RESERVED_DESCRIPTORS: usize = 24 + ADMIN_CONNECTIONS;
-/// Share of the engines' idle timeout after which the daemon closes first: a request must not cross their close.
+/// Share of the engines' idle timeout after which the daemon closes a connection first, so that no request
+/// crosses an engine's close.
 const ENGINE_IDLE_SHARE: f64 = 0.8;
-/// The second connection attempt starts after the settings' connect time divided by this. A connection that is not late is
-/// up in a small part of that time, and the rest leaves room for the second.
+/// The second connection attempt starts after the settings' connect time divided by this. An undelayed
+/// connection is established in a small part of that time, and the rest of the connect time is enough for the
+/// second one.
 const SECOND_CONNECT_DIVISOR: f64 = 4.0;
-/// A connection attempt may take so many times the settings' connect time: late connections are as good as others.
+/// A connection attempt may take this many times the settings' connect time, because a connection that is
+/// established late is as good as any other.
 const CONNECT_TIMEOUT_FACTOR: f64 = 8.0;
-/// Subtracted from the drain grace for a slow iteration of the event loop (s).
+/// Subtracted from the drain grace to allow for a slow iteration of the event loop (s).
 const DRAIN_GRACE_MARGIN: f64 = 0.1;
 
-/// Limits of connections to engines.
+/// Limits on connections to engines.
 #[derive(Clone, Debug)]
 pub struct EngineLimits {
-    /// Bytes that one connection may leave unwritten; beyond it nothing more is queued.
+    /// Maximum number of unwritten bytes of one connection; beyond it nothing more is queued.
     pub max_unwritten_bytes: usize,
-    /// Bytes of a large body that are queued to one engine before more are taken from the body store.
+    /// Bytes of a large body that are queued to one engine before more are read from the body store.
     pub max_queued_body_bytes: usize,
-    /// Times that an attempt of which nothing was sent is moved from a connection that ended to another.
+    /// How many times an unsent attempt is moved to another connection after its own has closed.
     pub max_moves: usize,
-    /// Attempts on one connection.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams: usize,
     /// Connections to one engine.
     pub max_connections_per_engine: usize,
@@ -34,20 +37,22 @@
     pub max_mysql_connections_per_engine: usize,
     /// Connections of one upstream to all engines.
     pub max_connections: usize,
-    /// An attempt that waits for a connection to its engine is given up after this.
+    /// An attempt that waits for a connection to its engine gives up after this time.
     pub connection_wait: f64,
-    /// It opens a second connection after this.
+    /// A waiting attempt opens a second connection after this time.
     pub second_connect_after: f64,
-    /// A connection that is not up by then never comes up; those that come up late serve later attempts.
+    /// A connection that is not established after this time is assumed to have failed; one that is
+    /// established late serves later attempts.
     pub connect_timeout: f64,
-    /// Connections to one engine that no attempt waits for any more and that may still come up.
+    /// Maximum number of connections to one engine that are still being established although no attempt waits
+    /// for them any more.
     pub max_spare_connects: usize,
-    /// A connection without attempts is closed after this, before the engine does.
+    /// A connection without attempts is closed after this time, before the engine closes it.
     pub idle_timeout: f64,
-    /// An attempt that was abandoned bars its id from its connection for so long: a late answer must not be taken for one to
-    /// the next attempt.
+    /// How long the id of an abandoned attempt is barred from its connection, so that a late answer cannot be
+    /// mistaken for one to the next attempt.
     pub late_answer_window: f64,
-    /// From being notified that an engine drains until nothing new may be sent to it.
+    /// How long new attempts may still be sent to an engine after the notification that it drains.
     pub drain_grace: f64,
 }
 
@@ -79,20 +84,20 @@
     }
 }
 
-/// Limits of engines' results.
+/// Limits on engines' results.
 #[derive(Clone, Debug)]
 pub struct ResultLimits {
     /// Rows of one result.
     pub max_rows: usize,
     /// Rows of one page.
     pub page_rows: usize,
-    /// Pages of one result: full ones are eight.
+    /// Pages of one result. Eight full pages reach `max_rows`; pages need not be full.
     pub max_pages: usize,
-    /// One answer of an engine as it is framed.
+    /// Size of one framed answer of an engine.
     pub max_frame_bytes: usize,
-    /// From the first byte of an answer, or from one page, until the rest or the next page must be here.
+    /// Time limit for the rest of an answer after its first byte, or for the next page after a page.
     pub stall_timeout: f64,
-    /// An answer that comes so near its deadline came because of it.
+    /// An answer this close to its deadline is attributed to the deadline.
     pub deadline_margin: f64,
 }
 
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,8 +1,8 @@
-//! Every size, count and time that bounds the daemon, computed once at start from the platform's configuration and handed
-//! down read-only.
+//! All limits on the daemon's sizes, counts and times, computed once at startup from the platform's
+//! configuration and passed down read-only.
 //!
-//! Sizes are bytes and times are seconds unless a field says otherwise. Values that the configuration does not name are
-//! constants of these modules.
+//! Sizes are bytes and times are seconds unless stated otherwise. Values that the configuration does not
+//! specify are constants of these modules.
 
 mod clients;
 mod discovery;
@@ -27,9 +27,9 @@
 pub struct Limits {
     /// Client connections of all listeners.
     pub clients: ClientLimits,
-    /// Messages that are read whole into memory.
+    /// Messages that are read into memory as a whole.
     pub http: HttpLimits,
-    /// Bodies that go through the body store.
+    /// Bodies that pass through the body store.
     pub bodies: BodyLimits,
     /// The `MySQL` listener.
     pub mysql: MysqlLimits,
@@ -37,7 +37,7 @@
     pub results: ResultLimits,
     /// Connections to engines.
     pub engines: EngineLimits,
-    /// Sources of the endpoint list.
+    /// Sources of the endpoint set.
     pub discovery: DiscoveryLimits,
     /// The replicated store.
     pub store: StoreLimits,
@@ -50,14 +50,15 @@
 }
 
 impl Limits {
-    /// Computes the limits from the platform's configuration. `in_pairs`: an upgrade runs two processes side by side.
+    /// Computes the limits from the platform's configuration. `side_by_side_upgrades`: an upgrade runs two
+    /// processes side by side.
     ///
     /// # Errors
-    /// Names the setting that has a wrong type.
-    pub fn from_config(config: &Value, in_pairs: bool) -> Result<Self, SettingsError> {
+    /// Names the setting that has the wrong type.
+    pub fn from_config(config: &Value, side_by_side_upgrades: bool) -> Result<Self, SettingsError> {
         let config = object(config, "the configuration")?;
         let settings = object_field(config, "settings")?;
-        let machine = Machine::from_config(config, in_pairs)?;
+        let machine = Machine::from_config(config, side_by_side_upgrades)?;
         Ok(Self {
             clients: ClientLimits::new(&machine),
             http: HttpLimits::new(&machine),
@@ -69,12 +70,12 @@
             store: StoreLimits { max_connections: 32 },
             admin: AdminLimits { max_connections: ADMIN_CONNECTIONS },
             event_loop: EventLoopLimits { suspend_threshold: 0.5, catch_up_timeout: 0.1 },
-            shutdown: ShutdownLimits::from_settings(settings, in_pairs)?,
+            shutdown: ShutdownLimits::from_settings(settings, side_by_side_upgrades)?,
         })
     }
 
-    /// Leaves to each upstream's connections the descriptors that the listeners that are open do not need. `mysql` and
-    /// `store` say whether the `MySQL` listener and the replicated store are there.
+    /// Divides the descriptors that the enabled listeners do not need among the upstreams' connections.
+    /// `mysql` and `store`: whether the `MySQL` listener and the replicated store are enabled.
     pub fn reserve_descriptors(&mut self, mysql: bool, store: bool) {
         let sessions = if mysql { self.mysql.max_sessions } else { 0 };
         let members = if store { self.store.max_connections } else { 0 };
@@ -87,22 +88,22 @@
 /// Limits of the replicated store.
 #[derive(Clone, Debug)]
 pub struct StoreLimits {
-    /// Connections of members, operators and watchers, where the store's file does not say.
+    /// Connections of members, operators and watchers, if the store's file does not specify them.
     pub max_connections: usize,
 }
 
 /// Limits of the admin interface.
 #[derive(Clone, Debug)]
 pub struct AdminLimits {
-    /// Connections open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
 }
 
 /// Limits of the event loop.
 #[derive(Clone, Debug)]
 pub struct EventLoopLimits {
-    /// A loop that is later than this was suspended.
+    /// If the loop is later than this, the process is considered to have been suspended.
     pub suspend_threshold: f64,
-    /// After a suspension the loop waits for the directory before it admits anything, for so long at the most.
+    /// After a suspension the loop waits at most this long for the directory before it admits anything.
     pub catch_up_timeout: f64,
 }
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -1,11 +1,11 @@
-//! Classes of requests, kinds of engines and tenants in a settings object.
+//! Request classes, engine kinds and tenants of a settings object.
 
 use super::fields::{boolean, boolean_at, field, list, number, number_at, object, text, texts};
 use super::SettingsError;
 use crate::policy::{ClassSettings, DedupScope, Idempotency, KindSettings, TenantSettings};
 use serde_json::{Map, Value};
 
-/// How long a client of a class waits in all, where its settings do not say (s).
+/// How long a client waits in total, if the settings of its class do not specify it (s).
 pub const DEFAULT_CLIENT_TIMEOUT: f64 = 30.0;
 
 /// All classes, in the order of the settings. `engine_family` has arrays in the same order.
@@ -73,7 +73,7 @@
     field(map, key).map(|_| texts(map, key)).transpose()
 }
 
-/// All kinds of engines, in the order of the settings. `engine_family` has arrays in the same order.
+/// All engine kinds, in the order of the settings. `engine_family` has arrays in the same order.
 pub(super) fn kinds(
     settings: &Map<String, Value>,
     engine_family: &Map<String, Value>,
@@ -89,7 +89,7 @@
     names.map(kind).collect()
 }
 
-/// All tenants, in the order of the settings. One without a quota has no bound.
+/// All tenants, in the order of the settings. A tenant without a quota is unlimited.
 pub(super) fn tenants(settings: &Map<String, Value>) -> Result<Vec<TenantSettings>, SettingsError> {
     let tenant = |value: &Value| {
         let map = object(value, "a tenant")?;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with a settings object.
+//! Errors in a settings object.
 
 use thiserror::Error;
 
-/// Why a settings object was not accepted.
+/// Why a settings object was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// A setting that must be a number is not.
@@ -35,14 +35,14 @@
         /// The setting.
         key: String,
     },
-    /// An array of strings has an element that is none.
-    #[error("setting {key} holds no text")]
+    /// An array of strings has an element that is not a string.
+    #[error("setting {key} has an element that is not a text")]
     ElementNotAText {
         /// The setting.
         key: String,
     },
-    /// An array in the order of classes or kinds has an element of a wrong type.
-    #[error("setting {key} holds a wrong type")]
+    /// An array in the order of classes or kinds has an element of the wrong type.
+    #[error("setting {key} has an element of the wrong type")]
     ElementOfWrongType {
         /// The setting.
         key: String,
@@ -50,15 +50,15 @@
     /// A value that is not a setting itself, such as an element of `classes`, is not an object.
     #[error("{what} is not an object")]
     ValueNotAnObject {
-        /// What the value stands for, as in `a class`.
+        /// What the value represents, such as `a class`.
         what: String,
     },
-    /// A setting with a fixed choice of values has another one.
+    /// A setting with a fixed set of values has a value outside it.
     #[error("setting {key}: unknown {value}")]
     UnknownValue {
         /// The setting.
         key: String,
-        /// The value that it has.
+        /// The rejected value.
         value: String,
     },
     /// A class without a name, or with a name that is not a string.
--- a/src/settings/fields.rs
+++ b/src/settings/fields.rs
@@ -1,10 +1,10 @@
-//! Typed access to the fields of a JSON object. A field that is `null` counts as absent.
+//! Typed access to the fields of a JSON object. A field that is `null` is treated as absent.
 
 use super::SettingsError;
 use serde_json::{Map, Value};
 use std::sync::LazyLock;
 
-/// Stands in for an object that is absent.
+/// Returned in place of an absent object.
 static EMPTY_OBJECT: LazyLock<Map<String, Value>> = LazyLock::new(Map::new);
 
 /// The value of a field; `None` if it is absent or null.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! Reads the settings object that every coordinator is handed at its start into [`Settings`].
+//! Parses the settings object that every coordinator receives at startup into [`Settings`].
 //!
-//! The simulator and the platform hand over the same object. A setting that is absent or null has a default; one of a wrong
-//! type is an error that names it. The keys are those of the platform.
+//! The simulator and the platform pass the same object. A setting that is absent or null has a default; one
+//! of the wrong type is an error that names it. The keys are defined by the platform.
 
 mod classes;
 mod error;
@@ -18,11 +18,11 @@
 struct Sections<'a> {
     /// Properties of the engines, and arrays in the order of classes and kinds.
     engine_family: &'a Map<String, Value>,
-    /// What attempts may do.
+    /// Limits on attempts, and what the coordinator may do with them.
     limits: &'a Map<String, Value>,
     /// Warm-up, overload and retries.
     rules: &'a Map<String, Value>,
-    /// Costs in requests served.
+    /// Costs, expressed in numbers of served requests.
     prices: &'a Map<String, Value>,
 }
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// Reads a settings object.
+/// Parses a settings object.
 ///
 /// # Errors
-/// The first setting with a wrong type or an unknown value, in the order in which they are read here.
+/// The first setting with the wrong type or an unknown value, in the order in which they are read here.
 pub fn parse_settings(settings: &Map<String, Value>) -> Result<Settings, SettingsError> {
     let Sections { engine_family, limits, rules, prices } = Sections::new(settings)?;
     Ok(Settings {
@@ -78,7 +78,7 @@
     number(limits, "maxRetryAfter", 0.0).map(Some)
 }
 
-/// The budget for retries; `None` if none of its settings is there.
+/// The retry budget; `None` if none of its settings is present.
 fn retry_budget(rules: &Map<String, Value>) -> Result<Option<RetryBudget>, SettingsError> {
     if ["budgetFree", "resendRatio", "lookBack"].iter().all(|key| field(rules, key).is_none()) {
         return Ok(None);
--- a/tests/core_state.rs
+++ b/tests/core_state.rs
@@ -1,4 +1,4 @@
-//! The state that the core keeps of requests, and the classes that it derives.
+//! Request and attempt state in the core's request table, and the derived classes.
 
 #[path = "../src/core/derived_classes.rs"]
 mod derived_classes;
@@ -52,20 +52,20 @@
 fn a_request_is_closed_once() {
     let (mut table, id) = table();
     assert!(table.is_open(&id));
-    assert_eq!(table.open(), 1);
+    assert_eq!(table.open_count(), 1);
     assert!(table.close(&id, RequestStatus::Answered).is_some());
     assert!(table.close(&id, RequestStatus::Withdrawn).is_none());
     assert!(!table.is_open(&id));
-    assert_eq!(table.open(), 0);
-    assert!(table.close(&"r2".into(), RequestStatus::Answered).is_none(), "not known");
+    assert_eq!(table.open_count(), 0);
+    assert!(table.close(&"r2".into(), RequestStatus::Answered).is_none(), "unknown request");
 }
 
 #[test]
 fn an_attempt_ends_once() {
     let (mut table, id) = table();
-    assert!(!table.end_attempt(&attempt(&id, 0)), "not there yet");
-    assert_eq!(table.get_mut(&id).expect("there").add_running_attempt(), 0);
-    assert_eq!(table.get_mut(&id).expect("there").add_ended_attempt(), 1);
+    assert!(!table.end_attempt(&attempt(&id, 0)), "no attempt yet");
+    assert_eq!(table.get_mut(&id).expect("a known request").add_running_attempt(), 0);
+    assert_eq!(table.get_mut(&id).expect("a known request").add_ended_attempt(), 1);
     assert!(table.is_running(&attempt(&id, 0)));
     assert!(!table.is_running(&attempt(&id, 1)));
     assert!(!table.end_attempt(&attempt(&id, 1)));
@@ -77,24 +77,24 @@
 #[test]
 fn a_request_is_removed_once_it_is_closed_and_its_attempts_have_ended() {
     let (mut table, id) = table();
-    table.get_mut(&id).expect("there").add_running_attempt();
+    table.get_mut(&id).expect("a known request").add_running_attempt();
     table.remove_finished(&id);
-    assert!(table.get(&id).is_some(), "open");
+    assert!(table.get(&id).is_some(), "still open");
     table.close(&id, RequestStatus::Answered);
     table.remove_finished(&id);
-    assert!(table.get(&id).is_some(), "an attempt runs");
+    assert!(table.get(&id).is_some(), "an attempt is running");
     table.end_attempt(&attempt(&id, 0));
     table.remove_finished(&id);
     assert!(table.get(&id).is_none());
 }
 
 #[test]
-fn a_priority_changes_for_attempts_that_run_with_another() {
+fn set_terms_returns_running_attempts_whose_priority_changed() {
     let (mut table, id) = table();
-    let request = table.get_mut(&id).expect("there");
+    let request = table.get_mut(&id).expect("a known request");
     request.add_running_attempt();
     request.add_ended_attempt();
-    assert!(request.set_terms(Some(64.0), 1).is_empty(), "as before");
+    assert!(request.set_terms(Some(64.0), 1).is_empty(), "unchanged priority");
     assert_eq!(request.set_terms(Some(64.0), 3), [0]);
     request.add_running_attempt();
     assert!(request.set_terms(None, 3).is_empty());
@@ -108,10 +108,10 @@
         {"name": "keyed", "effect": "by_key"},
         {"name": "never", "effect": "once"},
     ]});
-    parse_settings(object(&value, "settings").expect("an object")).expect("right")
+    parse_settings(object(&value, "settings").expect("an object")).expect("valid settings")
 }
 
-/// For each class: the class of a request with a key, without one, and with an unbuffered body.
+/// For each class: the class applied to a request with a key, without a key, and with an unbuffered body.
 fn derived(may_have_unbuffered: bool) -> (Settings, Vec<[usize; 3]>) {
     let mut settings = settings();
     let classes = DerivedClasses::append_to(&mut settings, may_have_unbuffered);
@@ -122,12 +122,12 @@
         let unbuffered = Request { uploading: true, ..with_key.clone() };
         [with_key, without_key, unbuffered].map(|request| classes.class_of(&request))
     };
-    let of_each = (0..3).map(class_of).collect();
-    (settings, of_each)
+    let by_class = (0..3).map(class_of).collect();
+    (settings, by_class)
 }
 
 #[test]
-fn requests_that_must_not_run_twice_have_a_class_that_says_so() {
+fn requests_that_must_not_run_twice_get_a_class_that_forbids_repeats() {
     let (with_unbuffered, classes) = derived(true);
     assert_eq!(classes, [[0, 0, 3], [1, 4, 4], [2, 2, 2]]);
     let names: Vec<&str> = with_unbuffered.classes.iter().map(|class| class.name.as_str()).collect();
--- a/tests/settings_errors.rs
+++ b/tests/settings_errors.rs
@@ -1,4 +1,4 @@
-//! The text of each error in the configuration and in its settings, and which of several is reported.
+//! The message of each error in the configuration and in its settings, and which error is reported first.
 
 #[path = "../src/config/error.rs"]
 #[allow(dead_code)]
@@ -12,7 +12,7 @@
 #[allow(dead_code)]
 pub mod endpoint_json;
 
-/// The path by which the program's modules know the endpoints.
+/// The module path under which the program's modules import the endpoint format.
 mod discovery {
     pub use super::endpoint_json;
 }
@@ -27,25 +27,25 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// What `endpoint_json` needs of the module that it is part of.
+/// The function that `endpoint_json` imports from its parent module.
 fn start_time(unix_ms: f64) -> Option<f64> {
     Some(unix_ms / 1000.0).filter(|seconds| *seconds > 0.0)
 }
 
 fn settings_error(value: &Value) -> String {
     let map = object(value, "settings").expect("an object");
-    parse_settings(map).expect_err("it is wrong").to_string()
+    parse_settings(map).expect_err("invalid settings").to_string()
 }
 
 #[test]
-fn each_kind_of_wrong_setting_has_its_text() {
+fn each_kind_of_settings_error_has_its_message() {
     let class = |class: Value| json!({"classes": [class]});
     let cases = [
         (json!({"fleetSize": "x"}), "setting fleetSize is not a number"),
         (json!({"limits": {"cancel": 1}}), "setting cancel is not true or false"),
         (json!({"locality": 1}), "setting locality is not a text"),
         (json!({"classes": 4}), "setting classes is not a list"),
-        (json!({"flavors": ["std", 1]}), "setting flavors holds no text"),
+        (json!({"flavors": ["std", 1]}), "setting flavors has an element that is not a text"),
         (json!({"rules": 4}), "setting rules is not an object"),
         (json!({"classes": [1]}), "a class is not an object"),
         (json!({"tenants": [1]}), "a tenant is not an object"),
@@ -53,14 +53,14 @@
         (class(json!({"name": 1})), "a class has no name"),
         (class(json!({"name": "q", "effect": "odd"})), "setting effect: unknown odd"),
         (class(json!({"name": "q", "group": "odd"})), "setting group: unknown odd"),
-        (class(json!({"name": "q", "runsOn": [1]})), "setting runsOn holds no text"),
+        (class(json!({"name": "q", "runsOn": [1]})), "setting runsOn has an element that is not a text"),
         (
             json!({"classes": [{"name": "q"}], "familyInfo": {"classThreads": ["x"]}}),
-            "setting classThreads holds a wrong type",
+            "setting classThreads has an element of the wrong type",
         ),
         (
             json!({"classes": [{"name": "q"}], "familyInfo": {"loads": [1]}}),
-            "setting loads holds a wrong type",
+            "setting loads has an element of the wrong type",
         ),
     ];
     for (value, text) in cases {
@@ -69,18 +69,18 @@
     assert_eq!(object(&json!(1), "settings").expect_err("a number").to_string(), "settings is not an object");
 }
 
-/// Takes away what stands at a path of keys.
+/// Removes the value at a path of keys.
 fn remove(value: &mut Value, path: &str) {
     let (parent, key) = path.rsplit_once('/').expect("a path");
-    let parent = value.pointer_mut(parent).expect("it is there").as_object_mut().expect("an object");
+    let parent = value.pointer_mut(parent).expect("an existing parent").as_object_mut().expect("an object");
     assert!(parent.remove(key).is_some(), "{path}");
 }
 
-/// What is wrong next: the path of the setting to remove afterwards, the error's text, and what else to repair.
+/// The next error: the path of the setting to remove afterwards, the message, and what else to repair.
 type Step<'a> = (&'a str, &'a str, &'a dyn Fn(&mut Value));
 
 #[test]
-fn settings_are_checked_in_this_order() {
+fn first_settings_error_in_reading_order_is_reported() {
     let mut value =
         json!({"familyInfo": 1, "limits": 1, "rules": 1, "prices": 1, "classes": 1, "flavors": 1});
     for key in ["familyInfo", "limits", "rules", "prices"] {
@@ -88,7 +88,7 @@
         remove(&mut value, &format!("/{key}"));
     }
 
-    // Every value is of a type that its setting cannot have; each error in its turn is taken away.
+    // Every value has a type that its setting does not accept; each error is removed after it was reported.
     let mut value = json!({
         "classes": [{"effect": 1, "group": 1, "giveUp": "x", "objective": "x", "aimStretch": "x",
             "importance": "x", "lateValue": "x", "memorySpan": "x", "inTurn": 1, "stream": 1, "zonesAllowed": 1,
@@ -164,13 +164,13 @@
 }
 
 #[test]
-fn classes_and_tenants_stay_as_they_are_in_service() {
+fn class_and_tenant_identities_cannot_change_in_service() {
     let value = json!({
         "classes": [{"name": "a", "effect": "repeatable"}, {"name": "b"}],
         "tenants": [{"name": "t"}, {"name": "u"}],
     });
-    let base = parse_settings(object(&value, "settings").expect("an object")).expect("right");
-    let checked = |change: fn(&mut Settings)| {
+    let base = parse_settings(object(&value, "settings").expect("an object")).expect("valid settings");
+    let check_result = |change: fn(&mut Settings)| {
         let mut other = base.clone();
         change(&mut other);
         FixedSettings::of(&base).check(&other).map_err(|error| error.to_string())
@@ -178,24 +178,24 @@
     let classes =
         Err("classes: names, order and effect cannot change in service, only at a restart".to_string());
     let tenants = Err("tenants: names and order cannot change in service, only at a restart".to_string());
-    assert_eq!(checked(|other| other.classes[0].client_timeout = 1.0), Ok(()));
-    assert_eq!(checked(|other| other.classes[0].name = "c".into()), classes);
-    assert_eq!(checked(|other| other.classes[0].idempotency = Idempotency::Never), classes);
-    assert_eq!(checked(|other| other.classes.swap(0, 1)), classes);
-    assert_eq!(checked(|other| other.classes.truncate(1)), classes);
-    assert_eq!(checked(|other| other.tenants[0].quota_per_s = 1.0), Ok(()));
-    assert_eq!(checked(|other| other.tenants[0].name = "v".into()), tenants);
-    assert_eq!(checked(|other| other.tenants.swap(0, 1)), tenants);
+    assert_eq!(check_result(|other| other.classes[0].client_timeout = 1.0), Ok(()));
+    assert_eq!(check_result(|other| other.classes[0].name = "c".into()), classes);
+    assert_eq!(check_result(|other| other.classes[0].idempotency = Idempotency::Never), classes);
+    assert_eq!(check_result(|other| other.classes.swap(0, 1)), classes);
+    assert_eq!(check_result(|other| other.classes.truncate(1)), classes);
+    assert_eq!(check_result(|other| other.tenants[0].quota_per_s = 1.0), Ok(()));
+    assert_eq!(check_result(|other| other.tenants[0].name = "v".into()), tenants);
+    assert_eq!(check_result(|other| other.tenants.swap(0, 1)), tenants);
     let both = |other: &mut Settings| {
         other.tenants.clear();
         other.classes.clear();
     };
-    assert_eq!(checked(both), classes, "classes are checked first");
+    assert_eq!(check_result(both), classes, "classes are checked first");
 }
 
 #[test]
-fn what_is_wrong_in_the_store_is_reported_as_such() {
-    let source = serde_json::from_str::<Value>("{").expect_err("cut off");
+fn errors_in_stored_values_name_the_stored_value() {
+    let source = serde_json::from_str::<Value>("{").expect_err("truncated JSON");
     assert_eq!(
         ConfigError::StoredSettings(source).to_string(),
         "stored settings: EOF while parsing an object at line 1 column 1"
@@ -206,25 +206,25 @@
     );
 }
 
-/// A folder of its own, with a `deploy` in it; removed at the end.
-struct Folder(PathBuf);
+/// A temporary directory with a `deploy` directory in it; removed when dropped.
+struct ConfigDir(PathBuf);
 
-impl Folder {
+impl ConfigDir {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("dahliaspoke-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(path.join("deploy")).expect("a folder");
+        std::fs::create_dir_all(path.join("deploy")).expect("a new directory");
         Self(path)
     }
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("written");
+        std::fs::write(&path, text).expect("a written file");
         path
     }
 
-    /// What the program reports when it is run here.
-    fn reported(&self, arguments: &[&str], environment: &[(&str, &str)]) -> String {
-        let done = Command::new(env!("CARGO_BIN_EXE_dahliaspoke"))
+    /// The error that the program reports when run in this directory.
+    fn reported_error(&self, arguments: &[&str], environment: &[(&str, &str)]) -> String {
+        let command_output = Command::new(env!("CARGO_BIN_EXE_dahliaspoke"))
             .current_dir(&self.0)
             .args(arguments)
             .env_remove("NODE_CONFIG")
@@ -232,26 +232,26 @@
             .env_remove("NODE_INHERITED_FD")
             .envs(environment.iter().copied())
             .output()
-            .expect("it starts");
-        assert!(!done.status.success());
-        String::from_utf8(done.stderr).expect("text").trim_end().to_string()
+            .expect("the program starts");
+        assert!(!command_output.status.success());
+        String::from_utf8(command_output.stderr).expect("UTF-8").trim_end().to_string()
     }
 
-    /// What the program reports about a file.
-    fn checked(&self, path: &Path) -> String {
-        self.reported(&["check", path.to_str().expect("text")], &[])
+    /// The error that the program reports when it checks a file.
+    fn check_result(&self, path: &Path) -> String {
+        self.reported_error(&["check", path.to_str().expect("UTF-8")], &[])
     }
 }
 
-impl Drop for Folder {
+impl Drop for ConfigDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn the_configuration_is_checked_in_this_order() {
-    let folder = Folder::new("configuration-order");
+fn first_configuration_error_in_reading_order_is_reported() {
+    let directory = ConfigDir::new("configuration-order");
     let mut value = json!({
         "console": 1, "seed": 1, "name": 1, "listen": "nowhere", "names": "nowhere", "known": 1, "settings": 1,
         "limits": 1,
@@ -280,25 +280,25 @@
         ("settings", "setting drainGrace is not a number", json!(1)),
     ];
     for (key, text, next) in steps {
-        let path = folder.write("config.json", &value.to_string());
-        assert_eq!(folder.checked(&path), format!("dahliaspoke: {}: {text}", path.display()));
+        let path = directory.write("config.json", &value.to_string());
+        assert_eq!(directory.check_result(&path), format!("dahliaspoke: {}: {text}", path.display()));
         value[key] = next;
     }
-    let path = folder.write("config.json", "[]");
+    let path = directory.write("config.json", "[]");
     assert_eq!(
-        folder.checked(&path),
+        directory.check_result(&path),
         format!("dahliaspoke: {}: the configuration is not an object", path.display())
     );
 }
 
 #[test]
-fn what_the_environment_names_is_reported() {
-    let folder = Folder::new("environment");
-    let empty = folder.write("config.json", "{");
-    let empty = empty.to_str().expect("text");
+fn environment_errors_name_the_variable_or_its_file() {
+    let directory = ConfigDir::new("environment");
+    let empty = directory.write("config.json", "{");
+    let empty = empty.to_str().expect("UTF-8");
     let config =
-        folder.write("good.json", &json!({"listen": "127.0.0.1:0", "names": "127.0.0.1:0"}).to_string());
-    let config = config.to_str().expect("text");
+        directory.write("good.json", &json!({"listen": "127.0.0.1:0", "names": "127.0.0.1:0"}).to_string());
+    let config = config.to_str().expect("UTF-8");
     let cases: [(&[(&str, &str)], String); 5] = [
         (&[], "NODE_CONFIG: environment variable not found".into()),
         (&[("NODE_CONFIG", "none.json")], "none.json: No such file or directory (os error 2)".into()),
@@ -316,13 +316,13 @@
         ),
     ];
     for (environment, text) in cases {
-        assert_eq!(folder.reported(&[], environment), format!("dahliaspoke: {text}"));
+        assert_eq!(directory.reported_error(&[], environment), format!("dahliaspoke: {text}"));
     }
 }
 
 #[test]
-fn what_is_wrong_with_a_file_is_reported_with_line_and_key() {
-    let folder = Folder::new("files");
+fn config_file_errors_name_the_line_and_the_key() {
+    let directory = ConfigDir::new("files");
     let cases = [
         (
             "log.toml",
@@ -337,11 +337,17 @@
         ),
         ("trace.toml", "requests\n", "line 1, \"requests\": key with no value, expected `=`"),
     ];
-    for (name, text, reported) in cases {
-        let path = folder.write(name, text);
-        assert_eq!(folder.checked(&path), format!("dahliaspoke: {}: {reported}", path.display()));
+    for (name, text, reported_error) in cases {
+        let path = directory.write(name, text);
+        assert_eq!(
+            directory.check_result(&path),
+            format!("dahliaspoke: {}: {reported_error}", path.display())
+        );
     }
-    // One that is there and cannot be read is not taken for one that is absent.
-    std::fs::create_dir(folder.0.join("deploy/log.toml")).expect("a folder");
-    assert_eq!(folder.reported(&[], &[]), "dahliaspoke: deploy/log.toml: Is a directory (os error 21)");
+    // An unreadable file is an error; only an absent one is optional.
+    std::fs::create_dir(directory.0.join("deploy/log.toml")).expect("a new directory");
+    assert_eq!(
+        directory.reported_error(&[], &[]),
+        "dahliaspoke: deploy/log.toml: Is a directory (os error 21)"
+    );
 }
