--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -46,7 +46,7 @@
     pub error: u64,
     /// Attempts that were rejected before they ran.
     pub full: u64,
-    /// Attempts without a timely answer.
+    /// Attempts that were not answered in time.
     pub timeout: u64,
     /// Attempts whose connection was refused.
     pub unreachable: u64,
--- a/src/core/fixed_settings.rs
+++ b/src/core/fixed_settings.rs
@@ -30,7 +30,7 @@
 }
 
 impl FixedSettings {
-    /// The fixed part of these settings.
+    /// Extracts the fixed part of these settings.
     pub(super) fn of(settings: &Settings) -> Self {
         let class =
             |class: &ClassSettings| FixedClass { name: class.name.clone(), idempotency: class.idempotency };
--- a/src/endpoints/set.rs
+++ b/src/endpoints/set.rs
@@ -7,7 +7,7 @@
 /// An engine with its address, as a list reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// What the policy knows of the engine.
+    /// What the policy knows about the engine.
     pub entry: EngineEntry,
     /// Where the engine listens; `None` for one that has been removed.
     pub address: Option<SocketAddr>,
@@ -70,7 +70,7 @@
         self.0.values().cloned().collect()
     }
 
-    /// Whether no endpoint is known.
+    /// Whether there are no endpoints.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/src/endpoints/state.rs
+++ b/src/endpoints/state.rs
@@ -38,7 +38,7 @@
     New,
 }
 
-/// The circumstances of a list that is being applied, and the state before it.
+/// Context for applying a list: when it arrived, how it is numbered, and the state before it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListContext<'a> {
     /// When the list arrived.
--- a/src/endpoints/tracked.rs
+++ b/src/endpoints/tracked.rs
@@ -84,8 +84,8 @@
     /// Forgets the oldest departure if another one would exceed the maximum.
     fn limit_departures(&mut self) {
         let departure = |engine: &TrackedEndpoint| engine.departure().map(|departure| departure.at);
-        // Most engines have no departure: counting is needed only if there would be too many were every
-        // engine to have one.
+        // Most engines have no departure, so they are counted only if the maximum would be reached were all
+        // of them to have one.
         let may_be_full = self.engines.len() >= MAX_DEPARTURES;
         if !may_be_full || self.engines.values().filter_map(departure).count() < MAX_DEPARTURES {
             return;
--- a/src/limits/clients.rs
+++ b/src/limits/clients.rs
@@ -57,11 +57,11 @@
 /// Limits on messages that are read into memory as a whole, on every listener.
 #[derive(Clone, Debug)]
 pub struct HttpLimits {
-    /// Size of the request line and headers of one request.
+    /// Maximum size of the request line and headers of one request.
     pub max_head_bytes: usize,
-    /// Number of header fields of one request.
+    /// Maximum number of header fields of one request.
     pub max_header_fields: usize,
-    /// Size of the body of one request.
+    /// Maximum size of the body of one request.
     pub max_body_bytes: usize,
 }
 
@@ -107,11 +107,11 @@
     pub max_sessions: usize,
     /// A session without an open request is closed after this time.
     pub session_idle_timeout: f64,
-    /// Prepared statements of one session, and of one connection to an engine.
+    /// Maximum number of prepared statements of one session, and of one connection to an engine.
     pub max_statements: usize,
-    /// Packets of one result.
+    /// Maximum number of packets in one result.
     pub max_result_packets: usize,
-    /// Bytes of one result.
+    /// Maximum size of one result.
     pub max_result_bytes: usize,
 }
 
--- a/src/limits/discovery.rs
+++ b/src/limits/discovery.rs
@@ -8,9 +8,9 @@
     /// DNS queries that may still be answered: those of the last 8 s. Responses may be late, but a change
     /// counts as notified 7 s after it happened in any case.
     pub max_outstanding_queries: usize,
-    /// Size of a DNS answer: the maximum size of a datagram. The protocol says 8,000 bytes, about 75 engines.
+    /// Maximum size of a DNS answer: that of a datagram. The protocol says 8,000 bytes, about 75 engines.
     pub max_datagram_bytes: usize,
-    /// Size of an answer from Consul.
+    /// Maximum size of an answer from Consul.
     pub max_consul_answer_bytes: usize,
     /// How long Consul blocks a query. Its response is valid as of the query, and a silent agent is queried
     /// again after a quarter more than this time, so two such periods in a row must fit in the lease on the
--- a/src/limits/engines.rs
+++ b/src/limits/engines.rs
@@ -31,11 +31,11 @@
     pub max_moves: usize,
     /// Maximum number of concurrent attempts on one connection.
     pub max_streams: usize,
-    /// Connections to one engine.
+    /// Maximum number of connections to one engine.
     pub max_connections_per_engine: usize,
-    /// `MySQL` connections to one engine.
+    /// Maximum number of `MySQL` connections to one engine.
     pub max_mysql_connections_per_engine: usize,
-    /// Connections of one upstream to all engines.
+    /// Maximum number of connections of one upstream to all engines.
     pub max_connections: usize,
     /// An attempt that waits for a connection to its engine gives up after this time.
     pub connection_wait: f64,
@@ -87,13 +87,13 @@
 /// Limits on engines' results.
 #[derive(Clone, Debug)]
 pub struct ResultLimits {
-    /// Rows of one result.
+    /// Maximum number of rows in one result.
     pub max_rows: usize,
-    /// Rows of one page.
+    /// Maximum number of rows in one page.
     pub page_rows: usize,
-    /// Pages of one result. Eight full pages reach `max_rows`; pages need not be full.
+    /// Maximum number of pages in one result. Eight full pages reach `max_rows`; pages need not be full.
     pub max_pages: usize,
-    /// Size of one framed answer of an engine.
+    /// Maximum size of one framed answer of an engine.
     pub max_frame_bytes: usize,
     /// Time limit for the rest of an answer after its first byte, or for the next page after a page.
     pub stall_timeout: f64,
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -19,7 +19,7 @@
 use machine::Machine;
 use serde_json::Value;
 
-/// Connections of operators to the admin interface.
+/// Maximum number of operators' connections to the admin interface.
 const ADMIN_CONNECTIONS: usize = 8;
 
 /// All limits of the daemon, by concern.
@@ -88,7 +88,8 @@
 /// Limits of the replicated store.
 #[derive(Clone, Debug)]
 pub struct StoreLimits {
-    /// Connections of members, operators and watchers, if the store's file does not specify them.
+    /// Maximum number of connections of members, operators and watchers, if the store's file does not specify
+    /// it.
     pub max_connections: usize,
 }
 
--- a/tests/endpoint_tracker.rs
+++ b/tests/endpoint_tracker.rs
@@ -85,15 +85,15 @@
     let mut fixture = Fixture::new();
     let both = [ready("e1"), ready("e2")];
     assert_eq!(fixture.respond(list(5, &both)), ListVerdict::Confirmed);
-    let expires_at_before = fixture.tracker.lease().expires_at();
+    let previous_expiry = fixture.tracker.lease().expires_at();
     assert_eq!(fixture.respond(list(4, &both)), ListVerdict::Contradicts(1));
     assert_eq!(
         fixture.tracker.lease().expires_at(),
-        expires_at_before,
+        previous_expiry,
         "an old number does not renew the lease"
     );
     assert_eq!(fixture.respond(list(6, &both)), ListVerdict::Newer);
-    assert!(fixture.tracker.lease().expires_at() > expires_at_before);
+    assert!(fixture.tracker.lease().expires_at() > previous_expiry);
 }
 
 #[test]
