--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -26,7 +26,7 @@
 
     /// The entry that names the [`members`](Self::members), while it is not committed: it may be undone.
     #[must_use]
-    pub fn changing(&self) -> Option<Index> {
+    pub fn pending_membership_change(&self) -> Option<Index> {
         let latest = self.configurations.last().map(|configuration| configuration.index);
         latest.filter(|index| *index > self.commit)
     }
@@ -62,7 +62,7 @@
         if !self.leads() {
             return Err(ProposeError::NotLeader(self.leader()));
         }
-        if self.changing().is_some() {
+        if self.pending_membership_change().is_some() {
             return Err(MembershipError::ChangeUnderWay.into());
         }
         if !self.has_committed_in_term() {
--- a/crates/raft/src/state_machine/mod.rs
+++ b/crates/raft/src/state_machine/mod.rs
@@ -122,7 +122,7 @@
 
     /// The changes after that version, oldest first; `None` where some of them are forgotten: then one starts anew.
     #[must_use]
-    pub fn since(&self, version: Index) -> Option<impl Iterator<Item = &KeyChange>> {
+    pub fn changes_since(&self, version: Index) -> Option<impl Iterator<Item = &KeyChange>> {
         let from = self.history.partition_point(|change| change.version <= version);
         (version >= self.forgotten).then(|| self.history.range(from..))
     }
--- a/crates/raft/tests/state_machine.rs
+++ b/crates/raft/tests/state_machine.rs
@@ -74,7 +74,7 @@
                     last.insert(session, (serial, outcome));
                 }
             }
-            for changed in state_machine.since(seen).expect("nothing is forgotten yet") {
+            for changed in state_machine.changes_since(seen).expect("nothing is forgotten yet") {
                 match &changed.value {
                     Some(value) => watcher.insert(changed.key.clone(), value.to_string()),
                     None => watcher.remove(&changed.key),
@@ -132,9 +132,9 @@
     for index in 1..=most + 10 {
         apply(&mut state_machine, index, &command(0, 0, vec![set("k", &index.to_string(), None)]));
     }
-    assert!(state_machine.since(9).is_none());
-    assert_eq!(state_machine.since(10).map(Iterator::count), Some(MAX_HISTORY_CHANGES));
-    assert_eq!(state_machine.since(most + 10).map(Iterator::count), Some(0));
+    assert!(state_machine.changes_since(9).is_none());
+    assert_eq!(state_machine.changes_since(10).map(Iterator::count), Some(MAX_HISTORY_CHANGES));
+    assert_eq!(state_machine.changes_since(most + 10).map(Iterator::count), Some(0));
 }
 
 #[test]
--- a/crates/raft/tests/stored_formats.rs
+++ b/crates/raft/tests/stored_formats.rs
@@ -138,7 +138,7 @@
     let mut machine = StateMachine::restore(&saved.snapshot.data).expect("it is read");
     assert_eq!(machine.applied(), 9);
     assert_values(&machine, &VALUES_AT_SNAPSHOT);
-    let changes: Vec<KeyChange> = machine.since(7).expect("remembered").cloned().collect();
+    let changes: Vec<KeyChange> = machine.changes_since(7).expect("remembered").cloned().collect();
     let change =
         |version, key: &str, value: &str| KeyChange { version, key: key.into(), value: Some(value.into()) };
     assert_eq!(changes, [change(8, "maintenance/e2", "planned"), change(9, "again", "once")]);
--- a/src/store/member/status.rs
+++ b/src/store/member/status.rs
@@ -22,7 +22,7 @@
     let (committed, applied) = (raft.commit(), replica.state_machine.applied());
     let (last, snapshot) = (raft.last(), raft.snapshot().index);
     writeln!(text, "committed={committed} applied={applied} last={last} snapshot={snapshot}")?;
-    if let Some(index) = raft.changing() {
+    if let Some(index) = raft.pending_membership_change() {
         // A partition may still undo what the lines of members say.
         writeln!(text, "changing={index}")?;
     }
--- a/src/store/member/watchers.rs
+++ b/src/store/member/watchers.rs
@@ -52,7 +52,7 @@
     pub(super) fn start_watch(&mut self, now: Time, connection: Token, version: Index) {
         self.watchers.connections.insert(connection);
         let state_machine = &self.replica.state_machine;
-        let Some(changes) = state_machine.since(version) else {
+        let Some(changes) = state_machine.changes_since(version) else {
             return self.send_restart(now, connection);
         };
         let mut lines: Vec<u8> = changes.flat_map(encode_change).collect();
--- a/src/store/replica/actions.rs
+++ b/src/store/replica/actions.rs
@@ -44,7 +44,7 @@
     fn apply_command(&mut self, entry: &Entry, data: &[u8]) -> Answer {
         let applied = self.state_machine.applied();
         let outcome = self.state_machine.apply(entry.index, data);
-        let changes = self.state_machine.since(applied.max(entry.index - 1));
+        let changes = self.state_machine.changes_since(applied.max(entry.index - 1));
         self.events.extend(changes.into_iter().flatten().cloned().map(ReplicaEvent::KeyChanged));
         match outcome {
             Outcome::Done(version) => Ok(Reply::Changed(version)),
