--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -1,6 +1,6 @@
-//! What the log holds: entries, the membership that they define, and the snapshot that replaces the first of them.
+//! Contents of the log: entries, the membership that they define, and the snapshot that replaces the oldest ones.
 //!
-//! All of these types are stored or sent: the order and kind of their fields and variants is the format.
+//! All of these types are stored or sent: the order and types of their fields and variants are the format.
 
 use crate::codec::shared_bytes;
 use crate::{Id, Index, Term};
@@ -8,12 +8,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Bytes that an entry or a member takes beside its content, about.
+/// Approximate overhead of an entry or a member beyond its content (bytes).
 const OVERHEAD_BYTES: usize = 32;
 
-/// A place in the log together with the term of the entry there.
+/// The index and term of an entry.
 ///
-/// The derived order is that of the fields. Which of two logs is more up to date is decided by
+/// The derived order compares the index first. To decide which of two logs is more up to date, use
 /// [`is_up_to_date_with`](Self::is_up_to_date_with).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
@@ -31,35 +31,35 @@
     }
 }
 
-/// A member as the log knows it.
+/// A member, as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name, as operators call it.
+    /// Its name, as shown to operators.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: String,
-    /// It counts in quorums. A member that does not is a learner.
+    /// Whether it is a voter and counts in quorums; otherwise it is a learner.
     pub votes: bool,
 }
 
-/// The members by id.
+/// Members by id.
 pub type Members = BTreeMap<Id, Member>;
 
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// Nothing: the first entry of a leader.
+    /// No content: a new leader's first entry.
     Empty,
-    /// A command of the state machine.
+    /// A command for the state machine.
     Data(#[serde(with = "shared_bytes")] Arc<Vec<u8>>),
-    /// From this entry on these are the members.
+    /// The membership, in effect from this entry on.
     Members(Members),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Its position in the log.
     pub index: Index,
     /// The term of the leader that appended it.
     pub term: Term,
@@ -68,7 +68,7 @@
 }
 
 impl Entry {
-    /// Bytes that it takes in memory, about.
+    /// Its approximate size in memory (bytes).
     #[must_use]
     pub fn size(&self) -> usize {
         let content = match &self.kind {
@@ -88,35 +88,36 @@
     }
 }
 
-/// What a member must not forget, beside the log (Ongaro's thesis, figure 3.1: persistent state).
+/// The state beside the log that must survive a restart (Ongaro's thesis, figure 3.1: persistent state).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
     /// The member's own id.
     pub id: Id,
-    /// Which log this is, drawn at its bootstrap; 0 before the member has one.
+    /// The id of the log, drawn when it is bootstrapped; 0 before the member has a log.
     pub cluster: u64,
-    /// The latest term that it has seen.
+    /// The latest term that the member has seen.
     pub term: Term,
-    /// To whom it has given its vote in that term.
+    /// The candidate that it voted for in that term.
     pub vote: Option<Id>,
 }
 
-/// The state machine as it was at an entry, in place of the entries up to there (Ongaro's thesis, chapter 5).
+/// The state of the state machine after an entry; replaces the entries up to and including it (Ongaro's thesis,
+/// chapter 5).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry that it covers.
     pub index: Index,
     /// That entry's term.
     pub term: Term,
-    /// The members at that entry.
+    /// The members as of that entry.
     pub members: Members,
-    /// The state machine, encoded by itself.
+    /// The state machine's own encoding of its state.
     #[serde(with = "shared_bytes")]
     pub data: Arc<Vec<u8>>,
 }
 
 impl Snapshot {
-    /// Index and term of the last entry that it covers.
+    /// The index and term of the last entry that it covers.
     #[must_use]
     pub fn position(&self) -> LogPosition {
         LogPosition { index: self.index, term: self.term }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,9 +1,9 @@
-//! The coordinators' replicated log: an entry is committed once a quorum of three to seven members has it on disk.
+//! The coordinators' replicated log: an entry is committed once a quorum of three to seven voters has it on disk.
 //!
 //! - [`raft`]: consensus as a pure state machine: events in, actions out; no I/O, no clock, no threads;
-//! - [`entry`]: entries, members, snapshots; [`message`]: what members send to each other; [`codec`]: both as bytes;
-//! - [`disk`]: the log and the snapshots in files; [`writer`]: the same on a thread of its own;
-//! - [`state_machine`]: the configuration that the log's entries make: keys with versions, compare-and-set, history.
+//! - [`entry`]: entries, members, snapshots; [`message`]: messages between members; [`codec`]: their encoding;
+//! - [`disk`]: the log and snapshot files; [`writer`]: the thread that writes them;
+//! - [`state_machine`]: the replicated configuration: keys with versions, compare-and-set, change history.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,11 +18,11 @@
 mod log;
 mod progress;
 
-/// A member's own number, drawn when its disk is made. One that has lost its disk is another member.
+/// A member's id, drawn when its log is created. A member that loses its disk draws a new id: it is another member.
 pub type Id = u64;
-/// A position in the log, from 1.
+/// A position in the log, starting at 1.
 pub type Index = u64;
-/// A time in which there is at most one leader, from 1.
+/// An election term, starting at 1. Each term has at most one leader.
 pub type Term = u64;
-/// A point on the caller's monotonic clock (us).
+/// A time on the caller's monotonic clock, or a duration (us).
 pub type Micros = u64;
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,39 +1,39 @@
-//! The entries in memory: those after a base that a snapshot covers.
+//! The log entries in memory: those after a base, which a snapshot covers.
 
 use crate::entry::{Entry, LogPosition};
 use crate::{Index, Term};
 use std::collections::VecDeque;
 
-/// A part of the log without gaps.
+/// A contiguous section of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Log {
-    /// The entry before the first in memory.
+    /// The position of the entry before the first one in memory.
     base: LogPosition,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    /// A log without entries after `base`.
+    /// An empty log that continues after `base`.
     pub fn new(base: LogPosition) -> Self {
         Self { base, entries: VecDeque::new() }
     }
 
-    /// The index of the entry before the first in memory.
+    /// The index of the entry before the first one in memory.
     pub fn base(&self) -> Index {
         self.base.index
     }
 
-    /// The index of the last entry, or of the base where there is none.
+    /// The index of the last entry, or of the base if there are no entries.
     pub fn last(&self) -> Index {
         self.base.index + self.entries.len() as Index
     }
 
-    /// Index and term of the last entry, or the base where there is none.
+    /// The position of the last entry, or the base if there are no entries.
     pub fn last_position(&self) -> LogPosition {
         self.entries.back().map_or(self.base, Entry::position)
     }
 
-    /// The term of an entry in memory, or of the base.
+    /// The term of the entry at `index`, if it is in memory or is the base.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -41,12 +41,12 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry in memory.
+    /// The entry at `index`, if it is in memory.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         self.entries.get(index.checked_sub(self.base.index + 1)? as usize)
     }
 
-    /// Entries from `first` on, up to `max_bytes` but at least one.
+    /// The entries from `first` on, up to `max_bytes` in total but at least one if there is any.
     pub fn entries_from(&self, first: Index, max_bytes: usize) -> Vec<Entry> {
         let mut size = 0;
         let skipped = first.saturating_sub(self.base.index + 1) as usize;
@@ -58,7 +58,7 @@
         self.entries.iter().skip(skipped).take_while(fits).cloned().collect()
     }
 
-    /// Appends an entry, whose index follows the last one.
+    /// Appends an entry; its index must follow the last one.
     pub fn append(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last() + 1);
         self.entries.push_back(entry);
@@ -69,14 +69,14 @@
         self.entries.truncate(from.saturating_sub(self.base.index + 1) as usize);
     }
 
-    /// Removes the entries up to `to`, which becomes the base.
+    /// Removes the entries up to and including `to`, which becomes the base.
     pub fn compact(&mut self, to: Index) {
         let Some(term) = self.term(to) else { return };
         self.entries.drain(..(to - self.base.index) as usize);
         self.base = LogPosition { index: to, term };
     }
 
-    /// The first entry in memory that has the same term as the one at `index` and no other term between them.
+    /// The first entry in memory of the run of entries that ends at `index` and shares its term.
     pub fn first_of_term(&self, index: Index) -> Index {
         let term = self.term(index);
         let mut first = index;
@@ -86,13 +86,13 @@
         first
     }
 
-    /// Bytes of the entries after `index`.
+    /// The total size of the entries after `index` (bytes).
     pub fn bytes_after(&self, index: Index) -> usize {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.iter().skip(skipped).map(Entry::size).sum()
     }
 
-    /// The earliest index after which the entries up to `last` take at most `max_bytes`.
+    /// The lowest index such that the entries after it, up to `last`, are at most `max_bytes` in total.
     pub fn start_of_tail(&self, last: Index, max_bytes: usize) -> Index {
         let mut size = 0;
         let mut start = last;
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -1,47 +1,47 @@
-//! What a leader knows of another member's log (etcd's raft has it under the same name).
+//! A leader's view of another member's log (named after `Progress` in etcd's raft).
 
 use crate::{Index, Micros};
 
-/// How entries are sent to a member.
+/// How the leader replicates to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProgressState {
-    /// One message at a time, until it is known up to where the logs match.
+    /// One message at a time, until the last matching entry is known.
     Probe { paused: bool },
-    /// Messages follow each other without waiting for answers.
+    /// Messages are pipelined, without waiting for replies.
     Replicate,
-    /// The snapshot of that index is sent, from the byte `offset` on.
+    /// The snapshot at `index` is being sent; the next chunk starts at byte `offset`.
     Snapshot { index: Index, offset: u64, paused: bool },
 }
 
 /// What may be sent to a member now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextSend {
-    /// Nothing: an answer has to come first.
+    /// Nothing until a reply arrives.
     Nothing,
-    /// The snapshot's chunk at that byte.
+    /// The snapshot chunk at byte `offset`.
     SnapshotChunk { offset: u64 },
-    /// One message with entries, or without any while it is `paused`.
+    /// One message, with entries unless `paused`.
     Probe { paused: bool },
-    /// Entries as long as the window has room.
+    /// Entries, up to the limit of the in-flight window.
     Entries,
 }
 
-/// A member as its leader knows it.
+/// The leader's view of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Progress {
-    /// Entries up to here are on its disk.
+    /// Entries up to this index are known to be on its disk.
     pub matched: Index,
-    /// The next entry to be sent.
+    /// The next entry to send.
     pub next: Index,
     pub state: ProgressState,
-    /// When it last answered (us).
+    /// When its last reply arrived (us).
     pub last_contact: Micros,
-    /// The last read round that it has answered.
+    /// The latest read round that it has confirmed.
     pub acknowledged_round: u64,
 }
 
 impl Progress {
-    /// A member of whose log nothing is known; the entry `next` is tried first.
+    /// The progress of a member whose log is unknown; probing starts at the entry `next`.
     pub fn new(next: Index, now: Micros) -> Self {
         let state = ProgressState::Probe { paused: false };
         Self { matched: 0, next, state, last_contact: now, acknowledged_round: 0 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Entries did not match the member's log after `previous`; it may match up to `hint`.
+    /// The member's log did not match the entry at `previous`; it may match up to `hint`.
     pub fn reject(&mut self, previous: Index, hint: Index) {
         let expected = self.state == ProgressState::Replicate || previous + 1 == self.next;
         let stale = previous <= self.matched || !expected;
@@ -71,15 +71,17 @@
         self.state = ProgressState::Probe { paused: false };
     }
 
-    /// Sends the snapshot of that index from its beginning, unless it is being sent already.
+    /// Starts sending the snapshot at that index from byte 0, unless it is being sent already.
     pub fn start_snapshot(&mut self, snapshot: Index) {
-        let under_way = matches!(self.state, ProgressState::Snapshot { index, .. } if index == snapshot);
-        if !under_way {
+        let already_sending =
+            matches!(self.state, ProgressState::Snapshot { index, .. } if index == snapshot);
+        if !already_sending {
             self.state = ProgressState::Snapshot { index: snapshot, offset: 0, paused: false };
         }
     }
 
-    /// What may be sent now; a heartbeat sends the last chunk again. Pauses until the next answer where that is due.
+    /// Returns what may be sent now, and pauses a probe or a snapshot until the next reply. A heartbeat resends the
+    /// chunk that awaits a reply.
     pub fn next_send(&mut self, heartbeat: bool) -> NextSend {
         match &mut self.state {
             ProgressState::Snapshot { paused: true, .. } if !heartbeat => NextSend::Nothing,
@@ -92,7 +94,7 @@
         }
     }
 
-    /// What was under way may be lost: sends again.
+    /// Ends the pause, so that messages that may have been lost are sent again.
     pub fn resume(&mut self) {
         if let ProgressState::Probe { paused } | ProgressState::Snapshot { paused, .. } = &mut self.state {
             *paused = false;
--- a/crates/raft/src/raft/commit.rs
+++ b/crates/raft/src/raft/commit.rs
@@ -1,4 +1,4 @@
-//! Which entries are committed (Ongaro's thesis, 3.6.2), and their application in order.
+//! Commits entries (Ongaro's thesis, 3.6.2) and applies them in order.
 
 use super::role::Role;
 use super::{is_planted, Action, Proposal, ProposeError, Raft};
@@ -6,20 +6,20 @@
 use crate::Index;
 
 impl Raft {
-    /// As a leader, commits what a quorum has on disk and confirms the reads that a quorum has answered.
+    /// At the leader, commits the entries that a quorum has on disk and confirms the reads that a quorum has answered.
     pub(super) fn advance_commit(&mut self) {
         let Some(index) = self.quorum_index() else { return };
         let of_own_term =
             self.log.term(index) == Some(self.hard_state.term) || is_planted!(self, CommitOlderTerm);
         if index > self.commit && of_own_term {
             self.commit = index;
-            // The others learn of it at once: what they serve is not older than need be.
+            // Informs the others at once, so that the state they serve is as recent as possible.
             self.broadcast_heartbeat();
         }
         self.confirm_reads();
     }
 
-    /// The last entry that a quorum has on disk; only a leader knows.
+    /// The last entry that a quorum has on disk; known to the leader only.
     fn quorum_index(&self) -> Option<Index> {
         let Role::Leader(leader) = &self.role else { return None };
         let own = self.hard_state.id;
@@ -32,7 +32,7 @@
         Some(self.quorum_value(matched))
     }
 
-    /// Applies what is committed, then answers the reads that are confirmed.
+    /// Applies the committed entries, then answers the confirmed reads.
     pub(super) fn apply_committed(&mut self, actions: &mut Vec<Action>) {
         let mut removed = false;
         while self.applied < self.commit {
@@ -44,7 +44,7 @@
             self.apply_entry(entry, actions);
         }
         self.answer_confirmed_reads(actions);
-        // A leader that is removed by an entry leads until that is committed (4.2.2).
+        // A leader that removes itself steps down once the entry is committed (4.2.2).
         if removed && self.leads() && !self.members().contains_key(&self.hard_state.id) {
             self.become_follower(self.hard_state.term, None, actions);
         }
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -1,6 +1,6 @@
-//! Elections (Ongaro's thesis, 3.4) with a pre-vote (9.6), and a leader that steps down without a quorum (6.2).
+//! Elections (Ongaro's thesis, 3.4) with a pre-vote (9.6); a leader without a quorum steps down (6.2).
 
-use super::persistence::{PendingOnDisk, PersistedEffect};
+use super::persistence::{PendingEffect, PersistedEffect};
 use super::role::{Candidate, Leader, PreCandidate, Role};
 use super::{Action, ProposeError, Raft};
 use crate::entry::{EntryKind, LogPosition};
@@ -8,7 +8,7 @@
 use crate::{Id, Term};
 use std::collections::BTreeSet;
 
-/// `SplitMix64`: the next number of the generator in that state.
+/// The next output of the `SplitMix64` generator in this state.
 fn split_mix_64(state: u64) -> u64 {
     let value = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,14 +17,14 @@
 }
 
 impl Raft {
-    /// Draws the time of the next election: one to two election timeouts from now.
+    /// Draws the time of the next election, one to two election timeouts from now.
     pub(super) fn reset_election_deadline(&mut self) {
         let random = split_mix_64(self.options.seed ^ split_mix_64(self.hard_state.id) ^ self.elections);
-        let spread = random % self.options.election_timeout;
-        self.election_deadline = self.now + self.options.election_timeout + spread;
+        let jitter = random % self.options.election_timeout;
+        self.election_deadline = self.now + self.options.election_timeout + jitter;
     }
 
-    /// Becomes a follower, in that term if it is a later one.
+    /// Becomes a follower, and adopts `term` if it is later than the current one.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<Id>, actions: &mut Vec<Action>) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -38,7 +38,7 @@
         self.reset_election_deadline();
     }
 
-    /// What was proposed here may be committed by another leader, or not; reads were not carried out.
+    /// Rejects all pending requests: proposals may still be committed by a later leader, reads were not carried out.
     fn reject_pending(&mut self, former: &Leader, leader: Option<Id>, actions: &mut Vec<Action>) {
         let reject = |proposal_id, why| Action::Rejected { proposal_id, why };
         let proposals = std::mem::take(&mut self.proposals).into_values();
@@ -47,14 +47,14 @@
         actions.extend(reads.map(|read| reject(read.proposal_id, ProposeError::NotLeader(leader))));
     }
 
-    /// Steps down if this member leads and has not heard from a quorum for an election timeout.
+    /// Steps down if this member is the leader and has had no contact with a quorum for an election timeout.
     pub(super) fn check_quorum(&mut self, actions: &mut Vec<Action>) {
         if self.leads() && self.last_quorum_contact() + self.options.election_timeout <= self.now {
             self.become_follower(self.hard_state.term, None, actions);
         }
     }
 
-    /// Asks the other voters whether they would vote for this member.
+    /// Asks the other voters whether they would vote for this member; a sole voter starts its election directly.
     pub(super) fn start_pre_vote(&mut self) {
         let granted = BTreeSet::from([self.hard_state.id]);
         self.role = Role::PreCandidate(PreCandidate { granted });
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Becomes a candidate of the next term. `leadership_transfer`: its leader has asked for that.
+    /// Becomes a candidate in the next term. `leadership_transfer` is set if the leader has requested it.
     pub(super) fn start_election(&mut self, leadership_transfer: bool) {
         self.hard_state.term += 1;
         self.hard_state.vote = Some(self.hard_state.id);
@@ -100,15 +100,15 @@
         for id in self.other_voters() {
             self.send(id, body.clone());
         }
-        // Its own vote does not count before the batch of this event is on disk.
+        // The member's own vote is counted only once the batch of this event is on disk.
         let effect = PersistedEffect::OwnVote(self.hard_state.term);
-        self.pending.push_back(PendingOnDisk { batch: self.batches_issued + 1, effect });
+        self.pending.push_back(PendingEffect { batch: self.batches_issued + 1, effect });
     }
 
     pub(super) fn handle_vote(&mut self, from: Id, last: LogPosition) {
-        let vote_is_free = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let can_vote = self.hard_state.vote.is_none_or(|vote| vote == from);
         let up_to_date = last.is_up_to_date_with(self.log.last_position());
-        let granted = vote_is_free && !self.leads() && up_to_date;
+        let granted = can_vote && !self.leads() && up_to_date;
         if granted {
             if self.hard_state.vote != Some(from) {
                 self.hard_state.vote = Some(from);
@@ -133,7 +133,7 @@
 
     fn become_leader(&mut self) {
         self.role = Role::Leader(Box::new(Leader::new(self.now)));
-        // Entries of older terms are committed only with one of its own (3.6.2).
+        // Entries of older terms are committed only along with one of the leader's own term (3.6.2).
         self.append_new(EntryKind::Empty);
         self.update_peers();
         self.broadcast_heartbeat();
--- a/crates/raft/src/raft/events.rs
+++ b/crates/raft/src/raft/events.rs
@@ -1,4 +1,4 @@
-//! Events that a member takes, and the actions that it asks its caller to carry out.
+//! Events that a member handles, and the actions that its caller has to carry out.
 
 use super::{ProposeError, WriteBatch};
 use crate::entry::{Entry, Snapshot};
@@ -6,98 +6,98 @@
 use crate::{Id, Index};
 use std::sync::Arc;
 
-/// A change of the membership by one member (Ongaro's thesis, 4.1).
+/// A membership change by a single member (Ongaro's thesis, 4.1).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MembershipChange {
-    /// A learner joins: it gets all entries and does not count in quorums.
+    /// Adds a learner, which receives all entries but does not count in quorums.
     AddLearner {
         /// Its id.
         id: Id,
-        /// Its name, as operators call it.
+        /// Its name, as shown to operators.
         name: String,
-        /// Where it listens.
+        /// The address that it listens on.
         address: String,
     },
-    /// A learner becomes a voter.
+    /// Makes a learner a voter.
     Promote(Id),
-    /// A member leaves.
+    /// Removes a member.
     Remove(Id),
 }
 
-/// What has happened.
+/// An input of the consensus state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// A message has arrived.
     Message(Message),
-    /// The write batch of that number is on disk, and all before it.
+    /// The write batch with this number is on disk, and so are all before it.
     Persisted(u64),
-    /// A member without a log begins one, as its only member.
+    /// Starts a new log, with this member as its only one; ignored if the member already has a log.
     Bootstrap {
-        /// Which log this will be; not 0.
+        /// The id of the new log; not 0.
         cluster: u64,
-        /// The member's own name.
+        /// This member's name.
         name: String,
-        /// The member's own address.
+        /// This member's address.
         address: String,
     },
     /// Proposes a command. Answered by [`Action::Apply`] or [`Action::Rejected`] with the same id.
     Propose {
-        /// The caller's number for it.
+        /// The id that the caller chose for it.
         proposal_id: u64,
-        /// A command of the state machine.
+        /// A command for the state machine.
         data: Arc<Vec<u8>>,
     },
     /// Requests a linearizable read. Answered by [`Action::Read`] or [`Action::Rejected`].
     Read {
-        /// The caller's number for it.
+        /// The id that the caller chose for it.
         proposal_id: u64,
     },
-    /// Proposes a change of the membership. Answered as a command is.
+    /// Proposes a membership change. Answered like [`Propose`](Self::Propose).
     ChangeMembership {
-        /// The caller's number for it.
+        /// The id that the caller chose for it.
         proposal_id: u64,
         /// The change.
         change: MembershipChange,
     },
-    /// That member is to lead.
+    /// Transfers the leadership to this member.
     TransferLeadership(Id),
-    /// The state machine as it is after an entry, kept in place of the entries up to there.
+    /// A snapshot of the state machine; replaces the entries that it covers.
     Snapshot {
-        /// The last entry that it covers: one that was applied.
+        /// The last entry that it covers, which must have been applied.
         index: Index,
-        /// The state machine, encoded by itself.
+        /// The state machine's own encoding of its state.
         data: Arc<Vec<u8>>,
     },
 }
 
-/// What the caller has to do.
+/// What the caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write this to disk, then report [`Event::Persisted`].
+    /// Write this batch to disk, then report [`Event::Persisted`].
     Persist(WriteBatch),
     /// Send this message; it may be lost.
     Send(Message),
-    /// This entry is committed: apply it.
+    /// Apply this entry, which is committed.
     Apply {
         /// The entry.
         entry: Entry,
-        /// The caller's number for it, where it was proposed here.
+        /// The caller's id for the proposal, if it was made at this member.
         proposal_id: Option<u64>,
     },
-    /// The state machine is this one from here on.
+    /// Replace the state machine by this snapshot.
     Restore(Arc<Snapshot>),
-    /// All entries up to `index` were applied before this action: read now.
+    /// Carry out a read now: all entries up to `index` have been applied by the actions before.
     Read {
-        /// The caller's number for the read.
+        /// The caller's id for the read.
         proposal_id: u64,
         /// The last entry that the read sees.
         index: Index,
     },
-    /// A proposal or a read was not carried out.
+    /// Report to the proposer or reader that its request was rejected or dropped, or that its outcome is unknown.
     Rejected {
-        /// The caller's number for it.
+        /// The id that the caller chose for it.
         proposal_id: u64,
         /// The reason.
         why: ProposeError,
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of the membership, one member at a time (Ongaro's thesis, 4.1): from the entry on that names them, whether it
-//! is committed or not, the members are those that it names.
+//! Membership changes, one member at a time (Ongaro's thesis, 4.1). A new membership takes effect as soon as its entry
+//! is appended, whether the entry is committed or not.
 
 use super::role::Role;
 use super::{Action, MembershipChange, MembershipError, ProposeError, Raft, MAX_MEMBERS, MAX_VOTERS};
@@ -8,30 +8,30 @@
 use crate::{Id, Index};
 use std::collections::BTreeSet;
 
-/// The members from an entry on.
+/// The membership from an entry on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Configuration {
-    /// The entry that names them, or the snapshot's last.
+    /// The index of the membership's entry, or of the last entry that the snapshot covers.
     pub index: Index,
     pub members: Members,
 }
 
 impl Raft {
-    /// The members as the last entry about them says, whether it is committed or not.
+    /// The members according to the last membership entry, whether it is committed or not.
     #[must_use]
     pub fn members(&self) -> &Members {
         static NONE: Members = Members::new();
         self.configurations.last().map_or(&NONE, |configuration| &configuration.members)
     }
 
-    /// The entry that names the [`members`](Self::members), while it is not committed: it may be undone.
+    /// The index of the entry that set the [`members`](Self::members), while it is uncommitted and may still be undone.
     #[must_use]
     pub fn pending_membership_change(&self) -> Option<Index> {
         let latest = self.configurations.last().map(|configuration| configuration.index);
         latest.filter(|index| *index > self.commit)
     }
 
-    /// Begins a log with this member as its only one.
+    /// Starts a new log with this member as its only one.
     pub(super) fn bootstrap(&mut self, cluster: u64, name: String, address: String) {
         if self.hard_state.cluster != 0 || cluster == 0 || self.log.last() > 0 {
             return;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The members that a change leads to, if it may be made now.
+    /// The members after a change, if it is allowed now.
     fn members_after(&self, change: MembershipChange) -> Result<Members, ProposeError> {
         if !self.leads() {
             return Err(ProposeError::NotLeader(self.leader()));
@@ -66,7 +66,7 @@
             return Err(MembershipError::ChangeUnderWay.into());
         }
         if !self.has_committed_in_term() {
-            // Two leaders might each change by one, from different beginnings.
+            // Otherwise two leaders could start from different memberships, and the quorums of their changes might not overlap.
             return Err(MembershipError::LeaderIsNew.into());
         }
         let members = match change {
@@ -114,14 +114,14 @@
         Ok(members)
     }
 
-    /// An entry that names the members counts from when it is appended.
-    pub(super) fn note_configuration(&mut self, entry: &Entry) {
+    /// Puts the membership of an entry, if it has one, into effect.
+    pub(super) fn record_configuration(&mut self, entry: &Entry) {
         if let EntryKind::Members(members) = &entry.kind {
             self.configurations.push(Configuration { index: entry.index, members: members.clone() });
         }
     }
 
-    /// Forgets the configurations that ended before `index`; returns the members at `index`.
+    /// Removes the configurations that were replaced at or before `index`; returns the members as of `index`.
     pub(super) fn compact_configurations(&mut self, index: Index) -> Members {
         let at = self.configurations.iter().rposition(|configuration| configuration.index <= index);
         let at = at.unwrap_or_default();
@@ -130,13 +130,13 @@
         members
     }
 
-    /// The members at a snapshot that was restored are `members`; later configurations stay if the log goes on from it.
+    /// Sets the members of a restored snapshot; later configurations are retained if the log continues after it.
     pub(super) fn restore_configuration(&mut self, index: Index, members: Members, log_continues: bool) {
         self.configurations.retain(|configuration| log_continues && configuration.index > index);
         self.configurations.insert(0, Configuration { index, members });
     }
 
-    /// As a leader, replicates to the present members and to no others.
+    /// At the leader, makes the peers match the current members.
     pub(super) fn update_peers(&mut self) {
         let (next, now) = (self.log.last(), self.now);
         let own = self.hard_state.id;
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -1,14 +1,14 @@
-//! Consensus by Raft, as published in Diego Ongaro's thesis (Consensus: Bridging Theory and Practice, Stanford 2014):
-//! elections with a pre-vote, a leader that steps down without a quorum, linearizable reads by read index, members changed
-//! one at a time, learners, snapshots in chunks, leadership transfer.
+//! The Raft consensus algorithm, as published in Diego Ongaro's thesis (Consensus: Bridging Theory and Practice,
+//! Stanford 2014): elections with a pre-vote, a leader that steps down without a quorum, linearizable reads by read
+//! index, single-server membership changes, learners, chunked snapshots, leadership transfer.
 //!
-//! The state machine is pure: it takes an [`Event`] and returns [`Action`]s, which the caller carries out in their order.
-//! The caller reports when an [`Action::Persist`] is on disk. What promises something (a vote, an acknowledgement) is held
-//! back until then.
+//! This state machine is pure: it handles an [`Event`] and returns [`Action`]s, which the caller carries out in order.
+//! The caller reports when an [`Action::Persist`] is on disk. Messages that depend on it (votes, acknowledgements) are
+//! deferred until then.
 //!
-//! The modules follow etcd's raft: `step` takes messages; `election`, `replication`, `read_index`, `membership`,
-//! `transfer` and `snapshot` hold the parts of the protocol; `quorum` and `commit` decide what counts; `persistence` holds
-//! back what has to wait for the disk.
+//! The modules are divided as in etcd's raft: `step` dispatches messages; `election`, `replication`, `read_index`,
+//! `membership`, `transfer` and `snapshot` implement the parts of the protocol; `quorum` and `commit` determine what is
+//! committed; `persistence` defers what has to wait for the disk.
 
 mod commit;
 mod election;
@@ -38,62 +38,62 @@
 use crate::{Id, Index, Micros, Term};
 use membership::Configuration;
 use options::is_planted;
-use persistence::{OutgoingMessage, PendingOnDisk};
+use persistence::{OutgoingMessage, PendingEffect};
 use role::{LeadershipTransfer, Role};
 use snapshot::{EncodedSnapshot, IncomingSnapshot};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// A proposal of this member that is not applied yet.
+/// A proposal made at this member that has not been applied yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Proposal {
-    /// The term of its entry.
+    /// The term in which its entry was appended.
     term: Term,
-    /// The caller's number for it.
+    /// The id that the caller chose for it.
     proposal_id: u64,
 }
 
-/// One member.
+/// The consensus state of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Raft {
     options: Options,
     hard_state: HardState,
     log: Log,
     snapshot: Arc<Snapshot>,
-    /// Who the members are from which entry on, in order. The last one counts, whether its entry is committed or not.
+    /// Configurations in order of their entries. The last one is in effect, whether its entry is committed or not.
     configurations: Vec<Configuration>,
     commit: Index,
-    /// The last entry that the caller was told to apply.
+    /// The last entry that was handed to the caller to apply.
     applied: Index,
     role: Role,
-    /// When a message of a leader arrived last (us).
+    /// When the last message from a leader arrived (us).
     last_leader_contact: Micros,
-    /// When this member starts an election, if nobody leads (us).
+    /// When this member starts an election unless it hears from a leader (us).
     election_deadline: Micros,
-    /// Elections and pre-votes that it has started: each draws another timeout.
+    /// Elections and pre-votes that this member has started; part of the seed of the next random election timeout.
     elections: u64,
-    /// The time of the present event (us).
+    /// The time of the current event (us).
     now: Micros,
-    /// Proposals by the index of their entry.
+    /// Pending proposals by the index of their entry.
     proposals: BTreeMap<Index, Proposal>,
     incoming_snapshot: Option<IncomingSnapshot>,
     encoded_snapshot: Option<EncodedSnapshot>,
-    /// The number of the last write batch that the caller was given.
+    /// The number of the last write batch that was handed to the caller.
     batches_issued: u64,
     /// The number of the last write batch that is on disk.
     batches_persisted: u64,
-    /// The last entry that is on this member's disk.
+    /// The last entry that is known to be on this member's disk.
     durable: Index,
-    /// What waits for the disk, in order.
-    pending: VecDeque<PendingOnDisk>,
-    /// What the present event has changed so far.
+    /// Effects that wait for a write batch, in order.
+    pending: VecDeque<PendingEffect>,
+    /// The changes of the current event that have to be persisted.
     batch: WriteBatch,
-    /// What the present event sends.
+    /// The messages of the current event.
     outbox: Vec<OutgoingMessage>,
 }
 
 impl Raft {
-    /// A member with what it has on disk; a new one has its drawn id there and nothing else.
+    /// Creates a member from its state on disk, which for a new member contains its id only.
     #[must_use]
     pub fn new(options: Options, saved: PersistentState, now: Micros) -> Self {
         let PersistentState { hard_state, snapshot, base, entries } = saved;
@@ -127,21 +127,21 @@
         raft
     }
 
-    /// Takes the entries that are on disk.
+    /// Loads the entries that are on disk.
     fn load(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             if entry.index > self.snapshot.index {
-                self.note_configuration(&entry);
+                self.record_configuration(&entry);
             }
             self.log.append(entry);
         }
         self.durable = self.log.last();
     }
 
-    /// Handles an event at the time `now`; appends what the caller has to do, in order.
+    /// Handles an event at the time `now`; appends the actions that the caller has to carry out, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        // Checked with each event: the process may have been suspended since the others last answered.
+        // Checked at every event: the process may have been suspended since the last replies arrived.
         self.check_quorum(actions);
         match event {
             Event::Tick => self.tick(),
@@ -161,7 +161,7 @@
         self.finish_event(actions);
     }
 
-    /// Starts an election now, whatever the member has heard: for the model checker.
+    /// Starts an election at once, even if there is a live leader; for the model checker.
     #[cfg(feature = "planted-faults")]
     pub fn campaign(&mut self, actions: &mut Vec<Action>) {
         if self.is_voter() && !self.leads() {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Sends a message of the present term.
+    /// Sends a message in the current term.
     fn send(&mut self, to: Id, body: MessageBody) {
         self.send_in_term(self.hard_state.term, to, body);
     }
@@ -202,33 +202,33 @@
         self.outbox.push(OutgoingMessage { message, after_persist });
     }
 
-    /// Whether an entry of the present term is committed, as far as this member knows.
+    /// Whether an entry of the current term is committed, as far as this member knows.
     fn has_committed_in_term(&self) -> bool {
         self.log.term(self.commit) == Some(self.hard_state.term)
     }
 }
 
-// What the caller may ask.
+// Queries of the caller.
 impl Raft {
-    /// Its own id.
+    /// This member's id.
     #[must_use]
     pub fn id(&self) -> Id {
         self.hard_state.id
     }
 
-    /// Which log this is; 0 before one was begun or joined.
+    /// The id of the log; 0 before the member has bootstrapped or joined one.
     #[must_use]
     pub fn cluster(&self) -> u64 {
         self.hard_state.cluster
     }
 
-    /// The latest term that it has seen.
+    /// The latest term that this member has seen.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The leader, as far as this member knows.
     #[must_use]
     pub fn leader(&self) -> Option<Id> {
         match &self.role {
@@ -238,50 +238,50 @@
         }
     }
 
-    /// Whether it leads, as far as it knows.
+    /// Whether this member is the leader, as far as it knows.
     #[must_use]
     pub fn leads(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The last entry that is committed, as far as it knows.
+    /// The index of the last committed entry, as far as this member knows.
     #[must_use]
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// The last entry of its log.
+    /// The index of the last entry in the log.
     #[must_use]
     pub fn last(&self) -> Index {
         self.log.last()
     }
 
-    /// An entry that it has in memory.
+    /// The entry at `index`, if it is in memory.
     #[must_use]
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// The entry before the first that it has in memory.
+    /// The index of the entry before the first one in memory.
     #[must_use]
     pub fn base(&self) -> Index {
         self.log.base()
     }
 
-    /// Its latest snapshot.
+    /// The latest snapshot.
     #[must_use]
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// How long ago the leader was last heard from, or, at the leader, a quorum (us).
+    /// The time since the last message from a leader or, at the leader, since the last contact with a quorum (us).
     #[must_use]
     pub fn time_since_contact(&self, now: Micros) -> Micros {
         let contact = if self.leads() { self.last_quorum_contact() } else { self.last_leader_contact };
         now.saturating_sub(contact)
     }
 
-    /// The last entry that a member is known to have on disk; only a leader knows.
+    /// The last entry that a member is known to have on disk; known to the leader only.
     #[must_use]
     pub fn matched(&self, id: Id) -> Option<Index> {
         match &self.role {
@@ -291,7 +291,7 @@
         }
     }
 
-    /// When the next [`Event::Tick`] is due (us); `Micros::MAX` for never.
+    /// When the next [`Event::Tick`] is due (us); `Micros::MAX` if none is.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
         match &self.role {
--- a/crates/raft/src/raft/options.rs
+++ b/crates/raft/src/raft/options.rs
@@ -1,10 +1,10 @@
-//! Times, sizes and limits of a member, and the faults that tests plant in it.
+//! Timeouts, sizes and limits of a member, and the faults that tests can plant in it.
 
 use crate::Micros;
 
-/// Members that count in quorums, at the most.
+/// Maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
-/// Members of all kinds, at the most.
+/// Maximum number of members, learners included.
 pub const MAX_MEMBERS: usize = 14;
 
 const DEFAULT_HEARTBEAT_INTERVAL: Micros = 50_000;
@@ -12,39 +12,39 @@
 const KIB: usize = 1 << 10;
 const MIB: usize = 1 << 20;
 
-/// Times and sizes.
+/// Timeouts, sizes and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// A leader sends something to each member at least this often (us).
+    /// A leader sends a message to every member at least this often (us).
     pub heartbeat_interval: Micros,
-    /// A member starts an election after so long without a leader (us), up to twice that. A leader that has not heard
-    /// from a quorum for so long steps down.
+    /// A member starts an election after one to two times this long without a leader (us). A leader that has had no
+    /// contact with a quorum for this long steps down.
     pub election_timeout: Micros,
-    /// Entries in one message (bytes).
+    /// Maximum size of the entries in one message (bytes).
     pub max_append_bytes: usize,
-    /// Entries that are under way to one member.
+    /// Maximum number of entries in flight to one member.
     pub max_inflight_entries: u64,
-    /// A snapshot's part in one message (bytes).
+    /// Maximum size of a snapshot chunk in one message (bytes).
     pub snapshot_chunk_bytes: usize,
-    /// The largest snapshot that is accepted (bytes, encoded).
+    /// Maximum encoded size of a snapshot that a member accepts (bytes).
     pub max_snapshot_bytes: u64,
-    /// Entries that a leader holds uncommitted. Beyond, it rejects proposals.
+    /// Number of uncommitted entries from which on a leader rejects proposals; also limits pending reads.
     pub max_uncommitted_entries: u64,
-    /// The same in bytes.
+    /// Total size of uncommitted entries above which a leader rejects proposals (bytes).
     pub max_uncommitted_bytes: usize,
-    /// Entries that are retained before a snapshot, for members that are a little behind.
+    /// Maximum number of entries retained before a snapshot, for members that are slightly behind.
     pub retained_entries: u64,
-    /// The same in bytes.
+    /// Maximum size of the entries retained before a snapshot (bytes).
     pub retained_bytes: usize,
     /// Seeds the random part of the election timeout.
     pub seed: u64,
-    /// A fault that a test plants.
+    /// A fault planted by a test.
     #[cfg(feature = "planted-faults")]
     pub planted_fault: Option<PlantedFault>,
 }
 
 impl Options {
-    /// What suits members in one zone or in zones of one town.
+    /// Default options, for members in one zone or in nearby zones (of one town).
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -65,23 +65,23 @@
     }
 }
 
-/// Faults that a test plants, to see that it would catch them.
+/// Faults that tests plant, to show that they would detect them.
 #[cfg(feature = "planted-faults")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlantedFault {
     /// A vote is sent before it is on disk.
     VoteNotStored,
-    /// An entry of an older term is committed once a quorum has it.
+    /// An entry of an older term is committed as soon as a quorum has it on disk.
     CommitOlderTerm,
-    /// A read is answered without asking a quorum.
+    /// A read is answered without confirmation by a quorum.
     ReadAlone,
     /// Entries are acknowledged before they are on disk.
     AckNotStored,
-    /// A snapshot that does not say who the members were.
+    /// A snapshot is taken without the members.
     SnapshotForgets,
 }
 
-/// Whether a test has planted this fault in the member; never in a build without the feature.
+/// Whether a test has planted this fault in the member; always false without the feature.
 macro_rules! is_planted {
     ($raft:ident, $fault:ident) => {{
         #[cfg(feature = "planted-faults")]
--- a/crates/raft/src/raft/persistence.rs
+++ b/crates/raft/src/raft/persistence.rs
@@ -1,5 +1,5 @@
-//! What goes to disk, and what waits until it is there: votes and acknowledgements are sent only once the state that
-//! they rest on is stored (Ongaro's thesis, 3.8 and 10.2.1).
+//! Write batches, and the effects that wait until they are on disk: votes and acknowledgements are sent only once the
+//! state that they depend on is stored (Ongaro's thesis, 3.8 and 10.2.1).
 
 use super::{is_planted, Action, Raft};
 use crate::entry::{Entry, HardState, LogPosition, Snapshot};
@@ -7,22 +7,22 @@
 use crate::{Index, Term};
 use std::sync::Arc;
 
-/// What goes to disk as one, in order.
+/// Changes that are written to disk together, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct WriteBatch {
-    /// Its number, from 1.
+    /// The number of the batch, starting at 1.
     pub number: u64,
     /// Replaces the hard state.
     pub hard_state: Option<HardState>,
     /// Replaces the snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Removes all entries: the log begins anew after the snapshot.
+    /// Removes all entries: the log restarts after the snapshot.
     pub reset: bool,
     /// Removes the entries from this index on, before new ones are appended.
     pub truncate: Option<Index>,
     /// New entries, in order.
     pub entries: Vec<Entry>,
-    /// The entries up to this index are not needed any more.
+    /// Removes the entries up to and including this index, which are no longer needed.
     pub compact: Option<Index>,
 }
 
@@ -35,18 +35,18 @@
 /// What a member has on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistentState {
-    /// The latest that was stored.
+    /// The latest hard state.
     pub hard_state: HardState,
-    /// The latest that was stored.
+    /// The latest snapshot.
     pub snapshot: Arc<Snapshot>,
-    /// The entry before the first of `entries`.
+    /// The position of the entry before the first of `entries`.
     pub base: LogPosition,
-    /// The entries, in order and without gaps.
+    /// The entries, contiguous and in order.
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// Changes it as a write batch says.
+    /// Applies the changes of a write batch.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if let Some(hard_state) = &batch.hard_state {
             self.hard_state = hard_state.clone();
@@ -71,35 +71,35 @@
     }
 }
 
-/// What happens once a write batch is on disk.
+/// An effect that takes place once a write batch is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct PendingOnDisk {
-    /// The batch's number.
+pub(super) struct PendingEffect {
+    /// The number of the batch.
     pub batch: u64,
     pub effect: PersistedEffect,
 }
 
-/// See [`PendingOnDisk`].
+/// What happens once the batch of a [`PendingEffect`] is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum PersistedEffect {
-    /// The message is sent.
+    /// Sends the message.
     Send(Message),
-    /// The member's own vote in that term counts.
+    /// Counts the member's own vote in this term.
     OwnVote(Term),
-    /// Entries up to there are durable.
+    /// Marks the entries up to this index as durable.
     Durable(Index),
 }
 
-/// A message of the present event.
+/// A message of the current event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OutgoingMessage {
     pub message: Message,
-    /// It promises what the present event stores.
+    /// Whether it has to wait until the changes so far are on disk.
     pub after_persist: bool,
 }
 
 impl Raft {
-    /// Whether a message promises something that has to be on disk first.
+    /// Whether a message is a promise, such as a vote, that has to be on disk before the message is sent.
     pub(super) fn is_promise(&self, body: &MessageBody) -> bool {
         match body {
             MessageBody::Vote { .. } | MessageBody::VoteReply { granted: true } => {
@@ -111,18 +111,18 @@
         }
     }
 
-    /// Stores the hard state with the present event's batch.
+    /// Adds the hard state to the batch of the current event.
     pub(super) fn store_hard_state(&mut self) {
         self.batch.hard_state = Some(self.hard_state.clone());
     }
 
-    /// Ends an event: what has changed goes to disk, messages are sent or wait for that, committed entries are applied.
+    /// Finishes an event: persists its changes, sends messages or defers them until then, applies committed entries.
     pub(super) fn finish_event(&mut self, actions: &mut Vec<Action>) {
         self.advance_commit();
         self.persist_batch(actions);
         for OutgoingMessage { message, after_persist } in std::mem::take(&mut self.outbox) {
             if after_persist && self.batches_persisted < self.batches_issued {
-                self.await_disk(PersistedEffect::Send(message));
+                self.defer_until_persisted(PersistedEffect::Send(message));
             } else {
                 actions.push(Action::Send(message));
             }
@@ -137,16 +137,16 @@
         self.batches_issued += 1;
         let mut batch = std::mem::take(&mut self.batch);
         batch.number = self.batches_issued;
-        self.await_disk(PersistedEffect::Durable(self.log.last()));
+        self.defer_until_persisted(PersistedEffect::Durable(self.log.last()));
         actions.push(Action::Persist(batch));
     }
 
-    /// Has an effect wait for the last batch that was issued.
-    fn await_disk(&mut self, effect: PersistedEffect) {
-        self.pending.push_back(PendingOnDisk { batch: self.batches_issued, effect });
+    /// Defers an effect until the last issued batch is on disk.
+    fn defer_until_persisted(&mut self, effect: PersistedEffect) {
+        self.pending.push_back(PendingEffect { batch: self.batches_issued, effect });
     }
 
-    /// The batches up to that number are on disk.
+    /// Carries out the effects of the batches up to `number`, which are on disk.
     pub(super) fn handle_persisted(&mut self, number: u64, actions: &mut Vec<Action>) {
         self.batches_persisted = self.batches_persisted.max(number.min(self.batches_issued));
         while self.pending.front().is_some_and(|pending| pending.batch <= self.batches_persisted) {
@@ -162,9 +162,9 @@
     }
 }
 
-// Which entries are durable.
+// Tracking of durable entries.
 impl Raft {
-    /// Entries after `last` were overwritten: what is on disk of them does not count.
+    /// Entries after `last` were truncated: those on disk or being written are no longer durable entries of this log.
     pub(super) fn limit_durable(&mut self, last: Index) {
         self.durable = self.durable.min(last);
         for pending in &mut self.pending {
@@ -174,8 +174,8 @@
         }
     }
 
-    /// The log begins anew: no entry of the one before counts.
-    pub(super) fn forget_durable(&mut self) {
+    /// The log was replaced: its previous entries no longer count as durable.
+    pub(super) fn reset_durable(&mut self) {
         self.durable = 0;
         self.pending.retain(|pending| !matches!(pending.effect, PersistedEffect::Durable(_)));
     }
--- a/crates/raft/src/raft/quorum.rs
+++ b/crates/raft/src/raft/quorum.rs
@@ -1,4 +1,4 @@
-//! Who counts, and what a quorum of them has reached.
+//! The voters, and the values that a quorum of them has reached.
 
 use super::role::Role;
 use super::Raft;
@@ -14,7 +14,7 @@
         self.voters().filter(|id| *id != self.hard_state.id).collect()
     }
 
-    /// Whether this member votes.
+    /// Whether this member is a voter.
     pub(super) fn is_voter(&self) -> bool {
         self.members().get(&self.hard_state.id).is_some_and(|member| member.votes)
     }
@@ -24,14 +24,14 @@
         self.voters().filter(|id| granted.contains(id)).count() * 2 > all
     }
 
-    /// The greatest value that a quorum of the voters has reached; 0 without voters.
+    /// The greatest value that a quorum of the voters has reached; 0 if there are no voters.
     pub(super) fn quorum_value(&self, value_of: impl Fn(Id) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters().map(value_of).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(values.len() / 2).copied().unwrap_or_default()
     }
 
-    /// When a leader last heard from a quorum, itself included (us).
+    /// When the leader last had contact with a quorum, itself included (us); the current time at any other member.
     pub(super) fn last_quorum_contact(&self) -> Micros {
         let Role::Leader(leader) = &self.role else { return self.now };
         let own = self.hard_state.id;
--- a/crates/raft/src/raft/read_index.rs
+++ b/crates/raft/src/raft/read_index.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads by rounds: a leader reads once a quorum has confirmed, after the read was asked for, that it still
-//! leads (Ongaro's thesis, 6.4, "read index"). No clock is relied on.
+//! Linearizable reads in rounds: the leader answers a read once a quorum has confirmed, after the read was requested,
+//! that it is still the leader (Ongaro's thesis, 6.4, "read index"). This does not depend on clocks.
 
 use super::role::{PendingRead, Role};
 use super::{is_planted, Action, ProposeError, Raft};
@@ -19,7 +19,7 @@
         if leader.pending_reads.len() as u64 >= self.options.max_uncommitted_entries {
             return actions.push(reject(ProposeError::Busy));
         }
-        // Answers to a round that begins now show that nobody else led when the read was asked for.
+        // Replies to a round started now prove that there was no later leader when the read was requested.
         leader.round += 1;
         let awaited_round = Some(leader.round);
         leader.pending_reads.push_back(PendingRead { proposal_id, index, awaited_round });
@@ -28,7 +28,7 @@
 
     /// Confirms the reads whose round a quorum has answered.
     pub(super) fn confirm_reads(&mut self) {
-        // Before an entry of its own term is committed, a leader does not know what else is.
+        // Until an entry of its own term is committed, a leader does not know which entries are.
         if !self.has_committed_in_term() {
             return;
         }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Answers the confirmed reads, in the order in which they came.
+    /// Answers the confirmed reads, in order of arrival.
     pub(super) fn answer_confirmed_reads(&mut self, actions: &mut Vec<Action>) {
         let Role::Leader(leader) = &mut self.role else { return };
         while leader.pending_reads.front().is_some_and(|read| read.awaited_round.is_none()) {
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of entries (Ongaro's thesis, 3.5): a leader appends and sends, a follower compares and stores.
+//! Replication of entries (Ongaro's thesis, 3.5): the leader appends and sends, followers compare and store.
 
 use super::role::{LeadershipTransfer, Role};
 use super::{Action, Proposal, ProposeError, Raft};
@@ -9,7 +9,7 @@
 
 // The leader's side.
 impl Raft {
-    /// Appends an entry to the log and sends it, unless too much is uncommitted.
+    /// Appends an entry to the log and sends it, or rejects the proposal if it is not allowed now.
     pub(super) fn propose(&mut self, proposal_id: u64, kind: EntryKind, actions: &mut Vec<Action>) {
         if let Err(why) = self.may_propose() {
             return actions.push(Action::Rejected { proposal_id, why });
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Appends an entry of the present term.
+    /// Appends an entry in the current term.
     pub(super) fn append_new(&mut self, kind: EntryKind) -> Index {
         let index = self.log.last() + 1;
         self.append(Entry { index, term: self.hard_state.term, kind });
@@ -43,7 +43,7 @@
     }
 
     fn append(&mut self, entry: Entry) {
-        self.note_configuration(&entry);
+        self.record_configuration(&entry);
         self.batch.entries.push(entry.clone());
         self.log.append(entry);
     }
@@ -54,7 +54,7 @@
         self.broadcast(true);
     }
 
-    /// Sends to each member what is new, or something in any case where it is a heartbeat.
+    /// Sends new entries to every member; a heartbeat is sent even if there are none.
     fn broadcast(&mut self, heartbeat: bool) {
         let Role::Leader(leader) = &self.role else { return };
         let peers: Vec<Id> = leader.peers.keys().copied().collect();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends what is new to a member, or something in any case where it is a heartbeat.
+    /// Sends new entries or a snapshot chunk to a member; a heartbeat is sent even if there is nothing new.
     pub(super) fn replicate_to(&mut self, id: Id, heartbeat: bool) {
         let base = self.log.base();
         let snapshot = self.snapshot.index;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends one message that shows whether the logs match.
+    /// Sends one message whose reply shows whether the logs match.
     fn send_probe(&mut self, id: Id, paused: bool, heartbeat: bool) {
         let Some(next) = self.peer_mut(id).map(|progress| progress.next) else { return };
         let max_bytes = self.options.max_append_bytes;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Sends entries as long as there are any and the window has room.
+    /// Sends entries until there are no more or the in-flight window is full.
     fn send_entries(&mut self, id: Id, heartbeat: bool) {
         let (max_bytes, window) = (self.options.max_append_bytes, self.options.max_inflight_entries);
         let last = self.log.last();
@@ -97,8 +97,8 @@
             let Role::Leader(leader) = &mut self.role else { return };
             let Some(progress) = leader.peers.get_mut(&id) else { return };
             let first = progress.next;
-            let has_room = first <= progress.matched + window;
-            let entries = if has_room { self.log.entries_from(first, max_bytes) } else { Vec::new() };
+            let window_open = first <= progress.matched + window;
+            let entries = if window_open { self.log.entries_from(first, max_bytes) } else { Vec::new() };
             progress.next += entries.len() as Index;
             let more = !entries.is_empty() && progress.next <= last;
             if entries.is_empty() && !heartbeat {
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Sends these entries, of which `first` is the first or would be.
+    /// Sends these entries; `first` is the index of the first one, or of the next entry if there are none.
     fn send_append(&mut self, id: Id, first: Index, entries: Vec<Entry>) {
         let Role::Leader(leader) = &self.role else { return };
         let round = leader.round;
         let index = first - 1;
-        // The entry before the first is in memory, or is the base.
+        // The previous entry is in memory, or is the base.
         let previous = LogPosition { index, term: self.log.term(index).unwrap_or_default() };
         let entries = entries.into_iter().map(WireEntry).collect();
         let append = AppendEntries { previous, commit: self.commit, round, entries };
@@ -128,8 +128,8 @@
         leader.peers.get_mut(&id)
     }
 
-    /// A member has answered; none where this member does not lead or does not know it.
-    pub(super) fn note_contact(&mut self, from: Id, round: u64) -> Option<&mut Progress> {
+    /// Records that a member has replied; returns `None` if this member is not the leader or does not know the sender.
+    pub(super) fn record_contact(&mut self, from: Id, round: u64) -> Option<&mut Progress> {
         let now = self.now;
         let progress = self.peer_mut(from)?;
         progress.last_contact = now;
@@ -139,7 +139,7 @@
 
     pub(super) fn handle_append_reply(&mut self, from: Id, reply: &AppendReply) {
         let last = self.log.last();
-        let Some(progress) = self.note_contact(from, reply.round) else { return };
+        let Some(progress) = self.record_contact(from, reply.round) else { return };
         if !reply.accepted {
             progress.reject(reply.index, reply.hint);
         } else if reply.index <= last {
@@ -166,12 +166,13 @@
         self.send(from, MessageBody::AppendReply(reply));
     }
 
-    /// Whether the log has the leader's entry there. What the base covers was committed and is the leader's too.
+    /// Whether the log has the leader's entry at this position. Entries before the base were committed, so the leader
+    /// has the same ones.
     fn matches_log(&self, position: LogPosition) -> bool {
         position.index < self.log.base() || self.log.term(position.index) == Some(position.term)
     }
 
-    /// The last entry that may be the leader's, where the one at `index` is not.
+    /// The last entry that may match the leader's log, given that the one at `index` does not.
     fn last_possible_match(&self, index: Index) -> Index {
         match self.log.term(index) {
             Some(_) => self.log.first_of_term(index) - 1,
@@ -179,14 +180,14 @@
         }
     }
 
-    /// Appends the entries that the log lacks, after those that match. Returns the last that is the leader's; none if a
-    /// committed entry would be overwritten, which no leader sends.
+    /// Skips the entries that match and appends the rest. Returns the last entry that matches the leader's log; `None`
+    /// if a committed entry would be overwritten, which a correct leader never causes.
     fn append_entries(&mut self, previous: Index, entries: Vec<WireEntry>) -> Option<Index> {
         let base = self.log.base();
         let mut last = previous;
         for WireEntry(entry) in entries {
             if entry.index != last + 1 {
-                break; // a gap: no leader sends that
+                break; // a gap, which a correct leader never sends
             }
             last = entry.index;
             if last <= base || self.log.term(last) == Some(entry.term) {
@@ -208,7 +209,7 @@
         self.log.truncate(from);
         self.configurations.retain(|configuration| configuration.index < from);
         self.limit_durable(from - 1);
-        // Entries that this very event has brought are not on their way to the disk yet.
+        // Entries that were appended by the current event have not been handed to the disk yet.
         self.batch.entries.retain(|entry| entry.index < from);
         let truncate = self.batch.truncate.map_or(from, |earlier| earlier.min(from));
         self.batch.truncate = Some(truncate);
--- a/crates/raft/src/raft/role.rs
+++ b/crates/raft/src/raft/role.rs
@@ -1,10 +1,10 @@
-//! The roles of a member, each with the state that only it has.
+//! The roles of a member, each with its own state.
 
 use crate::progress::Progress;
 use crate::{Id, Index, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a member is in its term.
+/// The role of a member in its term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Role {
     Follower(Follower),
@@ -14,30 +14,30 @@
 }
 
 impl Role {
-    /// A follower, of that leader where one is known.
+    /// A follower of that leader, if one is known.
     pub fn follower(leader: Option<Id>) -> Self {
         Role::Follower(Follower { leader })
     }
 }
 
-/// Takes entries from the leader.
+/// Accepts entries from the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Follower {
-    /// The leader of the term, where it is known.
+    /// The leader of the term, if it is known.
     pub leader: Option<Id>,
 }
 
-/// Asks whether it would be elected, before it disturbs anyone by a new term.
+/// Runs a pre-vote: finds out whether it could win an election before it disrupts the others with a new term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PreCandidate {
     /// Members that would vote for it, itself included.
     pub granted: BTreeSet<Id>,
 }
 
-/// Wants to be elected.
+/// Requests votes in a new term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Candidate {
-    /// Members that have voted for it; itself once its own vote is on disk.
+    /// Members that have voted for it; includes itself once its own vote is on disk.
     pub granted: BTreeSet<Id>,
 }
 
@@ -46,18 +46,18 @@
 pub(super) struct Leader {
     /// The other members.
     pub peers: BTreeMap<Id, Progress>,
-    /// The latest read round. Each message carries it and each answer repeats it.
+    /// The latest read round. Append and snapshot messages carry it and their replies repeat it.
     pub round: u64,
-    /// Reads in the order in which they came.
+    /// Pending reads, in order of arrival.
     pub pending_reads: VecDeque<PendingRead>,
     /// When the next heartbeat is due (us).
     pub heartbeat_deadline: Micros,
-    /// A leadership transfer that is under way.
+    /// The leadership transfer in progress.
     pub transfer: Option<LeadershipTransfer>,
 }
 
 impl Leader {
-    /// A leader that has just been elected; its peers are set with the membership.
+    /// A newly elected leader; its peers are added from the membership afterwards.
     pub fn new(now: Micros) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -69,22 +69,22 @@
     }
 }
 
-/// A read that waits for a quorum to confirm that this member still leads.
+/// A read that waits for a quorum to confirm that this member is still the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingRead {
-    /// The caller's number for it.
+    /// The id that the caller chose for it.
     pub proposal_id: u64,
-    /// The commit index when it was asked for.
+    /// The commit index when the read was requested.
     pub index: Index,
-    /// The round that a quorum has to answer; none once it has.
+    /// The round that a quorum has to confirm; `None` once it is confirmed.
     pub awaited_round: Option<u64>,
 }
 
-/// Nothing new is accepted while the leadership goes to another member.
+/// A leadership transfer in progress; meanwhile the leader accepts no proposals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeadershipTransfer {
-    /// The member that is to lead.
+    /// The member that is to become the leader.
     pub to: Id,
-    /// When it has failed (us).
+    /// When the transfer is given up (us).
     pub deadline: Micros,
 }
--- a/crates/raft/src/raft/snapshot.rs
+++ b/crates/raft/src/raft/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots (Ongaro's thesis, chapter 5): in place of entries that were applied, and sent in chunks to members that lack
-//! such entries.
+//! Snapshots (Ongaro's thesis, chapter 5): they replace applied entries, and are sent in chunks to members that lack
+//! those entries.
 
 use super::role::Role;
 use super::{is_planted, Action, Raft};
@@ -24,7 +24,7 @@
         Self { position: chunk.position, total_bytes: chunk.total_bytes, received: Vec::new() }
     }
 
-    fn is_of(&self, chunk: &SnapshotChunk) -> bool {
+    fn is_same_snapshot(&self, chunk: &SnapshotChunk) -> bool {
         self.position == chunk.position && self.total_bytes == chunk.total_bytes
     }
 
@@ -36,7 +36,7 @@
         self.received_bytes() == self.total_bytes
     }
 
-    /// Adds a chunk if it is the next one.
+    /// Adds a chunk if it is the next one and does not exceed the total size.
     fn add(&mut self, chunk: &SnapshotChunk) {
         let is_next = self.received_bytes() == chunk.offset;
         if is_next && chunk.offset + chunk.data.len() as u64 <= self.total_bytes {
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The snapshot, if all of it is what was announced.
+    /// Decodes the snapshot; `None` if it is invalid or covers another position than announced.
     fn into_snapshot(self) -> Option<Snapshot> {
         let snapshot: Snapshot = decode(&self.received).ok()?;
         (snapshot.position() == self.position).then_some(snapshot)
     }
 }
 
-/// The snapshot as it is sent, encoded once for all members.
+/// The encoded snapshot, cached for sending to all members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct EncodedSnapshot {
     index: Index,
@@ -88,9 +88,9 @@
 
     pub(super) fn handle_snapshot_chunk_reply(&mut self, from: Id, reply: &SnapshotChunkReply) {
         let SnapshotChunkReply { index, received_bytes, round } = *reply;
-        let Some(progress) = self.note_contact(from, round) else { return };
+        let Some(progress) = self.record_contact(from, round) else { return };
         match &mut progress.state {
-            // The answer to a chunk that was sent again says nothing new, and calls for no further chunk.
+            // The reply to a resent chunk repeats the offset, and must not trigger another chunk.
             ProgressState::Snapshot { index: sent, offset, paused }
                 if *sent == index && *offset != received_bytes =>
             {
@@ -101,7 +101,7 @@
         }
         let encoded = self.encoded_snapshot.as_ref().filter(|encoded| encoded.index == index);
         if encoded.is_some_and(|encoded| encoded.bytes.len() as u64 == received_bytes) {
-            if let Some(progress) = self.note_contact(from, round) {
+            if let Some(progress) = self.record_contact(from, round) {
                 progress.acknowledge(index);
             }
         }
@@ -120,7 +120,7 @@
         let SnapshotChunk { position, total_bytes, round, .. } = chunk;
         let index = position.index;
         let received_bytes = if index <= self.commit {
-            total_bytes // all that it covers is committed here already
+            total_bytes // everything that it covers is committed here already
         } else if total_bytes > self.options.max_snapshot_bytes {
             return;
         } else {
@@ -130,10 +130,10 @@
         self.send(from, MessageBody::SnapshotChunkReply(reply));
     }
 
-    /// Takes a chunk, and restores the snapshot once it is complete. Returns how many bytes have arrived.
+    /// Adds a chunk, and restores the snapshot once it is complete. Returns the number of bytes received so far.
     fn receive_snapshot_chunk(&mut self, chunk: &SnapshotChunk, actions: &mut Vec<Action>) -> u64 {
-        let started = self.incoming_snapshot.take().filter(|incoming| incoming.is_of(chunk));
-        let mut incoming = started.unwrap_or_else(|| IncomingSnapshot::new(chunk));
+        let in_progress = self.incoming_snapshot.take().filter(|incoming| incoming.is_same_snapshot(chunk));
+        let mut incoming = in_progress.unwrap_or_else(|| IncomingSnapshot::new(chunk));
         incoming.add(chunk);
         let received_bytes = incoming.received_bytes();
         if !incoming.is_complete() {
@@ -158,7 +158,7 @@
             self.batch.truncate = None;
             self.batch.compact = None;
             self.batch.entries.clear();
-            self.forget_durable();
+            self.reset_durable();
         }
         self.commit = index;
         self.applied = index;
@@ -168,9 +168,10 @@
     }
 }
 
-// Any member.
+// All members.
 impl Raft {
-    /// Keeps the state machine as it is after `index` in place of the entries up to there.
+    /// Takes a snapshot at `index` and removes the entries up to there, except for those retained for members that are
+    /// slightly behind.
     pub(super) fn compact(&mut self, index: Index, data: Arc<Vec<u8>>) {
         let Some(term) = self.log.term(index) else { return };
         if index <= self.snapshot.index || index > self.applied {
--- a/crates/raft/src/raft/step.rs
+++ b/crates/raft/src/raft/step.rs
@@ -1,4 +1,4 @@
-//! Takes a message: whom it is for, what its term means, and who handles it.
+//! Dispatches messages: checks the receiver and the log, handles the term, and calls the handler.
 
 use super::role::Role;
 use super::{Action, Raft};
@@ -7,7 +7,7 @@
 
 impl Raft {
     pub(super) fn step(&mut self, message: Message, actions: &mut Vec<Action>) {
-        if !self.is_addressee(&message) {
+        if !self.accept_message(&message) {
             return;
         }
         let Message { from, term, body, .. } = message;
@@ -16,13 +16,13 @@
             MessageBody::PreVote { last } => {
                 return self.answer_pre_vote(from, term, *last, leader_is_live);
             }
-            // A member that cannot hear the leader, or was removed, must not disturb those that can.
+            // A member that is cut off from the leader, or was removed, must not disrupt the others.
             MessageBody::Vote { leadership_transfer: false, .. }
                 if leader_is_live && term > self.hard_state.term =>
             {
                 return;
             }
-            // Carries the term that was asked for, in which nobody is a candidate yet.
+            // Carries the term of the pre-vote, which nobody has started yet.
             MessageBody::PreVoteReply { granted: true } => {}
             _ if term > self.hard_state.term => {
                 self.become_follower(term, body.is_from_leader().then_some(from), actions);
@@ -36,8 +36,8 @@
     }
 
     /// Whether a message is for this member and its log. A member without a log joins that of the first leader that
-    /// sends to it.
-    fn is_addressee(&mut self, message: &Message) -> bool {
+    /// sends it a message.
+    fn accept_message(&mut self, message: &Message) -> bool {
         let Message { cluster, from, to, .. } = *message;
         if to != self.hard_state.id || from == to || cluster == 0 {
             return false;
@@ -53,13 +53,13 @@
         true
     }
 
-    /// Whether this member leads, or has heard from its leader within an election timeout.
+    /// Whether this member is the leader, or has had a message from its leader within the election timeout.
     fn has_live_leader(&self) -> bool {
-        let heard_lately = self.last_leader_contact + self.options.election_timeout > self.now;
-        self.leader().is_some() && heard_lately || self.leads()
+        let heard_recently = self.last_leader_contact + self.options.election_timeout > self.now;
+        self.leader().is_some() && heard_recently || self.leads()
     }
 
-    /// Tells a former leader, or a candidate of an older term, which term it is.
+    /// Rejects the message of a former leader or an older candidate, so that it learns the current term.
     fn reject_older_term(&mut self, to: Id, body: MessageBody) {
         match body {
             MessageBody::Append(AppendEntries { previous, round, .. }) => {
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Handles a message of the present term.
+    /// Handles a message of the current term.
     fn dispatch(&mut self, from: Id, term: Term, body: MessageBody, actions: &mut Vec<Action>) {
         match body {
-            MessageBody::PreVote { .. } => {} // answered in any term
+            MessageBody::PreVote { .. } => {} // answered before, whatever the term
             MessageBody::PreVoteReply { granted } => self.handle_pre_vote_reply(from, term, granted),
             MessageBody::Vote { last, .. } => self.handle_vote(from, last),
             MessageBody::VoteReply { granted } => self.handle_vote_reply(from, granted),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The sender leads in this member's term. There is one leader in a term, so this member does not lead.
+    /// Follows the sender, the leader of this member's term. A term has one leader at most, so this member is not it.
     fn follow_leader(&mut self, leader: Id, actions: &mut Vec<Action>) {
         self.last_leader_contact = self.now;
         if self.leader() != Some(leader) || !matches!(self.role, Role::Follower(_)) {
--- a/crates/raft/src/raft/transfer.rs
+++ b/crates/raft/src/raft/transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership transfer (Ongaro's thesis, 3.10): once the other member has all entries it is told to start an election.
+//! Leadership transfer (Ongaro's thesis, 3.10): the target starts an election once it has all entries.
 
 use super::role::{LeadershipTransfer, Role};
 use super::Raft;
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Tells the other member to start an election if it has all entries.
+    /// Makes the target of the transfer start an election if it has all entries.
     pub(super) fn continue_transfer(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let Some(LeadershipTransfer { to, .. }) = leader.transfer else { return };
--- a/crates/raft/src/state_machine/command.rs
+++ b/crates/raft/src/state_machine/command.rs
@@ -1,6 +1,7 @@
 //! Commands of the state machine, their limits and their outcomes.
 //!
-//! Commands are entries of the log and outcomes are part of snapshots: the order and kind of fields is the format.
+//! Commands are stored in log entries and outcomes in snapshots: the order and types of fields and variants are the
+//! format. The texts of rejections are stored in outcomes, and all members must store the same ones.
 
 use super::{MAX_KEYS, MAX_KEY_BYTES, MAX_OPS, MAX_TOTAL_BYTES, MAX_VALUE_BYTES};
 use crate::codec::{encode, DecodeError};
@@ -11,44 +12,44 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Characters of an invalid key that an error shows.
+/// The number of characters of an invalid key that are shown in an error.
 const MAX_SHOWN_CHARACTERS: usize = 40;
 
-/// A part of a command: sets or removes one key.
+/// An operation of a command: sets or removes one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Op {
     /// The key.
     pub key: String,
-    /// Its new value; none removes it.
+    /// The new value; `None` removes the key.
     pub value: Option<Arc<str>>,
-    /// The version that it must have (0: the key must not exist), or the whole command is not done.
+    /// The version that the key must have (0: it must not exist); otherwise the whole command is not executed.
     pub expect: Option<Index>,
 }
 
-/// What is proposed: all of it is done or nothing.
+/// A command that can be proposed; executed atomically, either completely or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// The caller's session: a number drawn by it. 0: the command is done as often as it is proposed.
+    /// The caller's session id, drawn by the caller. With 0, the command is executed each time that it is proposed.
     pub session: u64,
-    /// Counts up in a session. A command that is proposed again is done once and has the same outcome.
+    /// Increases within a session. A command that is proposed again is executed once and gets the same outcome.
     pub serial: u64,
-    /// Its parts.
+    /// The operations.
     pub ops: Vec<Op>,
 }
 
 /// Why a command is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// Without parts, or with too many; says how many.
+    /// The command has no operations, or too many; with their number.
     #[error("a command has 1 to {max} parts, not {0}", max = MAX_OPS)]
     OpCount(usize),
-    /// Two parts have the same key.
+    /// Two operations have the same key.
     #[error("a command names each key once")]
     DuplicateKey,
-    /// A key that is empty, too long or not printable; says its printable beginning.
+    /// A key is empty, too long or has control characters; with the first printable characters of the key.
     #[error("{0}: a key has 1 to {max} bytes and no control characters", max = MAX_KEY_BYTES)]
     InvalidKey(String),
-    /// A value that is too long.
+    /// A value is too long.
     #[error("{key}: a value has {max} bytes at the most, not {bytes}", max = MAX_VALUE_BYTES)]
     ValueTooLong {
         /// The value's key.
@@ -59,16 +60,16 @@
 }
 
 impl Command {
-    /// As an entry holds it.
+    /// Encodes the command for a log entry.
     #[must_use]
     pub fn to_bytes(&self) -> Arc<Vec<u8>> {
         Arc::new(encode(self))
     }
 
-    /// Checks that the command may be proposed.
+    /// Checks that the command is valid and may be proposed.
     ///
     /// # Errors
-    /// With key and reason.
+    /// The reason why it is not valid, with the key concerned.
     pub fn validate(&self) -> Result<(), CommandError> {
         if self.ops.is_empty() || self.ops.len() > MAX_OPS {
             return Err(CommandError::OpCount(self.ops.len()));
@@ -96,19 +97,19 @@
     }
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Done; what it wrote has this version.
+    /// Executed; the values that it wrote have this version.
     Done(Index),
-    /// Not done: a key has another version than the command expects.
+    /// Not executed: a key has another version than the command expects.
     VersionMismatch {
         /// The key.
         key: String,
         /// Its version (0: it does not exist).
         version: Index,
     },
-    /// Not done, for this reason, which is part of the format: it is remembered as text.
+    /// Not executed, for this reason. The text is stored in snapshots, so it is part of the format.
     Rejected(String),
 }
 
@@ -122,22 +123,22 @@
     }
 }
 
-/// Why a command of an entry is not done.
+/// Why the command of an entry is not executed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(super) enum RejectReason {
-    /// The entry holds no command.
+    /// The entry's data is not a command.
     #[error(transparent)]
     Malformed(#[from] DecodeError),
     /// The command is not valid.
     #[error(transparent)]
     Invalid(#[from] CommandError),
-    /// A command with a later serial was applied.
+    /// A command of the session with a later serial has been applied.
     #[error("a later call of this session was answered")]
     OutdatedSerial,
-    /// The session was forgotten, and with it whether the command was done.
+    /// The session is unknown or was evicted, so it is not known whether the command has been executed.
     #[error("this session is not known any more: it may have been done")]
     UnknownSession,
-    /// Keys or bytes would be too many.
+    /// The command would exceed the limit on keys or bytes.
     #[error("the store is full: {keys} keys and {bytes} bytes at the most", keys = MAX_KEYS, bytes = MAX_TOTAL_BYTES)]
     StoreFull,
 }
--- a/crates/raft/src/state_machine/mod.rs
+++ b/crates/raft/src/state_machine/mod.rs
@@ -1,8 +1,8 @@
-//! The configuration that the log's entries make: texts by key, each with the version by which compare-and-set goes, a
-//! history that watchers read on from, and the last outcome of each session, so that a command proposed again is done once
+//! The replicated configuration: text values by key, each with a version for compare-and-set; a history of changes, from
+//! which watchers resume; and the last outcome of each session, so that a command proposed again is executed once
 //! (Ongaro's thesis, 6.3).
 //!
-//! All members apply the same commands in the same order and come to the same state; nothing here depends on time.
+//! All members apply the same commands in the same order and reach the same state; nothing here depends on time.
 
 mod command;
 
@@ -15,43 +15,43 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Bytes of a key.
+/// Maximum length of a key (bytes).
 pub const MAX_KEY_BYTES: usize = 256;
-/// Bytes of a value.
+/// Maximum length of a value (bytes).
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Keys.
+/// Maximum number of keys.
 pub const MAX_KEYS: usize = 4096;
-/// Bytes of all keys and values.
+/// Maximum total length of all keys and values (bytes).
 pub const MAX_TOTAL_BYTES: usize = 8 << 20;
-/// Changes in the history.
+/// Maximum number of changes in the history.
 pub const MAX_HISTORY_CHANGES: usize = 1024;
-/// Bytes of the changes in the history, about.
+/// Maximum approximate size of the changes in the history (bytes).
 pub const MAX_HISTORY_BYTES: usize = 4 << 20;
-/// Sessions whose last outcome is remembered; beyond, the one that was quiet for longest is forgotten.
+/// Maximum number of sessions whose last outcome is stored; beyond it, the least recently used one is evicted.
 pub const MAX_SESSIONS: usize = 4096;
-/// Parts of one command.
+/// Maximum number of operations of a command.
 pub const MAX_OPS: usize = 64;
 
-/// Bytes that a change takes in the history beside key and value, about.
+/// Approximate overhead of a change in the history beyond its key and value (bytes).
 const CHANGE_OVERHEAD_BYTES: usize = 64;
 
 /// A value with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Value {
-    /// The entry that wrote it.
+    /// The index of the entry that wrote it.
     pub version: Index,
     /// The text.
     pub text: Arc<str>,
 }
 
-/// One key's change.
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyChange {
-    /// The entry that made it.
+    /// The index of the entry that made it.
     pub version: Index,
     /// The key.
     pub key: String,
-    /// Its value since; none where it was removed.
+    /// The new value; `None` if the key was removed.
     pub value: Option<Arc<str>>,
 }
 
@@ -61,35 +61,35 @@
     }
 }
 
-/// The last command of a session.
+/// A session's last command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Session {
     serial: u64,
     outcome: Outcome,
-    /// The last entry of the session.
+    /// The index of the session's last entry.
     last_used: Index,
 }
 
-/// The state. The order and kind of its fields is the format of snapshots.
+/// The state machine. The order and types of its fields are the format of snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StateMachine {
     values: BTreeMap<String, Value>,
-    /// Bytes of all keys and values.
+    /// Total length of all keys and values (bytes).
     bytes: usize,
     /// The latest changes, oldest first.
     history: VecDeque<KeyChange>,
     history_bytes: usize,
-    /// The version of the latest change that is not in the history any more.
-    forgotten: Index,
+    /// The version of the latest change that was removed from the history; 0 if none was.
+    compacted_version: Index,
     sessions: BTreeMap<u64, Session>,
     applied: Index,
 }
 
 impl StateMachine {
-    /// From a snapshot's data; empty data is the empty state.
+    /// Restores the state from a snapshot's data; empty data gives the empty state.
     ///
     /// # Errors
-    /// Where it is none.
+    /// If the data cannot be decoded.
     pub fn restore(data: &[u8]) -> Result<Self, DecodeError> {
         if data.is_empty() {
             return Ok(Self::default());
@@ -97,13 +97,13 @@
         decode(data)
     }
 
-    /// The data of a snapshot.
+    /// Encodes the state as a snapshot's data.
     #[must_use]
     pub fn save(&self) -> Arc<Vec<u8>> {
         Arc::new(encode(self))
     }
 
-    /// The last entry that was applied.
+    /// The index of the last applied entry.
     #[must_use]
     pub fn applied(&self) -> Index {
         self.applied
@@ -115,19 +115,20 @@
         self.values.get(key)
     }
 
-    /// The keys with this prefix, in order.
+    /// The keys with this prefix and their values, in order of the keys.
     pub fn all<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a Value)> {
         self.values.range(prefix.to_string()..).take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// The changes after that version, oldest first; `None` where some of them are forgotten: then one starts anew.
+    /// The changes after a version, oldest first; `None` if some of them are no longer in the history, so that the
+    /// caller has to start over from all values.
     #[must_use]
     pub fn changes_since(&self, version: Index) -> Option<impl Iterator<Item = &KeyChange>> {
         let from = self.history.partition_point(|change| change.version <= version);
-        (version >= self.forgotten).then(|| self.history.range(from..))
+        (version >= self.compacted_version).then(|| self.history.range(from..))
     }
 
-    /// An entry without a command was applied.
+    /// Records that an entry without a command was applied.
     pub fn skip(&mut self, index: Index) {
         self.applied = index;
     }
@@ -135,7 +136,7 @@
     /// Applies the command of an entry.
     pub fn apply(&mut self, index: Index, data: &[u8]) -> Outcome {
         self.applied = index;
-        // Every member reads the same bytes: where they are no command, all reject alike.
+        // Every member decodes the same bytes, so all of them reject malformed data alike.
         let command = match decode::<Command>(data) {
             Ok(command) => command,
             Err(error) => return RejectReason::Malformed(error).into(),
@@ -143,16 +144,17 @@
         if command.session == 0 {
             return self.execute(index, &command);
         }
-        if let Some(answer) = self.answer_of_session(index, &command) {
+        if let Some(answer) = self.session_outcome(index, &command) {
             return answer;
         }
         let outcome = self.execute(index, &command);
-        self.remember_outcome(index, &command, outcome.clone());
+        self.store_outcome(index, &command, outcome.clone());
         outcome
     }
 
-    /// The outcome that a session already has for a command, or may not have; none where the command is to be done.
-    fn answer_of_session(&mut self, index: Index, command: &Command) -> Option<Outcome> {
+    /// The outcome of a command that must not be executed: the stored one if the session's last command is repeated, or
+    /// a rejection. `None` if the command is to be executed.
+    fn session_outcome(&mut self, index: Index, command: &Command) -> Option<Outcome> {
         let Some(session) = self.sessions.get_mut(&command.session) else {
             return (command.serial > 1).then(|| RejectReason::UnknownSession.into());
         };
@@ -163,7 +165,7 @@
         (command.serial < session.serial).then(|| RejectReason::OutdatedSerial.into())
     }
 
-    fn remember_outcome(&mut self, index: Index, command: &Command, outcome: Outcome) {
+    fn store_outcome(&mut self, index: Index, command: &Command, outcome: Outcome) {
         let session = Session { serial: command.serial, outcome, last_used: index };
         self.sessions.insert(command.session, session);
         if self.sessions.len() > MAX_SESSIONS {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Does all of a command, or nothing.
+    /// Executes a command completely or not at all.
     fn execute(&mut self, index: Index, command: &Command) -> Outcome {
         if let Err(error) = command.validate() {
             return RejectReason::Invalid(error).into();
@@ -191,7 +193,7 @@
         Outcome::Done(index)
     }
 
-    /// The first key that has another version than the command expects.
+    /// The mismatch of the first key that has another version than the command expects.
     fn version_mismatch(&self, command: &Command) -> Option<Outcome> {
         command.ops.iter().find_map(|Op { key, expect, .. }| {
             let version = self.values.get(key).map_or(0, |value| value.version);
@@ -200,14 +202,14 @@
         })
     }
 
-    /// Whether keys and bytes stay within the limits, or do not grow.
+    /// Whether the numbers of keys and bytes stay within the limits, or at least neither of them grows.
     fn fits_limits(&self, command: &Command) -> bool {
         let (mut keys, mut bytes) = (self.values.len(), self.bytes);
         for Op { key, value, .. } in &command.ops {
-            let present = self.values.get(key);
-            bytes -= present.map_or(0, |present| key.len() + present.text.len());
+            let existing = self.values.get(key);
+            bytes -= existing.map_or(0, |existing| key.len() + existing.text.len());
             bytes += value.as_ref().map_or(0, |value| key.len() + value.len());
-            keys += usize::from(present.is_none() && value.is_some());
+            keys += usize::from(existing.is_none() && value.is_some());
         }
         let grows = bytes > self.bytes || keys > self.values.len();
         !grows || (keys <= MAX_KEYS && bytes <= MAX_TOTAL_BYTES)
@@ -223,16 +225,16 @@
             None => self.values.remove(key),
         };
         self.bytes -= previous.map_or(0, |previous| key.len() + previous.text.len());
-        self.remember_change(KeyChange { version: index, key: key.clone(), value: value.clone() });
+        self.append_to_history(KeyChange { version: index, key: key.clone(), value: value.clone() });
     }
 
-    fn remember_change(&mut self, change: KeyChange) {
+    fn append_to_history(&mut self, change: KeyChange) {
         self.history_bytes += change.size();
         self.history.push_back(change);
         while self.history.len() > MAX_HISTORY_CHANGES || self.history_bytes > MAX_HISTORY_BYTES {
             let Some(oldest) = self.history.pop_front() else { break };
             self.history_bytes -= oldest.size();
-            self.forgotten = oldest.version;
+            self.compacted_version = oldest.version;
         }
     }
 }
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -1,5 +1,5 @@
-//! The log's thread: a disk may hold a call up for seconds, and the event loop must not wait for it. What has gathered
-//! while one write was under way goes out with the next, under one sync.
+//! The thread that writes the log: a disk may block a call for seconds, and the event loop must not wait for it.
+//! Batches queued during a write are written together by the next one, with a single sync.
 
 use crate::disk::DiskLog;
 use crate::raft::WriteBatch;
@@ -9,20 +9,20 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-/// The point before a write at which a test may end the program.
-const POINT_BEFORE_WRITE: &str = "store.write";
-/// The point after the sync at which a test may end the program.
-const POINT_AFTER_SYNC: &str = "store.synced";
+/// Name of the failpoint before a write.
+const FAILPOINT_BEFORE_WRITE: &str = "store.write";
+/// Name of the failpoint after a write has been synced.
+const FAILPOINT_AFTER_SYNC: &str = "store.synced";
 
-/// What the thread reports.
+/// The result of a write, as reported by the thread.
 pub enum WriteResult {
-    /// All batches up to that number are on disk.
+    /// All batches up to this number are on disk.
     Persisted(u64),
-    /// The disk has failed: nothing more will be on it.
+    /// The disk has failed; nothing more will be written.
     Failed(io::Error),
 }
 
-/// A handle on the thread, which ends once this is dropped.
+/// A handle to the thread, which ends when the handle is dropped.
 pub struct LogWriter {
     batches: Sender<WriteBatch>,
     results: Receiver<WriteResult>,
@@ -30,46 +30,46 @@
 }
 
 impl LogWriter {
-    /// Starts the thread. `point` is called with a name at each point at which a test may end the program.
+    /// Starts the thread. `failpoint` is called with the name of each failpoint that is reached.
     ///
     /// # Errors
-    /// Where the system has no descriptor for the waker.
-    pub fn start(log: DiskLog, point: fn(&str)) -> io::Result<Self> {
+    /// If the system cannot create the waker's file descriptor.
+    pub fn start(log: DiskLog, failpoint: fn(&str)) -> io::Result<Self> {
         let waker = Arc::new(eventfd(0, EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC)?);
         let (batches, queue) = channel();
         let (report, results) = channel();
-        let worker = Worker { log, point, queue, report, waker: waker.clone() };
+        let worker = Worker { log, failpoint, queue, report, waker: waker.clone() };
         std::thread::spawn(move || worker.run());
         Ok(Self { batches, results, waker })
     }
 
-    /// Queues a batch to be written after all that were given before.
+    /// Queues a batch, to be written after those queued before.
     pub fn write(&self, batch: WriteBatch) {
-        let _ = self.batches.send(batch); // a thread that has ended has reported why
+        let _ = self.batches.send(batch); // fails only if the thread has ended, for a reason that it has reported
     }
 
-    /// The next result, if there is one.
+    /// Returns the next result, if there is one.
     #[must_use]
     pub fn next_result(&self) -> Option<WriteResult> {
         self.results.try_recv().ok()
     }
 
-    /// Readable when there may be a result.
+    /// The descriptor that becomes readable when there may be a result.
     #[must_use]
     pub fn waker(&self) -> BorrowedFd<'_> {
         self.waker.as_fd()
     }
 
-    /// Makes the waker wait for the next result.
+    /// Clears the waker until the next result.
     pub fn reset_waker(&self) {
-        let _ = rustix::io::read(&*self.waker, &mut [0; 8]); // its count says nothing
+        let _ = rustix::io::read(&*self.waker, &mut [0; 8]); // the counter's value does not matter
     }
 }
 
-/// What the thread has.
+/// The state of the thread.
 struct Worker {
     log: DiskLog,
-    point: fn(&str),
+    failpoint: fn(&str),
     queue: Receiver<WriteBatch>,
     report: Sender<WriteResult>,
     waker: Arc<OwnedFd>,
@@ -83,18 +83,18 @@
             if self.report.send(result).is_err() {
                 return;
             }
-            let _ = rustix::io::write(&*self.waker, &1u64.to_ne_bytes()); // full: it is readable already
+            let _ = rustix::io::write(&*self.waker, &1u64.to_ne_bytes()); // fails only if full, and so readable already
         }
     }
 
     fn write(&mut self, batches: &[WriteBatch]) -> WriteResult {
         let last = batches.last().map_or(0, |batch| batch.number);
-        (self.point)(POINT_BEFORE_WRITE);
+        (self.failpoint)(FAILPOINT_BEFORE_WRITE);
         let result = match self.log.write(batches) {
             Ok(()) => WriteResult::Persisted(last),
             Err(error) => WriteResult::Failed(error),
         };
-        (self.point)(POINT_AFTER_SYNC);
+        (self.failpoint)(FAILPOINT_AFTER_SYNC);
         result
     }
 }
