--- a/crates/raft/src/disk/error.rs
+++ b/crates/raft/src/disk/error.rs
@@ -5,48 +5,48 @@
 use std::io;
 use thiserror::Error;
 
-/// What is wrong with a file of the log. Its text is one line.
+/// An error in a file of the log. Its text is one line.
 #[derive(Debug, Error)]
 #[error("{file}: {kind}")]
 pub struct OpenError {
-    /// The file's name, or what else could not be used.
+    /// The file's name, or a description such as `the folder` if no single file is concerned.
     pub file: String,
-    /// What is wrong with it.
+    /// The error.
     pub kind: OpenErrorKind,
 }
 
-/// What is wrong with a file of the log.
+/// The kinds of errors in a file of the log.
 #[derive(Debug, Error)]
 pub enum OpenErrorKind {
-    /// The system could not read or write it.
+    /// The operating system could not read or write it.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is no snapshot that this program can read.
+    /// The snapshot cannot be decoded.
     #[error(transparent)]
     Snapshot(#[from] DecodeError),
-    /// A segment of a format that this program does not know.
-    #[error("form {0}; this program knows 1 to {newest}", newest = FORMAT)]
+    /// The segment's format is not supported.
+    #[error("unsupported segment format {0}; this program reads formats 1 to {newest}", newest = FORMAT)]
     UnknownFormat(u32),
-    /// A segment without the checkpoint that each begins with.
+    /// The segment does not start with a checkpoint.
     #[error("damaged: it does not begin with a checkpoint")]
     NoCheckpoint,
-    /// A checkpoint behind a segment's beginning; the record after it begins at that byte.
+    /// A checkpoint is not the first record of its segment; its end is at this byte offset.
     #[error("a checkpoint in the middle, before byte {0}")]
     MisplacedCheckpoint(usize),
-    /// A record at that byte is corrupt, though it had been synced.
-    #[error("damaged at byte {0}, before what was synced later")]
+    /// The record at this byte offset is corrupt although it had been synced.
+    #[error("damaged at byte {0}, which a later record marks as synced")]
     CorruptRecord(usize),
-    /// A snapshot file whose name is that of another snapshot.
-    #[error("it holds another snapshot than its name says")]
+    /// The snapshot in the file is not the one that the file name indicates.
+    #[error("the snapshot in it does not match its file name")]
     WrongSnapshot,
-    /// A segment whose entries do not follow each other.
+    /// The segment's entries are not contiguous.
     #[error("damaged: entries are missing")]
     MissingEntries,
 }
 
 impl OpenErrorKind {
-    /// The error of that file.
-    pub(super) fn of(self, file: &str) -> OpenError {
+    /// Adds the name of the file that the error is about.
+    pub(super) fn in_file(self, file: &str) -> OpenError {
         OpenError { file: file.into(), kind: self }
     }
 }
--- a/crates/raft/src/disk/folder.rs
+++ b/crates/raft/src/disk/folder.rs
@@ -1,57 +1,57 @@
-//! What the log asks of a file system, and a folder of the operating system that does it.
+//! The file operations that the log needs, and their implementation in a directory of the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files. Names are plain, without separators; errors of the system are returned as they are.
+/// A folder of files. Names contain no separators; errors of the operating system are returned unchanged.
 pub trait Disk: Send {
-    /// The names of the files.
+    /// Lists the names of the files.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// The content of a file.
+    /// Reads the content of a file.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends bytes to a file; creates it where there is none.
+    /// Appends bytes to a file, which is created if it does not exist.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Once this returns, what was appended to the file is on the disk itself.
+    /// Syncs a file's content: once this returns, all appended bytes are on the disk itself.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// Shortens a file to `length` bytes.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Gives a file another name, in place of the file that has it.
+    /// Renames a file, replacing any file that has the new name.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Once this returns, the names of the files are on the disk itself.
+    /// Syncs the folder: once this returns, the files' names are on the disk itself.
     ///
     /// # Errors
-    /// The error of the system, as it is.
+    /// The error of the operating system, unchanged.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A directory of the file system.
 pub struct Folder {
     path: PathBuf,
-    /// The file that was appended to last.
+    /// The file that was used last, kept open for further appends.
     open: Option<OpenFile>,
 }
 
@@ -61,10 +61,10 @@
 }
 
 impl Folder {
-    /// Opens a folder; creates it where there is none.
+    /// Opens a folder, which is created if it does not exist.
     ///
     /// # Errors
-    /// Where it cannot be created.
+    /// If it cannot be created.
     pub fn open(path: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(path)?;
         Ok(Self { path: path.to_path_buf(), open: None })
--- a/crates/raft/src/disk/mod.rs
+++ b/crates/raft/src/disk/mod.rs
@@ -1,10 +1,10 @@
-//! The log on disk: one segment at a time, records with lengths and checksums, snapshots in files of their own.
+//! The log on disk: one segment at a time, made of records with length and checksum; snapshots are separate files.
 //!
-//! A segment begins with a checkpoint, which is all that counts, and goes on with the write batches since. Once it is long,
-//! the next one is begun and the old one removed. Nothing is reported to be on disk before the sync that covers it.
+//! A segment starts with a checkpoint of the complete state, followed by the write batches since then. Once it is long
+//! enough, the next one is started and the old one removed. Nothing is reported as persisted before it is synced.
 //!
-//! A record says how much of its segment was synced before it was written. A corrupt record before such a point is damage,
-//! and the member does not start; one behind all of them is a write that was cut off, and is dropped.
+//! Each record states how much of its segment had been synced when it was written. A corrupt record within a part known
+//! to be synced is damage, and the member refuses to start; one after all such parts is a torn write, and is dropped.
 
 mod error;
 mod folder;
@@ -29,21 +29,21 @@
 pub struct DiskLog {
     disk: Box<dyn Disk>,
     state: PersistentState,
-    /// The number of the present segment.
+    /// The number of the current segment.
     segment: u64,
-    /// Bytes of the present segment.
+    /// The length of the current segment (bytes).
     length: u64,
-    /// Bytes of the checkpoint that the present segment begins with.
+    /// The length of the current segment's header and checkpoint (bytes).
     checkpoint_bytes: u64,
-    /// A write or a sync has failed: what is on disk is not known any more, and nothing is written.
+    /// A write or a sync has failed: what is on disk is unknown, so nothing more is written.
     failed: bool,
 }
 
 impl DiskLog {
-    /// Reads what is there; a new member gets an id from `new_id`. Files that were not finished are removed.
+    /// Recovers the log from the folder; a new member gets its id from `new_id`. Removes incomplete and obsolete files.
     ///
     /// # Errors
-    /// Where a file cannot be read, is of a format that this program does not know, or is damaged.
+    /// If a file cannot be read, has an unsupported format, or is damaged.
     pub fn open(mut disk: Box<dyn Disk>, new_id: impl FnOnce() -> Id) -> Result<Self, OpenError> {
         let recovered = recover(&mut *disk)?;
         let is_current = recovered.as_ref().is_some_and(|recovered| recovered.format == FORMAT);
@@ -54,30 +54,30 @@
         });
         let mut log = Self { disk, state, segment, length, checkpoint_bytes: 0, failed: false };
         if is_current {
-            // What follows the last complete record is not part of the log.
+            // Bytes after the last complete record are not part of the log.
             let name = segment_name(segment);
-            log.disk.truncate(&name, length).map_err(|error| OpenErrorKind::Io(error).of("the log"))?;
+            log.disk.truncate(&name, length).map_err(|error| OpenErrorKind::Io(error).in_file("the log"))?;
         } else {
-            log.begin_segment().map_err(|error| OpenErrorKind::Io(error).of("the log"))?;
+            log.start_segment().map_err(|error| OpenErrorKind::Io(error).in_file("the log"))?;
         }
-        log.remove_old_files().map_err(|error| OpenErrorKind::Io(error).of("the folder"))?;
+        log.remove_old_files().map_err(|error| OpenErrorKind::Io(error).in_file("the folder"))?;
         Ok(log)
     }
 
-    /// What is on disk.
+    /// The state on disk.
     #[must_use]
     pub fn state(&self) -> &PersistentState {
         &self.state
     }
 
-    /// Writes these in order, and syncs once. Once this has failed, nothing more is written: what a failed sync left on
-    /// the disk nobody knows.
+    /// Writes the batches in order, with a single sync. After a failure nothing more is written, because it is unknown
+    /// what a failed sync left on the disk.
     ///
     /// # Errors
-    /// Of the system. None of it may be taken to be on disk then.
+    /// The error of the operating system. None of the batches may be assumed to be on disk then.
     pub fn write(&mut self, batches: &[WriteBatch]) -> io::Result<()> {
         if self.failed {
-            return Err(io::Error::other("an earlier write has failed; what is on disk is not known"));
+            return Err(io::Error::other("an earlier write failed; the state on disk is unknown"));
         }
         let result = self.write_and_sync(batches);
         self.failed = result.is_err();
@@ -90,7 +90,7 @@
         }
         let mut bytes = Vec::new();
         for batch in batches {
-            bytes.extend_from_slice(&encode_record(&batch_record(batch), self.length));
+            bytes.extend_from_slice(&encode_record(&batch_to_record(batch), self.length));
         }
         let name = segment_name(self.segment);
         self.disk.append(&name, &bytes)?;
@@ -99,32 +99,32 @@
         for batch in batches {
             self.state.apply(batch);
         }
-        // A segment that is nearly all checkpoint is not followed by another yet.
-        let is_long = self.length > MAX_SEGMENT_BYTES + self.checkpoint_bytes;
-        if is_long {
-            self.begin_segment()?;
+        // The checkpoint is not counted: one above the limit would start a new segment at every write.
+        let is_full = self.length > MAX_SEGMENT_BYTES + self.checkpoint_bytes;
+        if is_full {
+            self.start_segment()?;
         }
-        if is_long || batches.iter().any(|batch| batch.snapshot.is_some()) {
+        if is_full || batches.iter().any(|batch| batch.snapshot.is_some()) {
             self.remove_old_files()?;
         }
         Ok(())
     }
 
-    /// Writes a file atomically: under another name first, then renamed.
+    /// Writes a file atomically: under a temporary name, which is then changed to `name`.
     fn put_file(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let part = format!("{name}.part");
-        match self.disk.remove(&part) {
+        let part_name = format!("{name}.part");
+        match self.disk.remove(&part_name) {
             Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
             _ => {}
         }
-        self.disk.append(&part, bytes)?;
-        self.disk.sync(&part)?;
-        self.disk.rename(&part, name)?;
+        self.disk.append(&part_name, bytes)?;
+        self.disk.sync(&part_name)?;
+        self.disk.rename(&part_name, name)?;
         self.disk.sync_names()
     }
 
-    /// Begins the next segment with a checkpoint.
-    fn begin_segment(&mut self) -> io::Result<()> {
+    /// Starts the next segment, with a checkpoint.
+    fn start_segment(&mut self) -> io::Result<()> {
         let next = self.segment + 1;
         let PersistentState { hard_state, snapshot, base, entries } = self.state.clone();
         let checkpoint = Record::Checkpoint { hard_state, snapshot: snapshot.position(), base, entries };
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// Removes the files that the present segment does not need.
+    /// Removes all log files except the current segment and its snapshot.
     fn remove_old_files(&mut self) -> io::Result<()> {
         let position = self.state.snapshot.position();
         let segment = segment_name(self.segment);
@@ -152,7 +152,7 @@
     }
 }
 
-fn batch_record(batch: &WriteBatch) -> Record {
+fn batch_to_record(batch: &WriteBatch) -> Record {
     Record::Batch {
         hard_state: batch.hard_state.clone(),
         snapshot: batch.snapshot.as_deref().map(Snapshot::position),
--- a/crates/raft/src/disk/record.rs
+++ b/crates/raft/src/disk/record.rs
@@ -1,25 +1,25 @@
-//! A record of a segment: a mark, the body's length, a checksum, how much of the segment was synced before the record was
-//! written, and the body in `postcard`'s form. All numbers are little-endian.
+//! A record of a segment: a mark, the body's length, a checksum, how much of the segment had been synced when the
+//! record was written, and the body encoded by `postcard`. All numbers are little-endian.
 //!
-//! The order and kind of the fields of [`Record`] is the format of the log on disk.
+//! The order and types of the variants and fields of [`Record`] are the format of the log on disk.
 
 use crate::entry::{Entry, HardState, LogPosition};
 use crate::Index;
 use serde::{Deserialize, Serialize};
 
-/// In front of each record: where one is corrupt, the next is looked for by this.
+/// Precedes each record, so that the records after a corrupt one can be found.
 const MARK: [u8; 2] = [0xd5, 0x6b];
-/// Length and checksum: the record's header in format 1, and a part of it since.
+/// Length and checksum: the whole header in format 1, a part of it since.
 const LENGTH_AND_CHECKSUM_BYTES: usize = 4 + 4;
-/// Mark, length, checksum, synced length.
+/// Mark, length, checksum and synced length.
 const HEADER_BYTES: usize = MARK.len() + LENGTH_AND_CHECKSUM_BYTES + 8;
 /// The longest body of a record.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What a segment consists of.
+/// The content of a record.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
-    /// All that counts; the first record of a segment.
+    /// The complete state, with the snapshot's position only; the first record of a segment.
     Checkpoint { hard_state: HardState, snapshot: LogPosition, base: LogPosition, entries: Vec<Entry> },
     /// A write batch.
     Batch {
@@ -32,12 +32,12 @@
     },
 }
 
-/// A record as it was read.
+/// A decoded record.
 pub(super) struct DecodedRecord {
     pub record: Record,
-    /// Bytes of the segment that were on disk before the record was written; 0 in format 1.
+    /// Bytes of the segment that had been synced when the record was written; 0 in format 1.
     pub synced: u64,
-    /// Where the next record begins (bytes).
+    /// The offset of the next record (bytes).
     pub end: usize,
 }
 
@@ -45,9 +45,9 @@
 struct Header {
     length: usize,
     checksum: u32,
-    /// None in format 1.
+    /// Synced bytes of the segment; `None` in format 1.
     synced: Option<u64>,
-    /// Where the body begins (bytes).
+    /// The offset of the body (bytes).
     body: usize,
 }
 
@@ -88,9 +88,9 @@
     hasher.finalize()
 }
 
-/// A record in the present format. `synced` bytes of its segment are on disk.
+/// Encodes a record in the current format. `synced` bytes of its segment are on disk.
 pub(super) fn encode_record(record: &Record, synced: u64) -> Vec<u8> {
-    // These types have no form that cannot be written.
+    // Serialization into memory cannot fail for these types.
     let body = postcard::to_stdvec(record).unwrap_or_default();
     let mut encoded = Vec::with_capacity(HEADER_BYTES + body.len());
     encoded.extend_from_slice(&MARK);
@@ -101,7 +101,7 @@
     encoded
 }
 
-/// The record that begins at `offset`; none where there is no complete one.
+/// Decodes the record at `offset`; returns `None` if it is incomplete or corrupt.
 pub(super) fn decode_record(bytes: &[u8], offset: usize, format: u32) -> Option<DecodedRecord> {
     let header = Header::read(bytes, offset, format)?;
     if header.length > MAX_BODY_BYTES {
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -358,7 +358,7 @@
     assert_eq!(disk.file("log-").0, "log-0000000000000008");
     let mut newer = Memory::default();
     newer.append("log-0000000000000001", b"DSPQ\x03\0\0\0").expect("written");
-    assert!(open(&newer).err().is_some_and(|why| why.contains("form 3")));
+    assert!(open(&newer).err().is_some_and(|why| why.contains("unsupported segment format 3")));
 }
 
 proptest! {
--- a/crates/raft/tests/error_texts.rs
+++ b/crates/raft/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The texts that operators see, as the released version has them.
+//! The texts of errors, letter for letter: operators see most of them, and some are sent or stored.
 
 use dahliaspoke_raft::codec::DecodeError;
 use dahliaspoke_raft::disk::{DiskLog, Folder, OpenError, OpenErrorKind};
@@ -65,9 +65,12 @@
 #[test]
 fn proposals_and_changes_of_the_membership_that_are_rejected() {
     let membership = |error: MembershipError| ProposeError::from(error).to_string();
-    assert_eq!(ProposeError::Busy.to_string(), "too much is under way; nothing was done");
-    assert_eq!(ProposeError::Lost.to_string(), "it was not done and will not be");
-    assert_eq!(ProposeError::Unknown.to_string(), "this member leads no longer: it may count");
+    assert_eq!(ProposeError::Busy.to_string(), "too many pending requests; the request was not carried out");
+    assert_eq!(ProposeError::Lost.to_string(), "proposal dropped: not committed and never will be");
+    assert_eq!(
+        ProposeError::Unknown.to_string(),
+        "leadership lost, outcome unknown: the proposal may still be committed"
+    );
     assert_eq!(membership(MembershipError::ChangeUnderWay), "another change of members is under way");
     assert_eq!(membership(MembershipError::LeaderIsNew), "the leader is new: nothing of its term counts yet");
     assert_eq!(membership(MembershipError::TooManyVoters), "there are as many voters as there may be");
@@ -83,7 +86,10 @@
     let text = |kind: OpenErrorKind| OpenError { file: "log-1".into(), kind }.to_string();
     assert_eq!(text(OpenErrorKind::Io(io::Error::other("the disk is gone"))), "log-1: the disk is gone");
     assert_eq!(text(OpenErrorKind::Snapshot(DecodeError::Malformed)), "log-1: no message");
-    assert_eq!(text(OpenErrorKind::UnknownFormat(3)), "log-1: form 3; this program knows 1 to 2");
+    assert_eq!(
+        text(OpenErrorKind::UnknownFormat(3)),
+        "log-1: unsupported segment format 3; this program reads formats 1 to 2"
+    );
     assert_eq!(text(OpenErrorKind::NoCheckpoint), "log-1: damaged: it does not begin with a checkpoint");
     assert_eq!(
         text(OpenErrorKind::MisplacedCheckpoint(40)),
@@ -91,9 +97,9 @@
     );
     assert_eq!(
         text(OpenErrorKind::CorruptRecord(40)),
-        "log-1: damaged at byte 40, before what was synced later"
+        "log-1: damaged at byte 40, which a later record marks as synced"
     );
-    assert_eq!(text(OpenErrorKind::WrongSnapshot), "log-1: it holds another snapshot than its name says");
+    assert_eq!(text(OpenErrorKind::WrongSnapshot), "log-1: the snapshot in it does not match its file name");
     assert_eq!(text(OpenErrorKind::MissingEntries), "log-1: damaged: entries are missing");
 }
 
