--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// The state beside the log that must survive a restart (Ongaro's thesis, figure 3.1: persistent state).
+/// The state besides the log that must survive a restart (Ongaro's thesis, figure 3.1: persistent state).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
     /// The member's own id.
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -24,7 +24,7 @@
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks whether the receiver would vote for the sender; the answer binds nobody (Ongaro's thesis, 9.6).
+    /// Asks whether the receiver would vote for the sender; the answer is not binding (Ongaro's thesis, 9.6).
     PreVote {
         /// The end of the sender's log.
         last: LogPosition,
@@ -82,7 +82,7 @@
 /// The result of an [`AppendEntries`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// The entries matched the log and are on the sender's disk.
+    /// Whether the entries matched the log and are on the sender's disk.
     pub accepted: bool,
     /// If accepted, the last entry known to match the leader's log; if rejected, the index of the request's `previous`.
     pub index: Index,
--- a/crates/raft/src/raft/events.rs
+++ b/crates/raft/src/raft/events.rs
@@ -88,7 +88,7 @@
     },
     /// Replace the state machine by this snapshot.
     Restore(Arc<Snapshot>),
-    /// Carry out a read now: all entries up to `index` have been applied by the actions before.
+    /// Carry out a read now: all entries up to `index` have been applied by earlier actions.
     Read {
         /// The caller's id for the read.
         proposal_id: u64,
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -66,7 +66,7 @@
             return Err(MembershipError::ChangeUnderWay.into());
         }
         if !self.has_committed_in_term() {
-            // Otherwise two leaders could start from different memberships, and the quorums of their changes might not overlap.
+            // Otherwise two leaders could start from different memberships, and their quorums might not overlap.
             return Err(MembershipError::LeaderIsNew.into());
         }
         let members = match change {
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -208,7 +208,7 @@
     }
 }
 
-// Queries of the caller.
+// Accessors.
 impl Raft {
     /// This member's id.
     #[must_use]
--- a/crates/raft/src/raft/options.rs
+++ b/crates/raft/src/raft/options.rs
@@ -20,17 +20,18 @@
     /// A member starts an election after one to two times this long without a leader (us). A leader that has had no
     /// contact with a quorum for this long steps down.
     pub election_timeout: Micros,
-    /// Maximum size of the entries in one message (bytes).
+    /// Maximum size of the entries in one message, unless a single entry is larger (bytes).
     pub max_append_bytes: usize,
-    /// Maximum number of entries in flight to one member.
+    /// Window of entries in flight to one member; the last message may exceed it. Also the maximum lag of a learner that
+    /// can be promoted.
     pub max_inflight_entries: u64,
     /// Maximum size of a snapshot chunk in one message (bytes).
     pub snapshot_chunk_bytes: usize,
     /// Maximum encoded size of a snapshot that a member accepts (bytes).
     pub max_snapshot_bytes: u64,
-    /// Number of uncommitted entries from which on a leader rejects proposals; also limits pending reads.
+    /// A leader rejects proposals once it has this many uncommitted entries, and reads once this many are pending.
     pub max_uncommitted_entries: u64,
-    /// Total size of uncommitted entries above which a leader rejects proposals (bytes).
+    /// A leader rejects proposals while its uncommitted entries exceed this size (bytes).
     pub max_uncommitted_bytes: usize,
     /// Maximum number of entries retained before a snapshot, for members that are slightly behind.
     pub retained_entries: u64,
@@ -44,7 +45,7 @@
 }
 
 impl Options {
-    /// Default options, for members in one zone or in nearby zones (of one town).
+    /// Default options, suited to members in one zone or in zones of one city.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
--- a/crates/raft/src/raft/persistence.rs
+++ b/crates/raft/src/raft/persistence.rs
@@ -99,7 +99,7 @@
 }
 
 impl Raft {
-    /// Whether a message is a promise, such as a vote, that has to be on disk before the message is sent.
+    /// Whether a message promises something, such as a vote, that has to be on disk before it is sent.
     pub(super) fn is_promise(&self, body: &MessageBody) -> bool {
         match body {
             MessageBody::Vote { .. } | MessageBody::VoteReply { granted: true } => {
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -128,7 +128,7 @@
         leader.peers.get_mut(&id)
     }
 
-    /// Records that a member has replied; returns `None` if this member is not the leader or does not know the sender.
+    /// Records that a member has replied and returns its progress; `None` at a non-leader or for an unknown member.
     pub(super) fn record_contact(&mut self, from: Id, round: u64) -> Option<&mut Progress> {
         let now = self.now;
         let progress = self.peer_mut(from)?;
--- a/crates/raft/src/raft/step.rs
+++ b/crates/raft/src/raft/step.rs
@@ -22,7 +22,7 @@
             {
                 return;
             }
-            // Carries the term of the pre-vote, which nobody has started yet.
+            // Carries the term of the pre-vote, in which there is no candidate yet.
             MessageBody::PreVoteReply { granted: true } => {}
             _ if term > self.hard_state.term => {
                 self.become_follower(term, body.is_from_leader().then_some(from), actions);
@@ -78,7 +78,7 @@
     /// Handles a message of the current term.
     fn dispatch(&mut self, from: Id, term: Term, body: MessageBody, actions: &mut Vec<Action>) {
         match body {
-            MessageBody::PreVote { .. } => {} // answered before, whatever the term
+            MessageBody::PreVote { .. } => {} // answered by `step`, whatever its term
             MessageBody::PreVoteReply { granted } => self.handle_pre_vote_reply(from, term, granted),
             MessageBody::Vote { last, .. } => self.handle_vote(from, last),
             MessageBody::VoteReply { granted } => self.handle_vote_reply(from, granted),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Follows the sender, the leader of this member's term. A term has one leader at most, so this member is not it.
+    /// Follows the sender, which leads in this member's term. A term has at most one leader, so it is not this member.
     fn follow_leader(&mut self, leader: Id, actions: &mut Vec<Action>) {
         self.last_leader_contact = self.now;
         if self.leader() != Some(leader) || !matches!(self.role, Role::Follower(_)) {
--- a/crates/raft/src/state_machine/mod.rs
+++ b/crates/raft/src/state_machine/mod.rs
@@ -80,7 +80,7 @@
     history: VecDeque<KeyChange>,
     history_bytes: usize,
     /// The version of the latest change that was removed from the history; 0 if none was.
-    compacted_version: Index,
+    forgotten: Index,
     sessions: BTreeMap<u64, Session>,
     applied: Index,
 }
@@ -125,7 +125,7 @@
     #[must_use]
     pub fn changes_since(&self, version: Index) -> Option<impl Iterator<Item = &KeyChange>> {
         let from = self.history.partition_point(|change| change.version <= version);
-        (version >= self.compacted_version).then(|| self.history.range(from..))
+        (version >= self.forgotten).then(|| self.history.range(from..))
     }
 
     /// Records that an entry without a command was applied.
@@ -234,7 +234,7 @@
         while self.history.len() > MAX_HISTORY_CHANGES || self.history_bytes > MAX_HISTORY_BYTES {
             let Some(oldest) = self.history.pop_front() else { break };
             self.history_bytes -= oldest.size();
-            self.compacted_version = oldest.version;
+            self.forgotten = oldest.version;
         }
     }
 }
