--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -26,7 +26,7 @@
 
 fn policy_with_engines(engines: usize) -> Policy {
     let classes = vec![class("lookup", Idempotency::Always), class("load", Idempotency::WithKey)];
-    let settings = Settings { gateways: 20.0, may_cancel: true, reports_cost: true, ..settings(classes) };
+    let settings = Settings { coordinators: 20.0, may_cancel: true, reports_cost: true, ..settings(classes) };
     let mut policy = Policy::new(settings, 1);
     let entries = (0..engines).map(|n| engine(&format!("engine-{n}"))).collect();
     policy.handle(100.0, Event::EngineList(ListScope::Complete, entries), &mut Vec::new());
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -85,7 +85,7 @@
     fn fits_memory(&self, engine: &Engine) -> bool {
         let in_flight = engine.memory_in_flight();
         let required = self.request.query.memory.unwrap_or(0.0);
-        let limit = MAX_MEMORY_SHARE * self.capacity_share * engine.memory / self.settings.gateways;
+        let limit = MAX_MEMORY_SHARE * self.capacity_share * engine.memory / self.settings.coordinators;
         !(in_flight > 0.0 && in_flight + required > limit)
     }
 
@@ -96,7 +96,7 @@
         if engine.backlog() != 0.0 {
             return false;
         }
-        let crowding = (self.settings.gateways / engine.cores).min(1.0);
+        let crowding = (self.settings.coordinators / engine.cores).min(1.0);
         let limit = self.slow_start.limit(engine, self.request.query.class);
         let has_slot = limit.is_some_and(|limit| limit.work_share.is_none());
         has_slot || self.draw * crowding * self.request.cost <= self.pool_capacity
--- a/src/policy/bounds.rs
+++ b/src/policy/bounds.rs
@@ -19,17 +19,17 @@
 pub fn starting_bound(settings: &Settings, cores: f64, work_per_thread: f64) -> f64 {
     let busy = STARTING_THREADS_PER_CORE * work_per_thread;
     let all = busy + query_share(settings, cores) * (STARTING_BOUNDS_PER_CORE - busy).max(0.0);
-    MAX_STARTING_BOUND_PER_CORE.min(all / settings.gateways) * cores
+    MAX_STARTING_BOUND_PER_CORE.min(all / settings.coordinators) * cores
 }
 
 /// This coordinator's part of what an engine does (queries, at most 1): below one where coordinators
 /// outnumber cores.
 pub fn query_share(settings: &Settings, cores: f64) -> f64 {
-    (cores / settings.gateways).min(1.0)
+    (cores / settings.coordinators).min(1.0)
 }
 
 /// Least bound of an engine (ms): a query of mean cost, or this coordinator's part of the work in flight that
 /// keeps all cores of the engine busy.
 pub fn min_bound(settings: &Settings, cores: f64, mean_cost: f64, work_per_thread: f64) -> f64 {
-    mean_cost.min(MIN_BUSY_SHARE * work_per_thread * cores / settings.gateways).max(1.0)
+    mean_cost.min(MIN_BUSY_SHARE * work_per_thread * cores / settings.coordinators).max(1.0)
 }
--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -132,8 +132,8 @@
     /// Traffic can be spread unevenly: a coordinator that serves more than an equal part of all cores takes
     /// that part of each bound. Going by demand instead, an overload would open all bounds.
     fn measure_traffic_share(&self, settings: &Settings, engines: usize, cores: f64) -> f64 {
-        let outnumber_cores = settings.gateways * engines as f64 > cores;
-        let part = self.served_rate * settings.gateways / (1000.0 * cores).max(1.0);
+        let outnumber_cores = settings.coordinators * engines as f64 > cores;
+        let part = self.served_rate * settings.coordinators / (1000.0 * cores).max(1.0);
         if outnumber_cores {
             part.max(1.0)
         } else {
--- a/src/policy/cost_model.rs
+++ b/src/policy/cost_model.rs
@@ -207,7 +207,7 @@
 
     /// Memory to grant an attempt (MB): the estimate times what its class was found to need per unit of it.
     pub fn memory_grant(&self, settings: &Settings, request: &Request) -> Option<f64> {
-        let estimate = request.query.memory.filter(|_| settings.grants)?;
+        let estimate = request.query.memory.filter(|_| settings.memory_grants)?;
         let learned = estimate * self.classes[request.query.class].memory_grant.value.exp();
         Some(request.required_memory.unwrap_or(learned).ceil())
     }
--- a/src/policy/engine_state.rs
+++ b/src/policy/engine_state.rs
@@ -254,7 +254,7 @@
                 cores: if engine.listed { engine.cores } else { 0.0 },
             })
             .collect();
-        let positions = subset_positions(&ring, &settings.zone, settings.index, settings.gateways);
+        let positions = subset_positions(&ring, &settings.zone, settings.index, settings.coordinators);
         for (engine, position) in self.iter_mut().zip(positions) {
             engine.subset_position = position;
         }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -139,7 +139,7 @@
     fn connection_weight(&self, engine: &Engine, subset_end: f64) -> f64 {
         let limit = self.slow_start().limit(engine, self.request.query.class);
         let slots = limit.map_or(f64::INFINITY, |limit| limit.slots);
-        let urgency = (self.settings.gateways / slots * self.settings.initial_capacity_share).max(1.0);
+        let urgency = (self.settings.coordinators / slots * self.settings.initial_capacity_share).max(1.0);
         if urgency > MAX_PRICED_URGENCY {
             return urgency;
         }
@@ -167,7 +167,7 @@
     fn subset_end(&self) -> f64 {
         let mut positions: Vec<f64> = self.engines.available().map(|engine| engine.subset_position).collect();
         positions.sort_by(f64::total_cmp);
-        let shared = MIN_SUBSET_COORDINATORS * positions.len() as f64 / self.settings.gateways;
+        let shared = MIN_SUBSET_COORDINATORS * positions.len() as f64 / self.settings.coordinators;
         let count = shared.max(MIN_SUBSET_ENGINES) * self.control.traffic_share();
         positions.get(count as usize).copied().unwrap_or(f64::INFINITY)
     }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -19,13 +19,13 @@
     /// Buckets with a second's quota each.
     pub fn new(settings: &Settings) -> Self {
         let bucket =
-            |quota_per_s: f64| TokenBucket { tokens: quota_per_s / settings.gateways, updated_at: 0.0 };
+            |quota_per_s: f64| TokenBucket { tokens: quota_per_s / settings.coordinators, updated_at: 0.0 };
         Self { buckets: settings.tenants.iter().map(|tenant| bucket(tenant.quota_per_s)).collect() }
     }
 
     /// Counts a request of a tenant; returns whether it is over the tenant's quota.
     pub fn is_exceeded(&mut self, now: f64, settings: &Settings, tenant: usize) -> bool {
-        let rate = settings.tenants[tenant].quota_per_s / settings.gateways;
+        let rate = settings.tenants[tenant].quota_per_s / settings.coordinators;
         let bucket = &mut self.buckets[tenant];
         let refilled = bucket.tokens.max(0.0) + (now - bucket.updated_at) * rate;
         bucket.tokens = refilled.min(rate.max(1.0)) - 1.0;
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -105,7 +105,7 @@
     /// Tenants with a quota; may be empty.
     pub tenants: Vec<TenantSettings>,
     /// How many coordinators share the engines.
-    pub gateways: f64,
+    pub coordinators: f64,
     /// Number of this coordinator among them, from 0.
     pub index: f64,
     /// Zone of this coordinator.
@@ -125,7 +125,7 @@
     /// Whether engines heed priorities.
     pub priorities: bool,
     /// Whether the memory that an attempt is granted may be set.
-    pub grants: bool,
+    pub memory_grants: bool,
     /// Whether successful outcomes report the work and memory that the query needed.
     pub reports_cost: bool,
     /// Most attempts of one request.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -103,13 +103,13 @@
         }
         let budget =
             settings.overload_multiple * self.capacity(engine, started_at) * settings.overload_window;
-        if SLOT_BUDGET_SHARE * budget >= settings.gateways * self.costs.mean_cost() {
-            let work_share = Some(EQUAL_BUDGET_SHARE * budget / settings.gateways);
-            return Some(WarmUpLimit { slots: settings.gateways, work_share });
+        if SLOT_BUDGET_SHARE * budget >= settings.coordinators * self.costs.mean_cost() {
+            let work_share = Some(EQUAL_BUDGET_SHARE * budget / settings.coordinators);
+            return Some(WarmUpLimit { slots: settings.coordinators, work_share });
         }
         let demand_share = self.costs.demand_share(class);
         let slots = SLOT_BUDGET_SHARE * budget * demand_share / self.costs.usual_work(settings, class);
-        Some(WarmUpLimit { slots: slots.min(settings.gateways), work_share: None })
+        Some(WarmUpLimit { slots: slots.min(settings.coordinators), work_share: None })
     }
 
     /// Work that a warming engine does at the begin of the window (ms per second).
@@ -145,7 +145,7 @@
         let settings = self.settings;
         let offset = engine.id.bytes().fold(0.0, |sum, byte| sum * 31.0 % 65537.0 + f64::from(byte));
         let window = (self.now / settings.overload_window.max(1e-9)).floor();
-        let coordinators = settings.gateways;
+        let coordinators = settings.coordinators;
         let position = (settings.index + offset + window * ROTATION_STEP * coordinators) % coordinators;
         position < slots
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -430,7 +430,7 @@
 #[test]
 fn an_engine_is_sent_no_more_than_its_memory_bears() {
     let mut s = lookups();
-    s.gateways = 2.0;
+    s.coordinators = 2.0;
     let mut w = World::new(s, &["e1"]);
     let big = |n: i64| Query { memory: Some(3000.0), ..on(&format!("big-{n}"), n) };
     let sent: usize = (0..10).map(|n| sent_to(&w.query_with(big(n))).len()).sum();
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -6,7 +6,7 @@
 
 fn granting(told: bool) -> Settings {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
-    (s.grants, s.may_cancel, s.reports_cost) = (true, true, told);
+    (s.memory_grants, s.may_cancel, s.reports_cost) = (true, true, told);
     s
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -91,7 +91,7 @@
 /// Work sent to a cold engine in one second by one gateway of `gateways`.
 fn cold_work(gateways: f64, scope: ListScope) -> f64 {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
-    s.gateways = gateways;
+    s.coordinators = gateways;
     let mut w = World::new(s, &[]);
     w.list(scope, vec![EngineEntry { started: Some(w.now - 0.1), ..engine("e1") }]);
     let mut sent = 0.0;
@@ -139,7 +139,7 @@
 fn without_second_copies_none_is_called_off_that_has_nowhere_else_to_go() {
     for (engines, moves) in [(&["e1"][..], false), (&["e1", "e2"][..], true)] {
         let mut s = settings(vec![class("q", Idempotency::Always)]);
-        (s.grants, s.may_cancel) = (true, true);
+        (s.memory_grants, s.may_cancel) = (true, true);
         let mut w = World::new(s, engines);
         w.query_with(Query { memory: Some(100.0), ..ordered("r", "k") });
         w.now += 0.005;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,7 +6,7 @@
 
 fn crowd(gateways: usize, number: usize) -> Settings {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
-    (s.gateways, s.index) = (gateways as f64, number as f64);
+    (s.coordinators, s.index) = (gateways as f64, number as f64);
     s.reports_cost = true;
     s
 }
@@ -210,7 +210,7 @@
 #[test]
 fn a_draining_engine_gets_nothing_new_and_its_lost_attempts_follow_their_effect() {
     let mut s = settings(vec![class("safe", Idempotency::Always), class("once", Idempotency::Never)]);
-    s.gateways = 200.0;
+    s.coordinators = 200.0;
     let mut w = World::new(s, &["e1"]);
     w.query_with(Query { class: 0, ..on("safe", 20.0) });
     w.wait(0.1);
