--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,8 +1,8 @@
-//! Cost of one decision: a query that arrives, is sent, and is served.
+//! Time that the policy needs per query: arrival, dispatch and outcome.
 //!
 //!     cargo bench --bench policy
 //!
-//! Rounds are short and the fastest counts, so that the other load of the machine drops out.
+//! Rounds are short, and the fastest one is reported, which excludes the effect of other load on the machine.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -11,17 +11,17 @@
 use dahliaspoke::policy::*;
 use std::time::Instant;
 
-/// Engines of a usual and of a large deployment.
+/// Number of engines in a typical and in a large deployment.
 const ENGINE_COUNTS: [usize; 2] = [36, 200];
-/// Rounds per deployment.
+/// Number of rounds per deployment.
 const ROUNDS: usize = 60;
-/// Queries per round.
+/// Number of queries per round.
 const QUERIES: usize = 1000;
 /// Time between two queries (seconds).
 const INTERVAL_S: f64 = 0.005;
-/// Queries in flight at a time.
+/// Number of queries in flight at the same time.
 const IN_FLIGHT: usize = 20;
-/// Queries between two ticks of housekeeping.
+/// Number of queries between two housekeeping ticks.
 const QUERIES_PER_TICK: usize = 20;
 
 fn policy_with_engines(engines: usize) -> Policy {
@@ -50,12 +50,12 @@
     })
 }
 
-/// Time of one query (us): its arrival, the end of its attempt, and what lies between them.
-fn round(engines: usize) -> f64 {
+/// Runs one round and returns the mean time per query (us), from its arrival to the end of its attempt.
+fn time_per_query(engines: usize) -> f64 {
     let mut policy = policy_with_engines(engines);
     let mut actions = Vec::new();
     let mut now = 100.0;
-    let began = Instant::now();
+    let started = Instant::now();
     for n in 0..QUERIES + IN_FLIGHT {
         now += INTERVAL_S;
         actions.clear();
@@ -69,14 +69,17 @@
             policy.handle(now, served(n), &mut actions);
         }
     }
-    began.elapsed().as_secs_f64() * 1e6 / QUERIES as f64
+    started.elapsed().as_secs_f64() * 1e6 / QUERIES as f64
 }
 
 fn main() {
     for engines in ENGINE_COUNTS {
-        let mut times: Vec<f64> = (0..ROUNDS).map(|_| round(engines)).collect();
+        let mut times: Vec<f64> = (0..ROUNDS).map(|_| time_per_query(engines)).collect();
         times.sort_by(f64::total_cmp);
         let median = times[ROUNDS / 2];
-        println!("{engines:>4} engines: {:.2} us a query at best, {median:.2} in the median", times[0]);
+        println!(
+            "{engines:>4} engines: {:.2} us per query in the fastest round, {median:.2} in the median round",
+            times[0]
+        );
     }
 }
--- a/examples/dispatcher.rs
+++ b/examples/dispatcher.rs
@@ -1,7 +1,9 @@
-//! A small dispatcher around the library, as an embedder would write it: it carries out every kind of action,
-//! keeps the timers, and feeds settings, engines, queries, progress, outcomes and timers back in.
+//! A small dispatcher around the library, as an embedding program would implement it: it executes every
+//! kind of action, manages the timers, and feeds settings, engines, queries, progress, outcomes and timers
+//! to the policy.
 //!
-//! Its engines are a list of attempts that `main` ends by hand; a real one would have a network client there.
+//! Engines are simulated by a list of attempts that `main` ends; a real dispatcher would use a network
+//! client.
 
 use dahliaspoke::policy::*;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,7 +11,7 @@
 /// Rank of attempts before the policy has set one.
 const DEFAULT_RANK: u8 = 1;
 
-/// An attempt that an engine works on.
+/// An attempt that is running on an engine.
 pub struct RunningAttempt {
     /// The request that the attempt belongs to.
     pub id: RequestId,
@@ -30,7 +32,7 @@
 pub enum Answer {
     /// An engine served it.
     Served,
-    /// It was rejected; a retry is harmless, after so many seconds.
+    /// It was rejected; a retry is safe, after this time if there is one (seconds).
     Rejected(Option<f64>),
     /// It failed and may have run.
     Failed,
@@ -49,7 +51,7 @@
     token: u64,
 }
 
-/// Drives one [`Policy`] and carries out its actions.
+/// Drives one [`Policy`] and executes its actions.
 pub struct Dispatcher {
     policy: Policy,
     now: f64,
@@ -83,23 +85,23 @@
         }
     }
 
-    /// Feeds one event and carries out all actions that follow from it.
+    /// Feeds one event to the policy and executes all resulting actions.
     pub fn feed(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
             self.policy.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.carry_out(action));
+                events.extend(self.execute(action));
             }
         }
     }
 
-    /// Carries out one action; some lead to an event at once.
-    fn carry_out(&mut self, action: Action) -> Option<Event> {
+    /// Executes one action; returns the event that it causes at once, if any.
+    fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Send { id, engine, timeout, .. } => self.send(id, engine, timeout),
-            // Every attempt has exactly one outcome, a cancelled one too.
+            // Every attempt has exactly one outcome, even if it was cancelled.
             Action::Cancel { id, attempt } => {
                 let at = self.attempts.iter().position(|a| a.id == id && a.attempt == attempt)?;
                 self.attempts.remove(at);
@@ -117,7 +119,8 @@
         None
     }
 
-    /// Sends the next attempt of a request: the first is 0, the next 1. Policy and dispatcher both count.
+    /// Sends the next attempt of a request. Policy and dispatcher both number the attempts of a request
+    /// from 0.
     fn send(&mut self, id: RequestId, engine: EngineId, timeout: Option<f64>) {
         let count = self.attempt_counts.entry(id.clone()).or_default();
         let attempt = *count;
@@ -128,7 +131,7 @@
         self.attempts.push(RunningAttempt { id, attempt, engine, memory, rank, times_out_at });
     }
 
-    /// The new priority holds for attempts in flight as well, the memory for the next attempt.
+    /// Sets the priority of attempts in flight and future ones, and the memory of future attempts.
     fn set_terms(&mut self, id: RequestId, terms: Terms) {
         for attempt in self.attempts.iter_mut().filter(|attempt| attempt.id == id) {
             attempt.rank = terms.rank;
@@ -155,7 +158,7 @@
         })
     }
 
-    /// Ends the attempt at a position. The first served one is the answer to the client.
+    /// Ends the attempt at a position in the list. The first served attempt gives the client its answer.
     pub fn end(&mut self, at: usize, outcome: Outcome) {
         let ended = self.attempts.remove(at);
         if outcome == Outcome::Ok {
@@ -165,7 +168,7 @@
         self.feed(event);
     }
 
-    /// Lets time pass (seconds): timers expire and attempts time out.
+    /// Advances the time by `seconds`: timers expire and attempts time out.
     pub fn wait(&mut self, seconds: f64) {
         let until = self.now + seconds;
         loop {
@@ -204,7 +207,7 @@
     }
 }
 
-/// Settings of a small deployment: one class, one kind of engine, and discovery that must be subscribed to.
+/// Settings of a small deployment: one class, one kind of engine, and a required discovery subscription.
 #[must_use]
 pub fn settings() -> Settings {
     let class = ClassSettings {
@@ -259,13 +262,13 @@
     Event::Query(Query { id: id.into(), time_left: 3.0, work, memory, ..Query::default() })
 }
 
-/// An engine that is ready.
+/// A ready engine.
 #[must_use]
 pub fn engine(id: &str) -> EngineEntry {
     EngineEntry { id: id.into(), zone: "here".into(), kind: "std".into(), ..EngineEntry::default() }
 }
 
-#[allow(dead_code)] // the test drives the dispatcher by itself
+#[allow(dead_code)] // unused where a test includes this file and drives the dispatcher itself
 fn main() {
     let mut dispatcher = Dispatcher::new(settings(), 42);
     let engines = vec![engine("e1"), engine("e2")];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of a coordinator before query engines: which engine runs a query, when it is retried, and
-//! which queries are rejected.
+//! Decisions of a coordinator in front of query engines: which engine runs a query, when the query is
+//! retried, and which queries are rejected.
 //!
-//! All of it is one pure state machine, [`policy::Policy`]. Feed it [`policy::Event`]s with the time of your
-//! own clock and carry out the [`policy::Action`]s that it appends. It does no I/O, starts no thread and reads
-//! no clock. [`endpoints`] decides how long the set of engines may be believed, and [`settings`] reads the
-//! settings.
+//! They are made by one pure state machine, [`policy::Policy`]. Feed it [`policy::Event`]s with the time of
+//! your own clock and execute the [`policy::Action`]s that it appends. It does no I/O, starts no thread and
+//! reads no clock. [`endpoints`] decides how long the set of engines may be trusted, and [`settings`] reads
+//! the settings.
 //!
 //! ```
 //! use dahliaspoke::policy::*;
@@ -71,14 +71,14 @@
 //! policy.handle(0.1, Event::Query(query), &mut actions);
 //! for action in &actions {
 //!     match action {
-//!         Action::Send { engine, .. } => assert_eq!(&**engine, "e1"), // send it, with the timeout given
-//!         Action::SetTimer { after, .. } => assert!(*after > 0.0),     // call back with Event::Timer
-//!         Action::SetTerms { rank, .. } => assert!(*rank <= 3),           // pass on to the engine
-//!         other => panic!("not expected here: {other:?}"),
+//!         Action::Send { engine, .. } => assert_eq!(&**engine, "e1"), // send it with this timeout
+//!         Action::SetTimer { after, .. } => assert!(*after > 0.0),     // then feed an Event::Timer
+//!         Action::SetTerms { rank, .. } => assert!(*rank <= 3),           // forward to the engine
+//!         other => panic!("unexpected action: {other:?}"),
 //!     }
 //! }
 //!
-//! // Its outcome comes back, and the request is over.
+//! // The outcome arrives, and the request is finished.
 //! let end = AttemptEnd {
 //!     id: "q1".into(), attempt: 0, outcome: Outcome::Ok, finished: true, work: None, memory: None,
 //!     report: None,
@@ -87,17 +87,18 @@
 //! assert_eq!(policy.state_counts().requests, 0);
 //! ```
 //!
-//! The contract of an embedder:
+//! Requirements on the embedding program:
 //!
-//! - Feed the events of one coordinator in order, with a clock that never goes back, and the set of engines
-//!   before the first query.
+//! - Feed the events of one coordinator in order, with a monotonic clock, and the set of engines before the
+//!   first query.
 //! - Feed exactly one [`policy::Event::AttemptEnded`] for every [`policy::Action::Send`], cancelled attempts
 //!   included. Both sides count the attempts of a request from 0.
-//! - Set [`policy::AttemptEnd::finished`] once the client has its final answer: the first served attempt is
-//!   one, and so are [`policy::Action::Reject`] and [`policy::Action::Fail`].
-//! - Feed one [`policy::Event::Timer`] for every [`policy::Action::SetTimer`], also after the request is over.
+//! - Set [`policy::AttemptEnd::finished`] once the client has its final answer: the first served
+//!   attempt gives it one, and so do [`policy::Action::Reject`] and [`policy::Action::Fail`].
+//! - Feed one [`policy::Event::Timer`] for every [`policy::Action::SetTimer`], even after the request is
+//!   finished.
 //!
-//! `examples/dispatcher.rs` does all of it.
+//! `examples/dispatcher.rs` is a complete example.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,8 +1,8 @@
-//! Actions: what a [`Policy`](super::Policy) asks its caller to do.
+//! Actions: the commands of a [`Policy`](super::Policy) to its caller.
 
 use super::{EngineId, RequestId};
 
-/// What a policy asks its caller to do.
+/// A command that the caller of a policy must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
@@ -11,10 +11,10 @@
         id: RequestId,
         /// The engine to send it to.
         engine: EngineId,
-        /// Timeout of the attempt (seconds); `None`: until the client gives up.
+        /// Timeout of the attempt (seconds); `None`: the client's deadline is the only limit.
         timeout: Option<f64>,
-        /// Time within which the first byte must be sent, or the attempt is dropped (seconds); `None`: the
-        /// timeout.
+        /// Send deadline: time within which the first byte must be sent, or the attempt is dropped (seconds);
+        /// `None`: the timeout applies.
         within: Option<f64>,
     },
     /// Cancel an attempt.
@@ -24,19 +24,19 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: not served, and a retry by the client is harmless.
+    /// Final answer: not served, and the client can safely retry.
     Reject {
         /// The request.
         id: RequestId,
         /// Time after which the client may try again (seconds).
         retry_after: Option<f64>,
     },
-    /// Final answer: not served, and the request may have run.
+    /// Final answer: not served, but the request may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Set memory and priority of the request's attempts from here on.
+    /// Set the memory and priority of the request's attempts from now on.
     SetTerms {
         /// The request.
         id: RequestId,
@@ -47,7 +47,7 @@
     },
     /// Set a timer, which leads to an [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// Time from now (seconds).
+        /// Delay until it expires (seconds).
         after: f64,
         /// Returned with the event.
         token: u64,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether an engine has capacity for a request now.
 //!
-//! On the ordinary path the engine's bound on this coordinator's backlog decides. Where a share of an engine
-//! is less than one query, the shares of all engines count as one.
+//! Normally the engine's bound on this coordinator's backlog decides. Where a coordinator's share of an
+//! engine is less than one query, its shares of all engines are pooled.
 
 use super::engine_state::{Engine, EngineTable};
 use super::pi_controller::PiController;
@@ -9,34 +9,34 @@
 use super::slow_start::{warm_up_factor, SlowStart};
 use super::Settings;
 
-/// Share of the bound that is open to requests over quota and past their latency objective.
+/// Share of the bound that is available to requests over quota or past their latency objective.
 pub const LOW_PRIORITY_CAPACITY: f64 = 0.5;
-/// Most of an engine's memory that estimates may add up to (ratio): past that it pages and stalls.
+/// Upper limit on the estimated memory of an engine's requests (ratio): above it the engine pages and stalls.
 const MAX_MEMORY_SHARE: f64 = 1.3;
-/// Deviations of one coordinator's backlog that the capacity of all engines allows for.
+/// Standard deviations of one coordinator's backlog that the pooled capacity allows for.
 const BACKLOG_DEVIATIONS: f64 = 4.0;
-/// Mean error of the controllers (ratio of DDR) from which on the allowance for deviations counts in full.
-const CALM_ERROR: f64 = 0.45;
-/// Exponent of the part of cores that is warm in the allowance.
-const WARM_EXPONENT: i32 = 3;
-/// Part of cores in recent use from which on none of the allowance counts.
+/// Mean error of the controllers (ratio of DDR) at and above which the full allowance for deviations applies.
+const FULL_ALLOWANCE_ERROR: f64 = 0.45;
+/// Exponent of the warm share of the cores in the allowance.
+const WARM_SHARE_EXPONENT: i32 = 3;
+/// Recent share of the cores in use at and above which there is no allowance.
 const BUSY_UTILIZATION: f64 = 0.8;
-/// So much below that, all of it counts.
+/// Range below `BUSY_UTILIZATION` over which the allowance rises from none to full.
 const BUSY_RANGE: f64 = 0.2;
-/// How far past its bound an idle engine takes work (share of the bound).
+/// How far the bound of an idle engine may be exceeded (share of the bound).
 const IDLE_EXTENSION: f64 = 1.0;
 
-/// What admission of a request goes by, beside the engines.
+/// Inputs to the admission of a request, besides the engines.
 pub struct AdmissionInput<'a> {
     /// The request.
     pub request: &'a Request,
-    /// Share of each bound that is open to it (ratio).
+    /// Share of each bound that is available to it (ratio).
     pub capacity_share: f64,
-    /// Work that a busy thread holds (ms).
+    /// Mean work on a busy thread (ms).
     pub work_per_thread: f64,
-    /// Part of cores in use lately (0 to 1).
+    /// Recent share of the cores in use (0 to 1).
     pub utilization: f64,
-    /// Uniform draw (0 to 1) for the part of the request that has to fit what the pool leaves.
+    /// Uniform draw (0 to 1) of the share of the request that has to fit in the remaining pool capacity.
     pub draw: f64,
 }
 
@@ -47,12 +47,12 @@
     slow_start: SlowStart<'a>,
     capacity_share: f64,
     draw: f64,
-    /// What the bounds of all engines of the pool leave (ms).
+    /// Remaining capacity of the pool: what its engines' bounds leave (ms).
     pool_capacity: f64,
 }
 
 impl<'a> Admission<'a> {
-    /// Admission of a request of which `pool` are the engines that its class may use now.
+    /// Admission of a request; `pool` are the engines that its class may use now.
     pub fn new(
         input: AdmissionInput<'a>,
         slow_start: SlowStart<'a>,
@@ -62,10 +62,11 @@
         let sum = |value: fn(&Engine) -> f64| pool.iter().map(|engine| value(engine)).sum::<f64>();
         let bounds = input.capacity_share * sum(|engine| engine.controller.bound);
         let mean_error = sum(|engine| engine.controller.last_error) / (pool.len() as f64).max(1.0);
-        let calm =
-            (mean_error / CALM_ERROR).clamp(0.0, 1.0) * warm_share(slow_start, engines).powi(WARM_EXPONENT);
-        let calm = calm * ((BUSY_UTILIZATION - input.utilization) / BUSY_RANGE).clamp(0.0, 1.0);
-        let allowance = BACKLOG_DEVIATIONS * calm * (bounds * input.work_per_thread).sqrt();
+        let allowance_share = (mean_error / FULL_ALLOWANCE_ERROR).clamp(0.0, 1.0)
+            * warm_share(slow_start, engines).powi(WARM_SHARE_EXPONENT);
+        let allowance_share =
+            allowance_share * ((BUSY_UTILIZATION - input.utilization) / BUSY_RANGE).clamp(0.0, 1.0);
+        let allowance = BACKLOG_DEVIATIONS * allowance_share * (bounds * input.work_per_thread).sqrt();
         Self {
             request: input.request,
             settings: slow_start.settings,
@@ -81,7 +82,7 @@
         self.fits_memory(engine) && (self.fits_idle_engine(engine) || self.fits_bound(engine))
     }
 
-    /// Past its memory an engine pages, and all its work nearly stops: no report tells of that in time.
+    /// An engine that exceeds its memory pages and nearly stops, and no report shows that in time.
     fn fits_memory(&self, engine: &Engine) -> bool {
         let in_flight = engine.memory_in_flight();
         let required = self.request.query.memory.unwrap_or(0.0);
@@ -89,33 +90,35 @@
         !(in_flight > 0.0 && in_flight + required > limit)
     }
 
-    /// An engine without backlog takes a request for which it has a rotation slot, or of which a drawn part
-    /// fits what the pool leaves: the more expensive, the more seldom. A coordinator with little work varies
-    /// more; over all of them that evens out, so it is no load while delays are short.
+    /// An engine without backlog accepts a request that has a rotation slot there, or of which a randomly
+    /// drawn share fits in the remaining pool capacity; expensive requests are accepted less often. The
+    /// backlog of a coordinator with little work varies relatively more. This evens out over all
+    /// coordinators, so the allowance for it does not overload engines while delays are short.
     fn fits_idle_engine(&self, engine: &Engine) -> bool {
         if engine.backlog() != 0.0 {
             return false;
         }
-        let crowding = (self.settings.coordinators / engine.cores).min(1.0);
+        let coordinators_per_core = (self.settings.coordinators / engine.cores).min(1.0);
         let limit = self.slow_start.limit(engine, self.request.query.class);
         let has_slot = limit.is_some_and(|limit| limit.work_share.is_none());
-        has_slot || self.draw * crowding * self.request.cost <= self.pool_capacity
+        has_slot || self.draw * coordinators_per_core * self.request.cost <= self.pool_capacity
     }
 
-    /// The bound on the backlog, extended while the engine reports idle cores.
+    /// Whether the request fits in the bound on the backlog, which is extended while the engine reports
+    /// idle cores.
     fn fits_bound(&self, engine: &Engine) -> bool {
         let PiController { bound, last_error, .. } = engine.controller;
-        // Where loads lock tables cores idle as well; what is admitted only waits there, with its memory.
-        let flowing = last_error >= 0.0 && engine.locked_tables.is_empty();
-        let utilization = engine.load.util.filter(|_| flowing).unwrap_or(1.0);
+        // Cores also idle while a load locks tables; requests admitted then only wait and occupy memory.
+        let may_extend = last_error >= 0.0 && engine.locked_tables.is_empty();
+        let utilization = engine.load.util.filter(|_| may_extend).unwrap_or(1.0);
         let idle = (1.0 - utilization).clamp(0.0, 1.0);
         let limit = bound * self.capacity_share * (1.0 + IDLE_EXTENSION * idle);
         engine.backlog() + self.request.cost <= limit
     }
 }
 
-/// Part of all cores that is warm (0 to 1). Delays tell late of engines that left and came back cold;
-/// discovery tells at once.
+/// Warm share of all cores (0 to 1). Delays show late that engines have restarted cold; discovery reports
+/// it at once.
 fn warm_share(slow_start: SlowStart, engines: &EngineTable) -> f64 {
     let warm_cores = |engine: &Engine| {
         let age = slow_start.now - engine.warm_up.started_at;
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -6,24 +6,24 @@
 use super::request_state::{Attempt, Request};
 use super::{ClassSettings, Idempotency, Settings};
 
-/// Expected delays after which an attempt times out where that frees the engine.
+/// Timeout of an attempt where it frees the engine (multiples of the expected delay).
 const TIMEOUT_DELAYS: f64 = 5.0;
-/// Least timeout (seconds): handshakes and ticks.
+/// Minimum timeout (seconds): leaves time for handshakes and ticks.
 const MIN_TIMEOUT_S: f64 = 0.3;
-/// Least timeout (latency objectives) where abandoned work runs on, so that a retry doubles it.
+/// Minimum timeout (latency objectives) where abandoned work keeps running, so that a retry doubles the work.
 const UNCANCELLABLE_TIMEOUT_OBJECTIVES: f64 = 4.0;
-/// Part of the usual service time of its class that a query is expected to take at least.
+/// Minimum expected service time of a query (share of the usual service time of its class).
 pub const MIN_EXPECTED_SHARE: f64 = 0.5;
-/// Most that an engine's slowdown counts in the expected delay (ratio).
+/// Upper limit on an engine's slowdown in the expected delay (ratio).
 const MAX_EXPECTED_SLOWDOWN: f64 = 2.0;
 
-/// What an attempt is sent with.
+/// Parameters of an attempt.
 pub struct AttemptPlan {
     /// Expected delay (seconds).
     pub expected_delay: f64,
-    /// Timeout (seconds); `None`: until the client gives up.
+    /// Timeout (seconds); `None`: the client's deadline is the only limit.
     pub timeout: Option<f64>,
-    /// Time within which its first byte must be sent (seconds); `None`: the timeout.
+    /// Time within which its first byte must be sent (seconds); `None`: the timeout applies.
     pub send_within: Option<f64>,
     /// Memory to grant (MB); `None`: the engine decides.
     pub memory: Option<f64>,
@@ -37,16 +37,16 @@
     pub request: &'a Request,
     /// Settings of the coordinator.
     pub settings: &'a Settings,
-    /// What queries cost.
+    /// Learned query costs.
     pub costs: &'a CostModel,
     /// Slack factors of all classes.
     pub slack: &'a SlackFactors,
-    /// The present time (seconds).
+    /// Current time (seconds).
     pub now: f64,
 }
 
 impl AttemptPlanner<'_> {
-    /// The plan of the next attempt, on this engine.
+    /// Plans the next attempt, on this engine.
     pub fn plan(&self, engine: &Engine) -> AttemptPlan {
         let class = self.request.query.class;
         let expected_delay = self.expected_delay(engine);
@@ -85,29 +85,32 @@
     /// Timeout of the attempt (seconds), if a retry could follow in time.
     fn timeout(&self, engine: &Engine, expected_delay: f64) -> Option<f64> {
         let class = self.class();
-        let freeing = (TIMEOUT_DELAYS * expected_delay).max(MIN_TIMEOUT_S);
+        let base_timeout = (TIMEOUT_DELAYS * expected_delay).max(MIN_TIMEOUT_S);
         let objective = latency_objective(class, service_time(class, self.request.cost));
         let timeout = if self.settings.may_cancel {
-            freeing
+            base_timeout
         } else {
-            freeing.max(UNCANCELLABLE_TIMEOUT_OBJECTIVES * objective)
+            base_timeout.max(UNCANCELLABLE_TIMEOUT_OBJECTIVES * objective)
         };
-        // A request that goes where a load locks its tables does so for want of a better engine, and waits.
+        // A request is sent where a load locks its tables for lack of a better engine, and waits for the
+        // lock.
         let waits_for_load = class.yields_to_loads && engine.has_locked(self.now, self.request.query.tables);
-        let load = if waits_for_load { self.costs.load_duration(self.settings) } else { 0.0 };
-        let timeout = timeout + load;
+        let lock_wait = if waits_for_load { self.costs.load_duration(self.settings) } else { 0.0 };
+        let timeout = timeout + lock_wait;
         let usual = self.costs.usual_service_time(self.settings, self.request.query.class);
         let attempts_left = (self.request.attempts.len() as u32 + 1) < self.settings.max_attempts;
         let retryable = class.idempotency == Idempotency::Always && attempts_left;
         (retryable && timeout + usual < self.time_left()).then_some(timeout)
     }
 
-    /// Time left of the dedup window of earlier attempts (seconds): past it a repeat is not dropped, so the
-    /// attempt must not be sent late either.
+    /// Time remaining in the dedup windows of earlier attempts (seconds). Repeats are not dropped after
+    /// that, so the attempt must not be sent later.
     fn dedup_time_left(&self) -> Option<f64> {
         let class = self.class();
-        let counts = |attempt: &&Attempt| attempt.may_have_run() && class.idempotency == Idempotency::WithKey;
-        let left = |attempt: &Attempt| attempt.sent_at + class.dedup_window - self.settings.tick - self.now;
-        self.request.attempts.iter().filter(counts).map(left).reduce(f64::min)
+        let is_deduplicated =
+            |attempt: &&Attempt| attempt.may_have_run() && class.idempotency == Idempotency::WithKey;
+        let remaining =
+            |attempt: &Attempt| attempt.sent_at + class.dedup_window - self.settings.tick - self.now;
+        self.request.attempts.iter().filter(is_deduplicated).map(remaining).reduce(f64::min)
     }
 }
--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -1,4 +1,4 @@
-//! The control loop: each second, ends the period of every engine's controller.
+//! The control loop: ends the period of every engine's controller once a second.
 
 use super::bounds::{min_bound, query_share, starting_bound};
 use super::cost_model::{CostModel, RECENT_SPAN_S};
@@ -9,22 +9,22 @@
 
 /// Period of the loop (seconds), as in the paper.
 const PERIOD_S: f64 = 1.0;
-/// A period that has so much left or less counts as over (seconds): sums of ticks are not exact.
+/// A period with at most this much time left counts as over (seconds): sums of ticks are not exact.
 const PERIOD_TOLERANCE_S: f64 = 1e-6;
 
-/// What the loop counts over all engines.
+/// State of the control loop over all engines.
 pub struct ControlLoop {
     /// When the period ends (seconds); `None`: the loop has not started.
     next_update_at: Option<f64>,
-    /// Work that a busy thread held when bounds were last set (ms).
+    /// Mean work on a busy thread when bounds were last set (ms).
     work_per_thread: f64,
-    /// Most backlog on all engines since the period began (ms).
+    /// Peak backlog on all engines since the start of the period (ms).
     peak_backlog: f64,
-    /// Cost that was recently served (ms per second).
+    /// Rate of recently served cost (ms per second).
     served_rate: f64,
-    /// This coordinator's traffic over an equal part of all (ratio, at least 1).
+    /// This coordinator's traffic relative to an equal share of all cores (ratio, at least 1).
     traffic_share: f64,
-    /// Whether a request found no engine with capacity since the period began.
+    /// Whether a request found no engine with capacity since the start of the period.
     rejected: bool,
 }
 
@@ -41,25 +41,25 @@
         }
     }
 
-    /// Starts the loop; returns whether it had not started yet.
+    /// Starts the loop if it has not started yet; returns whether it did.
     pub fn start(&mut self, now: f64) -> bool {
-        let starts = self.next_update_at.is_none();
+        let is_first = self.next_update_at.is_none();
         self.next_update_at.get_or_insert(now + PERIOD_S);
-        starts
+        is_first
     }
 
-    /// Work per thread that bounds go by (ms).
+    /// Mean work on a busy thread that the bounds are based on (ms).
     pub fn work_per_thread(&self) -> f64 {
         self.work_per_thread
     }
 
-    /// This coordinator's traffic over an equal part of all (ratio, at least 1).
+    /// This coordinator's traffic relative to an equal share of all cores (ratio, at least 1).
     pub fn traffic_share(&self) -> f64 {
         self.traffic_share
     }
 
-    /// Counts a request that found no engine with capacity: it made full use of the bounds, whatever the
-    /// backlog was.
+    /// Records that a request found no engine with capacity: the bounds were fully used, whatever the backlog
+    /// was.
     pub fn add_rejected(&mut self) {
         self.rejected = true;
     }
@@ -69,12 +69,12 @@
         self.served_rate += cost / RECENT_SPAN_S;
     }
 
-    /// Takes the present backlog on all engines (ms) into the peak of the period.
+    /// Updates the peak of the period with the current backlog on all engines (ms).
     pub fn observe_backlog(&mut self, backlog: f64) {
         self.peak_backlog = self.peak_backlog.max(backlog);
     }
 
-    /// Lets what was recently served fade over `elapsed` seconds.
+    /// Decays the rate of recently served cost by `elapsed` seconds.
     pub fn decay_served(&mut self, elapsed: f64) {
         self.served_rate *= 1.0 - elapsed / RECENT_SPAN_S;
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sums up the period over all available engines and starts the next one.
+    /// Aggregates the period over all available engines and starts the next one.
     fn end_pool_period(&mut self, settings: &Settings, engines: &EngineTable) -> PoolPeriod {
         let sum = |value: fn(&Engine) -> f64| engines.available().map(value).sum::<f64>();
         let ddr_count = sum(|engine| engine.controller.ddr_count());
@@ -129,13 +129,14 @@
         }
     }
 
-    /// Traffic can be spread unevenly: a coordinator that serves more than an equal part of all cores takes
-    /// that part of each bound. Going by demand instead, an overload would open all bounds.
+    /// Traffic can be spread unevenly: a coordinator that serves more than an equal share of all cores may
+    /// use a correspondingly larger share of each bound. Demand would be the wrong measure: in an overload
+    /// it would open all bounds.
     fn measure_traffic_share(&self, settings: &Settings, engines: usize, cores: f64) -> f64 {
         let outnumber_cores = settings.coordinators * engines as f64 > cores;
-        let part = self.served_rate * settings.coordinators / (1000.0 * cores).max(1.0);
+        let share = self.served_rate * settings.coordinators / (1000.0 * cores).max(1.0);
         if outnumber_cores {
-            part.max(1.0)
+            share.max(1.0)
         } else {
             1.0
         }
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -1,19 +1,20 @@
-//! Deadlines by slack factor, the delay-to-deadline ratio (DDR), and priorities.
+//! Deadlines from slack factors, the delay-to-deadline ratio (DDR), and priorities.
 //!
 //! The deadline of a request is its service time times the slack factor of its class.
 
 use super::{ClassSettings, Settings};
 
-/// Deadline over service time at the highest priority weight (ratio): about where shared cores do most
-/// work.
+/// Deadline over service time at the highest priority weight (ratio): about where the throughput of shared
+/// cores peaks.
 const SLACK_FACTOR: f64 = 2.1;
-/// Times that where outcomes report no work (ratio): the service time is a lower quartile of delays there.
+/// Multiplier of `SLACK_FACTOR` where outcomes report no work: service times are lower quartiles of delays
+/// there.
 const SLACK_WITHOUT_COST: f64 = 1.6;
 /// Growth of the slack factor with falling priority weight (exponent of the ratio of weights).
 const SLACK_EXPONENT: f64 = 0.03;
-/// Least part of the highest priority weight that a class counts with (ratio).
+/// Lower limit on the priority weight of a class (share of the highest weight).
 const MIN_RELATIVE_WEIGHT: f64 = 1e-3;
-/// Most urgent rank.
+/// The most urgent rank.
 const MAX_RANK: f64 = 3.0;
 
 /// Slack factors of all classes.
@@ -22,7 +23,7 @@
 }
 
 impl SlackFactors {
-    /// Slack factors by the priority weights of the classes.
+    /// Computes slack factors from the priority weights of the classes.
     pub fn new(settings: &Settings) -> Self {
         let highest = settings.classes.iter().map(|class| class.priority_weight).fold(0.0, f64::max);
         let unreported = if settings.reports_cost { 1.0 } else { SLACK_WITHOUT_COST };
@@ -33,13 +34,14 @@
         Self { by_class: settings.classes.iter().map(factor).collect() }
     }
 
-    /// DDR of a request of a class that took `delay`, with this service time (both in seconds).
+    /// DDR of a request of a class, by its delay and service time (both in seconds).
     pub fn ddr(&self, class: usize, delay: f64, service_time: f64) -> f64 {
         delay / (self.by_class[class] * service_time)
     }
 
-    /// Priority rank of an attempt (0 to 3): nearer deadlines go first. It falls with each doubling of the
-    /// deadline past a quarter of the mean one. `service_time` is in seconds, `mean_cost` in ms.
+    /// Priority rank of an attempt (0 to 3): higher for nearer deadlines. It drops by one with each
+    /// doubling of the deadline beyond a quarter of the mean deadline. `service_time` is in seconds,
+    /// `mean_cost` in ms.
     pub fn rank(&self, class: usize, service_time: f64, mean_cost: f64) -> u8 {
         let deadline = self.by_class[class] * service_time * 1000.0 / (SLACK_FACTOR * mean_cost.max(1.0));
         (1.0 - deadline.log2()).clamp(0.0, MAX_RANK) as u8
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: takes queries, sends attempts, and gives final answers.
+//! Dispatch: accepts queries, sends attempts, and gives final answers.
 
 use super::attempt_plan::{AttemptPlan, AttemptPlanner};
 use super::engine_state::{AttemptKey, Engine, InFlightAttempt};
@@ -8,13 +8,13 @@
 use super::slow_start::RecentSend;
 use super::{Action, EngineId, Policy, Query};
 
-/// Usual retry-after of a rejection (latency objectives), jittered by half either way.
+/// Mean retry-after of a rejection (latency objectives), jittered by up to half in either direction.
 const RETRY_AFTER_OBJECTIVES: f64 = 0.25;
-/// Ticks before its deadline at which a request is answered: a later answer could miss the client.
+/// Ticks before its deadline at which a request is answered: a later answer could reach the client too late.
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
 
 impl Policy {
-    /// Takes a query and dispatches it.
+    /// Accepts a query and dispatches it.
     pub(super) fn on_query(&mut self, now: f64, query: Query, out: &mut Vec<Action>) {
         let number = self.requests.allocate_number();
         self.retry_budget.add_request(now, &self.settings);
@@ -46,9 +46,9 @@
         ANSWER_MARGIN_TICKS * self.settings.tick
     }
 
-    /// Sends a request, lets it wait for its key, or gives it up.
+    /// Sends a request, leaves it waiting for its key, or gives it up.
     pub(super) fn dispatch(&mut self, now: f64, number: RequestNumber, out: &mut Vec<Action>) {
-        self.order.release(number);
+        self.order.remove_waiting(number);
         let Some(request) = self.requests.get(number) else { return };
         if request.finished {
             return;
@@ -62,7 +62,7 @@
                 if request.deadline - now < usual * (ahead + 1.0) {
                     return self.give_up(number, out);
                 }
-                return self.order.hold(number);
+                return self.order.add_waiting(number);
             }
         }
         if let Some(engine) = self.pick_engine(now, number) {
@@ -106,15 +106,15 @@
         request.granted_memory = plan.memory;
         request.attempts.push(new_attempt(now, engine, &plan));
         let id = request.query.id.clone();
-        let to = engine.entry.id.clone();
+        let target = engine.entry.id.clone();
         self.control.observe_backlog(self.engines.backlog());
         if self.settings.priorities || plan.memory.is_some() {
             out.push(Action::SetTerms { id: id.clone(), memory: plan.memory, rank: plan.rank });
         }
-        out.push(Action::Send { id, engine: to, timeout: plan.timeout, within: plan.send_within });
+        out.push(Action::Send { id, engine: target, timeout: plan.timeout, within: plan.send_within });
     }
 
-    /// Gives a request up: its final answer, at once. A rejection says that a retry is harmless.
+    /// Gives up on a request and answers it at once: rejected if a retry is safe, failed otherwise.
     pub(super) fn give_up(&mut self, number: RequestNumber, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(number) else { return };
         if request.finished || request.streaming {
@@ -122,7 +122,7 @@
         }
         let class = &self.settings.classes[request.query.class];
         let id = request.query.id.clone();
-        if request.is_retry_harmless(class) {
+        if request.is_retry_safe(class) {
             let jitter = 0.5 + uniform(&mut self.rng);
             let usual = RETRY_AFTER_OBJECTIVES * class.latency_objective * jitter;
             let retry_after = self.settings.retry_after.map(|longest| usual.min(longest));
@@ -133,12 +133,12 @@
         self.close(number, out);
     }
 
-    /// Ends a request that is owed no answer any more: cancels its attempts in flight, and forgets it if
-    /// there are none.
+    /// Closes a request that needs no further answer: cancels its attempts in flight, and removes it if there
+    /// are none.
     pub(super) fn close(&mut self, number: RequestNumber, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(number) else { return };
         request.finished = true;
-        self.order.release(number);
+        self.order.remove_waiting(number);
         if self.settings.may_cancel && !request.streaming {
             for (at, attempt) in request.attempts.iter().enumerate() {
                 if attempt.state == AttemptState::InFlight {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Dispatches waiting requests whose turn has come.
+    /// Dispatches waiting requests again; those that still may not run keep waiting.
     pub(super) fn dispatch_waiting(&mut self, now: f64, out: &mut Vec<Action>) {
         for number in self.order.waiting() {
             self.dispatch(now, number, out);
@@ -171,7 +171,7 @@
     }
 }
 
-/// Counts an attempt in the load of its engine.
+/// Adds an attempt to the load of its engine.
 fn record_in_flight(engine: &mut Engine, key: AttemptKey, attempt: InFlightAttempt) {
     engine.sent_since_report += 1.0;
     engine.last_used_at = attempt.sent_at;
@@ -187,7 +187,7 @@
         state: AttemptState::InFlight,
         expected_delay: plan.expected_delay,
         progress_since: Some(ProgressMark { at: now, share_done: 0.0 }),
-        relocated: false,
+        cancelled_for_resources: false,
         projected_delay: None,
     }
 }
--- a/src/policy/engine_state.rs
+++ b/src/policy/engine_state.rs
@@ -1,4 +1,5 @@
-//! State of engines: what discovery reports, work in flight, load, and what the decisions keep of each.
+//! State of engines: discovery data, work in flight, reported load, and per-engine state of the other
+//! modules.
 
 use super::bounds::starting_bound;
 use super::outlier::EngineHealth;
@@ -9,10 +10,10 @@
 use super::{EngineEntry, EngineId, Lifecycle, ListScope, LoadReport, Settings};
 use std::collections::BTreeMap;
 
-/// How long attempts are remembered past the window that they count in (seconds).
+/// How long attempts are kept beyond the window in which they count (seconds).
 pub const EXPIRY_MARGIN_S: f64 = 1.0;
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The request.
@@ -21,7 +22,7 @@
     pub attempt: u32,
 }
 
-/// An attempt in flight, as its engine's load.
+/// An attempt in flight, as part of its engine's load.
 pub struct InFlightAttempt {
     /// When it was sent (seconds).
     pub sent_at: f64,
@@ -37,9 +38,9 @@
     pub is_load: bool,
 }
 
-/// Work of an attempt that was given up and that still runs.
+/// Work of an abandoned attempt that is still running.
 pub struct AbandonedWork {
-    /// Until when it counts in the backlog (seconds).
+    /// When it stops counting in the backlog (seconds).
     pub until: f64,
     /// Estimated cost (ms of work).
     pub cost: f64,
@@ -49,36 +50,37 @@
 pub struct Engine {
     /// What discovery reported.
     pub entry: EngineEntry,
-    /// Whether the present endpoint set has it.
+    /// Whether the current endpoint set contains it.
     pub listed: bool,
     /// Cores, at least 1.
     pub cores: f64,
-    /// Memory (MB); infinite where it is not known.
+    /// Memory (MB); infinite if unknown.
     pub memory: f64,
     /// Position in this coordinator's order of preference; above 1 in other zones.
     pub subset_position: f64,
     /// When an attempt was last sent to it (seconds).
     pub last_used_at: f64,
-    /// Warm-up after a start.
+    /// State of its warm-up after a start.
     pub warm_up: WarmUpState,
-    /// The bound on its backlog, and what moves it.
+    /// Controller of the bound on its backlog.
     pub controller: PiController,
     /// Attempts in flight.
     pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
-    /// Work of attempts that were given up and that still runs.
+    /// Work of abandoned attempts that is still running.
     pub abandoned: Vec<AbandonedWork>,
-    /// Its load as it last reported it.
+    /// Its load as last reported.
     pub load: LoadReport,
-    /// How many attempts were sent since the last outcome.
+    /// Number of attempts sent since the last outcome.
     pub sent_since_report: f64,
-    /// Tables that a load of another coordinator locks, and until when that is believed (seconds).
+    /// Table groups that an attempt reported to be locked by a load, and until when this is assumed
+    /// (seconds).
     pub locked_tables: BTreeMap<i64, f64>,
     /// Its health.
     pub health: EngineHealth,
 }
 
 impl Engine {
-    /// An engine that has just become known. `work_per_thread` (ms) sets its bound.
+    /// State of a newly discovered engine. `work_per_thread` (ms) determines its bound.
     fn new(settings: &Settings, entry: &EngineEntry, now: f64, work_per_thread: f64) -> Self {
         let kind = settings.kinds.iter().find(|kind| *kind.name == *entry.kind);
         let cores = kind.map_or(1.0, |kind| kind.cores.max(1.0));
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Starts anew for a new process of the engine, of this age (seconds): it warms up, and nothing of the
-    /// old process counts but attempts in flight.
+    /// Resets the state for a new process of the engine, of this age (seconds): it warms up, and only
+    /// attempts in flight are kept from the old process.
     fn restart(&mut self, fresh: Self, settings: &Settings, age: f64) {
         let in_flight = std::mem::take(&mut self.in_flight);
         let factor = warm_up_factor(settings, age);
@@ -109,17 +111,17 @@
         *self = Self { in_flight, controller, ..fresh };
     }
 
-    /// Whether it takes requests, as far as discovery knows.
+    /// Whether it accepts requests, according to discovery.
     pub fn is_ready(&self) -> bool {
         self.listed && self.entry.lifecycle == Lifecycle::Ready
     }
 
-    /// Whether the present endpoint set has it, draining or not.
+    /// Whether the current endpoint set contains it, draining or not.
     pub fn is_present(&self) -> bool {
         self.listed && self.entry.lifecycle != Lifecycle::Gone
     }
 
-    /// Whether it takes requests and is not ejected.
+    /// Whether it accepts requests and is not ejected.
     pub fn is_available(&self) -> bool {
         self.is_ready() && !self.health.ejected
     }
@@ -129,12 +131,12 @@
         EngineLocation { zone: self.entry.zone.clone(), cell: self.entry.cell }
     }
 
-    /// How many times slower than its peers it seems (ratio, at least 1).
+    /// How many times slower than its peers it seems to be (ratio, at least 1).
     pub fn outlier_score(&self, now: f64) -> f64 {
         self.health.outlier_score(now, self.in_flight.values())
     }
 
-    /// Whether a load that may still run was reported to lock these tables.
+    /// Whether a load that may still be running was reported to lock these tables.
     pub fn has_locked(&self, now: f64, tables: i64) -> bool {
         self.locked_tables.get(&tables).is_some_and(|until| now < *until)
     }
@@ -144,17 +146,17 @@
         self.in_flight.values().map(|attempt| attempt.memory).sum()
     }
 
-    /// Unfinished work of this coordinator there (ms): attempts in flight and abandoned work.
+    /// Unfinished work of this coordinator on the engine (ms): attempts in flight and abandoned work.
     pub fn backlog(&self) -> f64 {
         let in_flight = self.in_flight.values().map(|attempt| attempt.cost).sum::<f64>();
         in_flight + self.abandoned.iter().map(|work| work.cost).sum::<f64>()
     }
 
-    /// Forgets what no longer counts; `window` is that of slow start (seconds).
+    /// Drops expired state; `window` is the window of slow start (seconds).
     pub fn expire(&mut self, now: f64, window: f64) {
         self.abandoned.retain(|work| work.until > now);
         self.locked_tables.retain(|_, until| *until > now);
-        self.warm_up.forget_sends_before(now - window - EXPIRY_MARGIN_S);
+        self.warm_up.drop_sends_before(now - window - EXPIRY_MARGIN_S);
     }
 }
 
@@ -162,20 +164,20 @@
 pub struct EndpointUpdate {
     /// When it arrived (seconds).
     pub now: f64,
-    /// What the entries stand for.
+    /// Whether the entries are the complete list.
     pub scope: ListScope,
     /// The entries.
     pub entries: Vec<EngineEntry>,
 }
 
-/// All engines that are known, and those that left with attempts in flight.
+/// All listed engines, and departed ones with attempts in flight.
 #[derive(Default)]
 pub struct EngineTable {
     engines: BTreeMap<EngineId, Engine>,
 }
 
 impl EngineTable {
-    /// How many there are.
+    /// Number of engines.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
@@ -185,27 +187,27 @@
         self.engines.get(id)
     }
 
-    /// The engine with this identity, to change it.
+    /// Mutable access to the engine with this identity.
     pub fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
         self.engines.get_mut(id)
     }
 
-    /// All engines, in the order of their ids.
+    /// All engines, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.engines.values()
     }
 
-    /// All engines in the order of their ids, to change them.
+    /// Mutable access to all engines, ordered by id.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Engine> {
         self.engines.values_mut()
     }
 
-    /// Engines that take requests, as far as discovery knows.
+    /// Engines that accept requests, according to discovery.
     pub fn ready(&self) -> impl Iterator<Item = &Engine> {
         self.iter().filter(|engine| engine.is_ready())
     }
 
-    /// Engines that take requests and are not ejected.
+    /// Engines that accept requests and are not ejected.
     pub fn available(&self) -> impl Iterator<Item = &Engine> {
         self.iter().filter(|engine| engine.is_available())
     }
@@ -215,7 +217,8 @@
         self.iter().map(Engine::backlog).sum()
     }
 
-    /// Takes an endpoint set, or changes to it. `work_per_thread` (ms) sets the bounds of new engines.
+    /// Applies an endpoint set, or changes to it. `work_per_thread` (ms) determines the bounds of new
+    /// engines.
     pub fn apply(&mut self, update: EndpointUpdate, settings: &Settings, work_per_thread: f64) {
         let EndpointUpdate { now, scope, entries } = update;
         for engine in self.iter_mut() {
@@ -236,12 +239,12 @@
             engine.listed = true;
             engine.entry = entry;
         }
-        self.forget_departed();
+        self.remove_departed();
         self.set_subset_positions(settings);
     }
 
-    /// Forgets engines that have left once their attempts are over.
-    pub fn forget_departed(&mut self) {
+    /// Removes departed engines that have no attempts in flight.
+    pub fn remove_departed(&mut self) {
         self.engines.retain(|_, engine| engine.is_present() || !engine.in_flight.is_empty());
     }
 
--- a/src/policy/estimators.rs
+++ b/src/policy/estimators.rs
@@ -2,28 +2,29 @@
 
 use rand_core::RngCore;
 
-/// Least step of a quantile, in units of the estimated value: it settles within some 50 samples.
+/// Minimum step of a quantile, in units of the estimated value: it converges within about 50 samples.
 const QUANTILE_MIN_STEP: f64 = 0.05;
-/// Step of a quantile times the number of samples, while they are few.
+/// Product of the step of a quantile and the number of samples while there are few.
 const QUANTILE_FIRST_STEP: f64 = 2.0;
 
-/// A running mean. First samples count in full: in a large fleet a coordinator sees few of each class.
+/// A running mean. The first samples are weighted equally: in a large fleet a coordinator sees few queries of
+/// each class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningMean {
     /// The mean; 0 without samples.
     pub value: f64,
-    /// Samples so far.
+    /// Number of samples so far.
     pub count: f64,
 }
 
 impl RunningMean {
-    /// Adds a sample, which weighs at least `min_weight` (0 to 1).
+    /// Adds a sample with a weight of at least `min_weight` (0 to 1).
     pub fn add(&mut self, sample: f64, min_weight: f64) {
         self.count += 1.0;
         self.value += (sample - self.value) * min_weight.max(1.0 / self.count);
     }
 
-    /// The mean, once there is a sample.
+    /// The mean; `None` without samples.
     pub fn get(&self) -> Option<f64> {
         Some(self.value).filter(|_| self.count > 0.0)
     }
@@ -38,8 +39,8 @@
 }
 
 impl RunningQuantile {
-    /// Adds a sample, given as whether it was above the present value; `quantile` is the share of samples
-    /// (0 to 1) that are to be below.
+    /// Adds a sample, given as whether it was above the current value; `quantile` is the share of samples
+    /// (0 to 1) that are to be below the value.
     pub fn add(&mut self, above: bool, quantile: f64) {
         self.count += 1.0;
         let step = QUANTILE_MIN_STEP.max(QUANTILE_FIRST_STEP / (self.count + 1.0));
@@ -47,7 +48,7 @@
     }
 }
 
-/// A uniform draw from 0 (included) to 1 (excluded).
+/// A uniform draw from 0 (inclusive) to 1 (exclusive).
 pub fn uniform(rng: &mut impl RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -1,28 +1,28 @@
-//! Events: what a [`Policy`](super::Policy) is told.
+//! Events: the inputs of a [`Policy`](super::Policy).
 //!
 //! Times are in seconds on the caller's clock, work in milliseconds of one thread, memory in megabytes.
 
 use super::Settings;
 use std::sync::Arc;
 
-/// Identity of a request: opaque, never reused while a coordinator runs.
+/// Identity of a request: opaque, never reused during the lifetime of a coordinator's process.
 pub type RequestId = Arc<str>;
 /// Identity of an engine: opaque, the same after a restart of the engine's process.
 pub type EngineId = Arc<str>;
 
-/// Life cycle of an engine as discovery reports it.
+/// Lifecycle state of an engine as reported by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes its requests and takes no more.
+    /// Finishes its requests and accepts no more.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// An engine as discovery reports it.
+/// An engine as reported by discovery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineEntry {
     /// Identity of the engine.
@@ -33,29 +33,29 @@
     pub kind: Arc<str>,
     /// Cell of the engine inside its zone.
     pub cell: i64,
-    /// Life cycle state.
+    /// Lifecycle state.
     pub lifecycle: Lifecycle,
-    /// Time of its last start, if that was not long ago (seconds on the caller's clock).
+    /// Time of its last start, if recent (seconds on the caller's clock).
     pub started: Option<f64>,
 }
 
-/// What the entries of an [`Event::EngineList`] stand for.
+/// Which part of the engine list the entries of an [`Event::EngineList`] are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed entries only.
     Changes,
     /// The complete list.
     Complete,
-    /// The complete list that this coordinator knew before its restart; may be stale.
+    /// The complete list as known to this coordinator before its restart; may be stale.
     Restored,
 }
 
-/// Load of an engine as it reports it; what is not reported is `None`.
+/// Load as reported by an engine; values that are not reported are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Share of the cores in use (0 to 1).
     pub util: Option<f64>,
-    /// Requests that wait for memory.
+    /// Number of requests that wait for memory.
     pub queue: Option<f64>,
     /// Share of the memory that is granted (0 to 1).
     pub memory: Option<f64>,
@@ -70,13 +70,14 @@
     Ok,
     /// The engine returned an error; the attempt may have run.
     Error,
-    /// The engine had no room and did not look at it.
+    /// The engine was full and refused the attempt without processing it.
     Full,
-    /// No answer in time; the attempt may run on.
+    /// No answer in time; the attempt may still be running.
     Timeout,
     /// The engine's machine refused the connection, or no connection could be opened.
     Unreachable,
-    /// No byte was sent in time: no connection came up, or none took it. This says nothing of the process.
+    /// No byte was sent in time: no connection was established, or none accepted the attempt. This does not
+    /// indicate a problem with the engine's process.
     Unsent,
     /// The connection broke; the attempt may have run.
     Reset,
@@ -113,12 +114,12 @@
     pub memory: Option<f64>,
     /// Group of tables that it reads or writes.
     pub tables: i64,
-    /// Whether its body is passed on while the client sends it: the delay of an attempt then says nothing of
-    /// the engine.
+    /// Whether its body is forwarded while the client is still sending it: the delay of an attempt then
+    /// does not depend on the engine alone.
     pub uploading: bool,
 }
 
-/// The end of an attempt and what was reported with it.
+/// The end of an attempt and the values reported with it.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
     /// The request.
@@ -137,12 +138,12 @@
     pub report: Option<LoadReport>,
 }
 
-/// What an attempt in flight reports of itself.
+/// Progress that an attempt in flight reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
     /// Share of the work that is done (0 to 1, roughly).
     Done(f64),
-    /// It spills to disk for want of memory; holds the missing amount (MB).
+    /// It spills to disk for lack of memory; the value is the missing amount (MB).
     Spills(f64),
     /// It waits in the engine's queue for memory.
     WaitsForMemory,
@@ -150,21 +151,21 @@
     WaitsForLoad,
 }
 
-/// What a policy is told.
+/// An input of a policy.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The set of engines, or changes to it.
     EngineList(ListScope, Vec<EngineEntry>),
     /// A call to discovery failed, or the subscription broke.
     DiscoveryFailed,
-    /// A query of a client, which is owed one final answer.
+    /// A query of a client, which must get exactly one final answer.
     Query(Query),
     /// The answer has started to stream to the client: no further attempt is possible.
     StreamStarted {
         /// The request.
         id: RequestId,
     },
-    /// The body of the request is no longer kept: no further attempt is possible.
+    /// The body of the request is no longer stored: no further attempt is possible.
     BodyDropped {
         /// The request.
         id: RequestId,
@@ -180,16 +181,16 @@
         /// What it reported.
         progress: Progress,
     },
-    /// The client has disconnected: no answer is owed any more.
+    /// The client has disconnected: no answer is needed any more.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// A timer has expired; holds its token.
+    /// A timer has expired; the value is its token.
     Timer(u64),
-    /// The coordinator shuts down: every open request gets its final answer now.
+    /// The coordinator is shutting down: every open request gets its final answer now.
     Shutdown,
     /// New settings, with the same classes in the same order. Learned statistics and the deadlines of open
-    /// requests stay.
+    /// requests are kept.
     Settings(Box<Settings>),
 }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,5 +1,5 @@
-//! Load balancing: a weighted random order of the engines that a request may go to; the first with capacity
-//! gets it.
+//! Load balancing: the engines that a request may be sent to are put in a weighted random order, and the
+//! first one with capacity is chosen.
 
 use super::admission::{Admission, AdmissionInput, LOW_PRIORITY_CAPACITY};
 use super::control_loop::ControlLoop;
@@ -15,26 +15,26 @@
 
 /// Exponent of an engine's load in its weight.
 const LOAD_EXPONENT: i32 = -3;
-/// Exponent of an engine's outlier score in its weight, by which it is divided.
+/// Exponent of an engine's outlier score, by which its weight is divided.
 const OUTLIER_EXPONENT: i32 = 2;
-/// Weight of an engine where a load seems to lock the request's tables (factor).
+/// Factor on the weight of an engine where a load seems to lock the request's tables.
 const LOCKED_TABLES_WEIGHT: f64 = 0.05;
-/// Expected delays after which a request that reads the same tables seems to stall.
+/// Expected delays after which an attempt on the same tables seems to stall.
 const STALL_DELAYS: f64 = 1.5;
-/// How much the cost of a new connection counts in the weight (exponent).
+/// Factor on the cost of a new connection in the (negative) exponent of the weight.
 const HANDSHAKE_EXPONENT: f64 = 50.0;
-/// The same of an attempt in another zone; less, as zones are loaded unequally.
+/// Factor on the cost of an attempt in another zone there; lower, as zones are loaded unequally.
 const CROSS_ZONE_EXPONENT: f64 = 25.0;
-/// How long an unused connection stays open (seconds).
+/// Time after which an unused connection is assumed to be closed (seconds).
 const CONNECTION_IDLE_S: f64 = 10.0;
-/// Urgency of a warming engine (ratio) from which on costs of connections do not count.
-const MAX_PRICED_URGENCY: f64 = 3.0;
-/// Engines in a coordinator's subset, at least.
+/// Urgency of a warming engine (ratio) above which the costs of connections and zones are ignored.
+const MAX_PENALIZED_URGENCY: f64 = 3.0;
+/// Minimum number of engines in a coordinator's subset.
 const MIN_SUBSET_ENGINES: f64 = 10.0;
-/// Coordinators that have an engine in their subset, at least.
+/// Minimum number of coordinators that have an engine in their subset.
 const MIN_SUBSET_COORDINATORS: f64 = 20.0;
 
-/// What the choice of an engine goes by.
+/// Chooses the engine for the next attempt of a request.
 pub struct LoadBalancer<'a> {
     /// The request.
     pub request: &'a Request,
@@ -44,29 +44,29 @@
     pub settings: &'a Settings,
     /// All engines.
     pub engines: &'a EngineTable,
-    /// What queries cost.
+    /// Learned query costs.
     pub costs: &'a CostModel,
-    /// Retries of the budget's window.
+    /// State of the retry budget.
     pub retry_budget: &'a RetryBudgetTracker,
-    /// What is known of all engines together.
+    /// The control loop, for this coordinator's share of the traffic.
     pub control: &'a ControlLoop,
-    /// Part of cores in use lately (0 to 1).
+    /// Recent share of the cores in use (0 to 1).
     pub utilization: f64,
-    /// The present time (seconds).
+    /// Current time (seconds).
     pub now: f64,
 }
 
-/// Engines that a request may go to.
+/// Engines that a request may be sent to.
 struct Candidates<'a> {
-    /// The engines, in the order of their ids.
+    /// The engines, ordered by id.
     engines: Vec<&'a Engine>,
     /// Whether ejected engines are among them.
     with_ejected: bool,
 }
 
-/// An engine with its place in the random order.
+/// An engine with its random sort key.
 struct DrawnEngine<'a> {
-    /// Exponentially distributed key, by which engines are ordered.
+    /// Exponentially distributed sort key.
     key: f64,
     engine: &'a Engine,
 }
@@ -85,8 +85,8 @@
         SlowStart { settings: self.settings, costs: self.costs, now: self.now }
     }
 
-    /// Engines that the rules allow: those without an attempt of this request and not ejected come before
-    /// others.
+    /// Engines that the rules allow. Ejected engines, and those that the request has tried, are candidates
+    /// only if there are no others.
     fn candidates(&self) -> Candidates<'a> {
         let guard = SendGuard {
             request: self.request,
@@ -99,19 +99,19 @@
         if engines.iter().any(|engine| untried(engine) && !engine.health.ejected) {
             engines.retain(|engine| untried(engine));
         }
-        let with_ejected = self.is_most_ejected() || engines.iter().all(|engine| engine.health.ejected);
+        let with_ejected = self.are_most_ejected() || engines.iter().all(|engine| engine.health.ejected);
         engines.retain(|engine| with_ejected || !engine.health.ejected);
         Candidates { engines, with_ejected }
     }
 
-    /// Whether most ready engines are ejected together: the cause is shared, and the bounds alone decide, or
-    /// nothing would be served. That hurts if most engines really are dead, for as long as it lasts.
-    fn is_most_ejected(&self) -> bool {
+    /// Whether most ready engines are ejected. They then have a common cause, and ejection is ignored, since
+    /// otherwise nothing would be served. This hurts while most engines really are down.
+    fn are_most_ejected(&self) -> bool {
         2 * self.engines.available().count() < self.engines.ready().count()
     }
 
-    /// The engines in random order by weights: each draws an exponential key with its weight as the rate, and
-    /// the least key comes first.
+    /// Orders engines at random by weight: each draws an exponential key with its weight as the rate, and the
+    /// lowest key comes first.
     fn draw_order(&self, engines: Vec<&'a Engine>, rng: &mut Pcg64Mcg) -> Vec<DrawnEngine<'a>> {
         let subset_end = self.subset_end();
         let draw = |engine: &'a Engine| {
@@ -134,25 +134,25 @@
         weight
     }
 
-    /// Weight by the costs of new connections and other zones. Coordinators with a rotation slot at a warming
-    /// engine send it what it bears for all, from wherever they are.
+    /// Weight by the costs of new connections and other zones. The coordinators with a rotation slot at a
+    /// warming engine send it the work of all coordinators, whatever their zone.
     fn connection_weight(&self, engine: &Engine, subset_end: f64) -> f64 {
         let limit = self.slow_start().limit(engine, self.request.query.class);
         let slots = limit.map_or(f64::INFINITY, |limit| limit.slots);
         let urgency = (self.settings.coordinators / slots * self.settings.initial_capacity_share).max(1.0);
-        if urgency > MAX_PRICED_URGENCY {
+        if urgency > MAX_PENALIZED_URGENCY {
             return urgency;
         }
         let idle = self.now - engine.last_used_at > CONNECTION_IDLE_S;
         let new_connection = f64::from(engine.subset_position > subset_end && idle);
         let other_zone = f64::from(engine.subset_position > 1.0);
-        let price = HANDSHAKE_EXPONENT * self.settings.handshake_cost * new_connection
+        let penalty = HANDSHAKE_EXPONENT * self.settings.handshake_cost * new_connection
             + CROSS_ZONE_EXPONENT * self.settings.cross_zone_cost * other_zone;
-        urgency * (-price).exp()
+        urgency * (-penalty).exp()
     }
 
-    /// Whether a load seems to lock the request's tables there. The load of another coordinator shows only in
-    /// requests for the same tables that stall.
+    /// Whether a load seems to lock the request's tables on the engine. A load of another coordinator shows
+    /// only in stalled requests for the same tables.
     fn seems_locked(&self, engine: &Engine) -> bool {
         let tables = self.request.query.tables;
         let stalls = |attempt: &InFlightAttempt| {
@@ -162,8 +162,9 @@
             || engine.in_flight.values().any(|attempt| attempt.tables == tables && stalls(attempt))
     }
 
-    /// Last position in the order of preference that is in this coordinator's subset. Small subsets spare
-    /// handshakes and hear of each engine often; enough coordinators for each engine even its load out.
+    /// Last position in the order of preference that is in this coordinator's subset. Small subsets save
+    /// handshakes and get frequent load reports from each engine; enough coordinators per engine balance
+    /// its load.
     fn subset_end(&self) -> f64 {
         let mut positions: Vec<f64> = self.engines.available().map(|engine| engine.subset_position).collect();
         positions.sort_by(f64::total_cmp);
@@ -192,8 +193,8 @@
         Admission::new(input, slow_start, &pool, self.engines)
     }
 
-    /// Share of each bound that is open to the request. Past its latency objective a request earns little: in
-    /// an overload it would only delay those still in time.
+    /// Share of each bound that is available to the request. A request past its latency objective earns
+    /// little: in an overload it would only delay those that are still in time.
     fn capacity_share(&self) -> f64 {
         let objective = latency_objective(self.class, service_time(self.class, self.request.cost));
         let late = self.now - self.request.arrived_at() > objective;
@@ -202,8 +203,8 @@
     }
 }
 
-/// Weight of an engine by its size and load. The scarcest resource counts: memory or disks can be used up
-/// while cores idle.
+/// Weight of an engine by its size and load. The scarcest resource determines the load: memory or disks can
+/// be exhausted while cores idle.
 fn load_weight(engine: &Engine) -> f64 {
     let cores = engine.load.util.unwrap_or_else(|| engine.backlog() / engine.controller.bound.max(1.0));
     let used = cores.max(engine.load.memory.unwrap_or(0.0)).max(engine.load.disk.unwrap_or(0.0));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,27 +1,27 @@
 //! All decisions of dahliaspoke, as one pure state machine: [`Policy`].
 //!
-//! On the ordinary path each engine has a bound on this coordinator's unfinished work there (estimated ms). A
-//! weighted random draw orders the engines, and a request goes to the first whose bound has capacity for it.
-//! A PI controller moves each bound every second so that the mean delay-to-deadline ratio (DDR) of finished
-//! requests stays at a set-point. The modules state the exceptions, each where it is made.
+//! Normally each engine has a bound on this coordinator's unfinished work there (estimated ms). A weighted
+//! random draw orders the engines, and a request is sent to the first one whose bound has capacity for it.
+//! Every second a PI controller adjusts each bound to hold the mean delay-to-deadline ratio (DDR) of finished
+//! requests at a set-point. Exceptions are documented in the modules that implement them.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `settings`, `event`, `action`, `status` | the public types |
-//! | `dispatch` | takes queries, sends attempts, gives final answers |
-//! | `load_balancing`, `admission` | which engine a request goes to, and which has capacity |
-//! | `send_guard`, `retry` | the rules on attempts, and the retry budget |
+//! | `dispatch` | accepts queries, sends attempts, gives final answers |
+//! | `load_balancing`, `admission` | choice of the engine for a request; capacity of engines |
+//! | `send_guard`, `retry` | rules on attempts; the retry budget |
 //! | `attempt_plan`, `deadline` | timeout, priority and memory of an attempt; slack factors and DDR |
-//! | `outcomes`, `progress` | what follows from the end and from the progress of an attempt |
-//! | `ordering`, `quota` | requests of one key in order; quotas of tenants |
-//! | `control_loop`, `pi_controller`, `bounds` | how the bounds move, and where they start |
-//! | `slow_start`, `outlier` | engines that warm up, and engines that do worse than their peers |
-//! | `cost_model`, `estimators` | what queries cost, as learned; running statistics |
-//! | `engine_state`, `request_state` | the state of engines and of requests |
+//! | `outcomes`, `progress` | handling of outcomes and of progress reports |
+//! | `ordering`, `quota` | ordering of requests with the same key; tenant quotas |
+//! | `control_loop`, `pi_controller`, `bounds` | adjustment of the bounds, and their initial values |
+//! | `slow_start`, `outlier` | limits on engines that warm up; ejection of outliers |
+//! | `cost_model`, `estimators` | learned query costs; running statistics |
+//! | `engine_state`, `request_state` | state of engines and of requests |
 //! | [`subsetting`] | which engines a coordinator prefers to keep connections to |
 //!
-//! [`Event`]s come in with the time, [`Action`]s go out. Nothing here does I/O, reads a clock or starts a
-//! thread.
+//! The input is a sequence of [`Event`]s with their times, the output a list of [`Action`]s. Nothing here
+//! does I/O, reads a clock or starts a thread.
 
 mod action;
 mod admission;
@@ -67,16 +67,16 @@
 use request_state::RequestTable;
 use retry::RetryBudgetTracker;
 
-/// Period of housekeeping (seconds): how soon silence of an engine shows.
+/// Period of housekeeping (seconds); a silent engine is detected at this granularity.
 const TICK_S: f64 = 0.1;
-/// Pause between calls to a discovery that fails (seconds).
+/// Delay before discovery is called again after a failure (seconds).
 const DISCOVERY_RETRY_S: f64 = 1.0;
-/// Token of the timer of housekeeping. Requests use their number, from 1.
+/// Token of the housekeeping timer. The timer of a request has the request's number, from 1, as its token.
 const TICK_TOKEN: u64 = 0;
-/// Token of the timer of the next call to discovery.
+/// Token of the timer for the next discovery call.
 const DISCOVERY_TOKEN: u64 = u64::MAX >> 1;
 
-/// The decisions of one coordinator.
+/// The state machine that makes the decisions of one coordinator.
 pub struct Policy {
     settings: Settings,
     rng: Pcg64Mcg,
@@ -88,12 +88,12 @@
     quotas: TenantQuotas,
     retry_budget: RetryBudgetTracker,
     control: ControlLoop,
-    /// Part of cores in use lately, as engines report it (0 to 1).
+    /// Recent share of the cores in use, as reported by engines (0 to 1).
     utilization: RunningMean,
 }
 
 impl Policy {
-    /// A coordinator that knows its settings and nothing else. The seed decides all random draws.
+    /// A policy without engines, requests or learned statistics. The seed determines all random draws.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         let costs = CostModel::new(&settings);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// How much state is kept, for operators and tests.
+    /// Sizes of the state held in memory, for operators and tests.
     #[must_use]
     pub fn state_counts(&self) -> StateCounts {
         StateCounts {
@@ -122,19 +122,19 @@
         }
     }
 
-    /// State of an engine, for operators and tests; `None` if it is not known.
+    /// State of an engine, for operators and tests; `None` if the engine is unknown.
     #[must_use]
     pub fn engine(&self, id: &str) -> Option<EngineStatus> {
         self.engines.get(id).map(EngineStatus::from)
     }
 
-    /// State of each engine of the present endpoint set, in the order of their ids.
+    /// State of each engine of the current endpoint set, ordered by id.
     pub fn engines(&self) -> impl Iterator<Item = EngineStatus> + '_ {
         self.engines.iter().filter(|engine| engine.is_present()).map(EngineStatus::from)
     }
 
-    /// Takes one event at time `now` (seconds on the caller's clock, never less than before) and appends the
-    /// actions that follow from it to `out`.
+    /// Handles one event at time `now` (seconds on the caller's clock, which must not go backwards) and
+    /// appends the resulting actions to `out`.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         if self.control.start(now) {
             out.push(Action::SetTimer { after: TICK_S, token: TICK_TOKEN });
@@ -149,7 +149,7 @@
     fn dispatch_event(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::EngineList(scope, entries) => self.on_endpoints(now, scope, entries),
-            // A coordinator that stopped asking would go on sending to engines that drain.
+            // Without further calls the coordinator would keep sending to draining engines.
             Event::DiscoveryFailed => {
                 out.push(Action::SetTimer { after: DISCOVERY_RETRY_S, token: DISCOVERY_TOKEN });
             }
@@ -188,7 +188,7 @@
         self.engines.apply(update, &self.settings, self.control.work_per_thread());
     }
 
-    /// Replaces the settings; what was learned stays.
+    /// Replaces the settings and keeps the learned statistics.
     fn on_settings(&mut self, settings: Settings) {
         self.slack = SlackFactors::new(&settings);
         self.quotas = TenantQuotas::new(&settings);
@@ -199,11 +199,11 @@
         match token {
             TICK_TOKEN => self.on_tick(now, out),
             DISCOVERY_TOKEN => out.push(Action::Subscribe),
-            number => self.give_up(number, out), // the time of a request is up
+            number => self.give_up(number, out), // a request's time is up
         }
     }
 
-    /// Housekeeping: forgets what no longer counts, ejects and readmits engines, and runs the control loop.
+    /// Housekeeping: drops expired state, ejects and readmits engines, and runs the control loop.
     fn on_tick(&mut self, now: f64, out: &mut Vec<Action>) {
         out.push(Action::SetTimer { after: TICK_S, token: TICK_TOKEN });
         for engine in self.engines.iter_mut() {
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -1,30 +1,30 @@
-//! Order of requests: those of one key run one at a time, in the order of arrival.
+//! Request ordering: requests with the same key run one at a time, in the order of arrival.
 //!
-//! After an attempt that may still run, a key pauses, so that the next request cannot overtake it on an
-//! engine.
+//! After an attempt that may still be running, its key is paused, so that the next request cannot overtake
+//! the attempt on an engine.
 
 use super::request_state::{Request, RequestNumber};
 use super::ClassSettings;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Requests of one key in the order of arrival; the first may run.
+/// Requests of one key in the order of arrival; only the first may run.
 #[derive(Default)]
 pub struct OrderQueue {
-    /// Requests of the key that are not forgotten yet.
+    /// Requests of the key that are open or have attempts in flight.
     requests: VecDeque<RequestNumber>,
-    /// Until when no further request may begin (seconds).
+    /// Time until which no further request may start (seconds).
     paused_until: f64,
 }
 
 impl OrderQueue {
     /// Whether a request may run now: it is the first of its key, and the key is not paused. A pause does not
-    /// stop the retries of a request that has begun.
-    pub fn admits(&self, now: f64, number: RequestNumber, has_begun: bool) -> bool {
-        self.requests.front() == Some(&number) && (now >= self.paused_until || has_begun)
+    /// prevent retries of a request that has started.
+    pub fn admits(&self, now: f64, number: RequestNumber, has_started: bool) -> bool {
+        self.requests.front() == Some(&number) && (now >= self.paused_until || has_started)
     }
 
-    /// How many requests are ahead of one.
+    /// Number of requests ahead of the given one.
     pub fn ahead_of(&self, number: RequestNumber) -> usize {
         self.requests.iter().take_while(|other| **other != number).count()
     }
@@ -38,7 +38,7 @@
 }
 
 impl OrderQueues {
-    /// How many keys have a queue.
+    /// Number of keys with a queue.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
@@ -48,37 +48,37 @@
         self.by_key.entry(key).or_default().requests.push_back(number);
     }
 
-    /// The queue that a request stands in, if its class runs in order.
+    /// The queue of a request, if its class is ordered.
     pub fn queue_of(&self, request: &Request, class: &ClassSettings) -> Option<&OrderQueue> {
         request.query.key.as_ref().filter(|_| class.ordered).and_then(|key| self.by_key.get(key))
     }
 
-    /// Pauses the key of a request until a point in time (seconds).
+    /// Pauses the key of a request until the given time (seconds).
     pub fn pause(&mut self, request: &Request, until: f64) {
         if let Some(queue) = request.query.key.as_ref().and_then(|key| self.by_key.get_mut(key)) {
             queue.paused_until = until;
         }
     }
 
-    /// Takes a request out of the queue of its key.
+    /// Removes a request from the queue of its key.
     pub fn remove(&mut self, request: &Request, number: RequestNumber) {
         if let Some(queue) = request.query.key.as_ref().and_then(|key| self.by_key.get_mut(key)) {
-            queue.requests.retain(|other| *other != number); // empty queues go with `drop_idle`
+            queue.requests.retain(|other| *other != number); // `drop_idle` removes empty queues
         }
     }
 
-    /// Forgets keys without requests whose pause is over.
+    /// Removes the queues of keys that have no requests and are not paused.
     pub fn drop_idle(&mut self, now: f64) {
         self.by_key.retain(|_, queue| !queue.requests.is_empty() || now < queue.paused_until);
     }
 
-    /// Notes that a request waits for its key.
-    pub fn hold(&mut self, number: RequestNumber) {
+    /// Records that a request waits for its key.
+    pub fn add_waiting(&mut self, number: RequestNumber) {
         self.waiting.insert(number);
     }
 
-    /// Notes that a request no longer waits.
-    pub fn release(&mut self, number: RequestNumber) {
+    /// Records that a request no longer waits for its key.
+    pub fn remove_waiting(&mut self, number: RequestNumber) {
         self.waiting.remove(&number);
     }
 
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts: what follows for the request, and what is learned of its engine and class.
+//! Outcomes of attempts: the next step of the request, and what is learned about its engine and class.
 
 use super::attempt_plan::MIN_EXPECTED_SHARE;
 use super::cost_model::{reported_service_time, service_time, CostModel};
@@ -8,19 +8,19 @@
 use super::request_state::{AttemptState, Request, RequestNumber};
 use super::{Action, AttemptEnd, Outcome, Policy};
 
-/// Most work that an outcome may report over what the engine's cores do in all of the request's time (ratio):
-/// some engines are faster than nominal.
+/// Upper limit on reported work, relative to what the engine's cores can do until the request's deadline
+/// (ratio): some engines are faster than nominal.
 const MAX_REPORTED_WORK: f64 = 2.0;
-/// Expected delays for which abandoned work counts in the backlog.
+/// How long abandoned work counts in the backlog (expected delays).
 const ABANDONED_WORK_DELAYS: f64 = 2.0;
-/// Weight of an outcome in the recent utilization of cores (share): some seven outcomes.
+/// Weight of an outcome in the recent utilization of cores (share): about seven outcomes.
 const UTILIZATION_WEIGHT: f64 = 0.15;
-/// Ticks of pause of an order key beyond the settle time: events of one tick come in any order.
+/// Ticks that an order key is paused beyond the settle time: events of one tick arrive in any order.
 const SETTLE_TICKS: f64 = 2.0;
-/// Least service time that delays are compared with (seconds).
+/// Lower limit on service times that delays are compared with (seconds).
 const MIN_COMPARED_SERVICE_TIME_S: f64 = 1e-4;
 
-/// An outcome with the attempt's delay and what it is compared with.
+/// An outcome with the attempt's delay, and the values that the delay is compared with.
 struct MeasuredOutcome {
     /// When the attempt ended (seconds).
     now: f64,
@@ -30,7 +30,7 @@
     outcome: Outcome,
     /// Delay (seconds).
     delay: f64,
-    /// Service time that was expected (seconds).
+    /// Expected service time (seconds).
     expected: f64,
     /// Delay-to-deadline ratio.
     ddr: f64,
@@ -42,8 +42,8 @@
         matches!(self.outcome, Outcome::Ok | Outcome::Timeout | Outcome::Cancelled)
     }
 
-    /// Counts the outcome in the controller of its engine. Errors are no service: a fast one must not look
-    /// like speed.
+    /// Records the outcome in the controller of its engine. Errors are left out: a fast error must not look
+    /// like fast service.
     fn record_in_controller(&self, controller: &mut PiController) {
         if self.outcome == Outcome::Ok {
             controller.add_served();
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Counts the outcome in the health of its engine and in the slowness of its class. A failure counts as
-    /// the slowest service; having no room says nothing of an engine's health.
+    /// Records the outcome in the health of its engine and in the slowness of its class. A failure counts as
+    /// very slow service; a full engine is not unhealthy.
     fn record_in_health(&self, health: &mut EngineHealth, costs: &mut CostModel) {
         let mut slowdown = failure_slowdown(self.outcome);
         if self.ran() {
@@ -71,7 +71,7 @@
 }
 
 impl Policy {
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt.
     pub(super) fn on_attempt_ended(&mut self, now: f64, mut ended: AttemptEnd, out: &mut Vec<Action>) {
         let Some(number) = self.requests.number_of(&ended.id) else { return };
         let Some(delay) = self.finish_attempt(now, number, &mut ended) else { return };
@@ -83,11 +83,11 @@
             self.costs.learn_memory(&self.settings, request, ended.memory);
         }
         self.proceed(now, number, ended.outcome, out);
-        self.engines.forget_departed();
+        self.engines.remove_departed();
     }
 
-    /// Marks an attempt as ended and returns its delay (seconds); `None` if it was not in flight. Drops a
-    /// report of work that cannot be true.
+    /// Marks an attempt as ended and returns its delay (seconds); `None` if it was not in flight. Discards
+    /// implausible reports of work.
     fn finish_attempt(&mut self, now: f64, number: RequestNumber, ended: &mut AttemptEnd) -> Option<f64> {
         let request = self.requests.get_mut(number)?;
         let attempt = request.attempts.get_mut(ended.attempt as usize)?;
@@ -97,7 +97,7 @@
         let never_ran = ended.outcome.never_ran();
         attempt.state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
         let delay = now - attempt.sent_at;
-        // No query does more work than its engine could in all of its time.
+        // No query can do more work than its engine does until the query's deadline.
         let engine = self.engines.get(&attempt.engine);
         let max_rate = engine.map_or(0.0, |engine| MAX_REPORTED_WORK * 1000.0 * engine.cores);
         request.finished |= ended.finished;
@@ -118,7 +118,7 @@
         if request.in_flight() {
             return;
         }
-        // Too late for a retry, or never sent for want of time: answered at once.
+        // Too late for a retry, or never sent for lack of time: answered at once.
         if outcome == Outcome::Expired || request.deadline - now < self.answer_margin() {
             self.give_up(number, out);
         } else {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes an outcome into the backlog, the controller and the health of its engine.
+    /// Records an outcome in the backlog, the controller and the health of its engine.
     fn record_outcome(&mut self, now: f64, number: RequestNumber, ended: &AttemptEnd, delay: f64) {
         let request = &self.requests[number];
         let attempt = &request.attempts[ended.attempt as usize];
@@ -138,11 +138,11 @@
         if let Some(utilization) = ended.report.and_then(|report| report.util) {
             self.utilization.add(utilization, UTILIZATION_WEIGHT);
         }
-        engine.sent_since_report = 0.0; // without reports the backlog stands for them
+        engine.sent_since_report = 0.0; // without reports, the load is estimated from the backlog
         match ended.outcome {
-            Outcome::Expired => return self.retry_budget.withdraw(key),
-            Outcome::Cancelled if attempt.relocated => return,
-            // How long it took was its client's doing.
+            Outcome::Expired => return self.retry_budget.remove_attempt(key),
+            Outcome::Cancelled if attempt.cancelled_for_resources => return,
+            // The delay depended on the client's upload.
             Outcome::Ok | Outcome::Timeout | Outcome::Cancelled if request.query.uploading => return,
             Outcome::Timeout | Outcome::Cancelled => {
                 // Work that cannot be cancelled still occupies the engine.
@@ -153,7 +153,8 @@
             }
             _ => engine.health.last_received_at = now,
         }
-        // An engine that refuses connections probably restarts, which discovery may tell late (rule 4).
+        // An engine that refuses connections is probably restarting, which discovery may report late (rule
+        // 4).
         if ended.outcome == Outcome::Unreachable {
             engine.warm_up.unreachable_at = now;
         }
@@ -161,15 +162,15 @@
         measured.record_in_health(&mut engine.health, &mut self.costs);
     }
 
-    /// Compares the delay of an attempt with what was expected.
+    /// Compares the delay of an attempt with the expected delay.
     fn measure(&self, now: f64, request: &Request, ended: &AttemptEnd, delay: f64) -> MeasuredOutcome {
         let class = request.query.class;
         let class_settings = &self.settings.classes[class];
         let estimated = service_time(class_settings, request.cost).max(MIN_COMPARED_SERVICE_TIME_S);
         let usual = self.costs.usual_service_time(&self.settings, class);
-        // The deadline goes by the reported cost where there is one: estimates scatter.
+        // The deadline is based on reported work where there is any: estimates are noisy.
         let known = ended.work.map_or(estimated, |work| reported_service_time(class_settings, work));
-        // An attempt that was cancelled for its pace would have taken longer than it did.
+        // An attempt that was cancelled for its slow pace counts with the delay that it was heading for.
         let cancelled = ended.outcome == Outcome::Cancelled && !request.finished;
         let projected = request.attempts[ended.attempt as usize].projected_delay;
         let delay = projected.filter(|_| cancelled).unwrap_or(delay);
--- a/src/policy/progress.rs
+++ b/src/policy/progress.rs
@@ -1,25 +1,25 @@
-//! Progress of attempts in flight: one is cancelled and retried elsewhere where that is better.
+//! Progress of attempts in flight: an attempt is cancelled and retried where that is expected to be faster.
 //!
-//! - A spill, once, with the memory that it lacks: the estimate was too low. May hurt where progress is
+//! - After a spill, once, with the missing memory added: the estimate was too low. May hurt where progress is
 //!   reported late.
-//! - A wait for memory or for a load: the engine is fuller than its reports show. May hurt where all engines
-//!   queue.
-//! - A pace that leaves more than twice the expected delay: a bad plan, or an engine gone slow.
+//! - While it waits for memory or for a load: the engine is fuller than its reports show. May hurt where all
+//!   engines queue.
+//! - At a pace that leaves more than twice the expected delay: a bad plan, or an engine that has become slow.
 
 use super::cost_model::service_time;
 use super::request_state::{Attempt, ProgressMark, Request, RequestNumber};
 use super::{Action, Idempotency, Policy, Progress, RequestId};
 
-/// Expected delays that are still to go, by its pace, at which an attempt is cancelled.
+/// Remaining delay, projected from its pace, above which an attempt is cancelled (expected delays).
 const MAX_REMAINING_DELAYS: f64 = 2.0;
-/// Part of an average load's duration for which a report of locked tables is believed.
-const LOCK_BELIEVED_LOADS: f64 = 0.5;
-/// Ticks that a spill must cost for a retry to be worth it.
+/// How long tables that were reported locked are assumed to stay so (durations of an average load).
+const LOCK_VALIDITY_LOADS: f64 = 0.5;
+/// Minimum cost of a spill for a retry to be worthwhile (ticks).
 const MIN_SPILL_TICKS: f64 = 2.0;
-/// Least share done since the mark (0 to 1) that a pace is computed from.
+/// Lower limit on the share of work done since the mark (0 to 1) that a pace is computed from.
 const MIN_SHARE_DONE: f64 = 0.01;
 
-/// A report of progress of one attempt.
+/// A progress report of one attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptProgress {
     /// Number of the attempt, from 0.
@@ -28,20 +28,20 @@
     pub progress: Progress,
 }
 
-/// What a report of progress can lead to.
+/// What a retry after a progress report would depend on.
 struct RetryOptions {
-    /// Whether the rules and limits allow to cancel the attempt and retry.
+    /// Whether the rules and limits allow cancelling the attempt and retrying.
     allowed: bool,
     /// Whether an untried engine without locks on the request's tables is available.
-    elsewhere: bool,
-    /// Whether the attempt has waited before, and has done nothing since.
-    still_waits: bool,
+    engine_available: bool,
+    /// Whether the attempt was already waiting, and has done no work.
+    still_waiting: bool,
     /// Whether the attempt lacks memory or waits for a load, rather than being slow.
     lacks_resources: bool,
 }
 
 impl Policy {
-    /// Takes a report of progress.
+    /// Handles a progress report.
     pub(super) fn on_progress(
         &mut self,
         now: f64,
@@ -61,12 +61,12 @@
         }
         let options = self.retry_options(now, number, report);
         if progress == Progress::WaitsForLoad {
-            self.note_locked_tables(now, number, attempt);
+            self.record_locked_tables(now, number, attempt);
         }
         let better = self.is_retry_better(now, number, report, &options);
-        if options.allowed && better && (options.elsewhere || self.settings.may_hedge) {
+        if options.allowed && better && (options.engine_available || self.settings.may_hedge) {
             if let Some(request) = self.requests.get_mut(number) {
-                request.attempts[attempt as usize].relocated = options.lacks_resources;
+                request.attempts[attempt as usize].cancelled_for_resources = options.lacks_resources;
             }
             out.push(Action::Cancel { id: id.clone(), attempt });
         }
@@ -75,40 +75,40 @@
     fn retry_options(&self, now: f64, number: RequestNumber, report: AttemptProgress) -> RetryOptions {
         let request = &self.requests[number];
         let attempt = &request.attempts[report.attempt as usize];
-        let still_waits = attempt.progress_since.is_none()
+        let still_waiting = attempt.progress_since.is_none()
             && matches!(report.progress, Progress::Done(share) if share <= 0.0);
-        let lacks_resources = still_waits || !matches!(report.progress, Progress::Done(_));
-        // These leave one attempt for failures.
+        let lacks_resources = still_waiting || !matches!(report.progress, Progress::Done(_));
+        // Such retries leave one attempt for failures.
         let reserved = u32::from(lacks_resources);
         let attempts_left = report.attempt + 1 + reserved < self.settings.max_attempts;
         let idempotent = self.settings.classes[request.query.class].idempotency == Idempotency::Always;
         let in_budget = || self.retry_budget.allows(now, &self.settings);
         RetryOptions {
             allowed: idempotent && attempts_left && self.settings.may_cancel && in_budget(),
-            elsewhere: self.is_untried_engine_free(now, request),
-            still_waits,
+            engine_available: self.is_untried_engine_available(now, request),
+            still_waiting,
             lacks_resources,
         }
     }
 
     /// Whether an untried engine is available on which no load locks the request's tables.
-    fn is_untried_engine_free(&self, now: f64, request: &Request) -> bool {
+    fn is_untried_engine_available(&self, now: f64, request: &Request) -> bool {
         let tables = request.query.tables;
         let mut engines = self.engines.available();
         engines.any(|engine| !engine.has_locked(now, tables) && !request.tried(&engine.entry.id))
     }
 
-    fn note_locked_tables(&mut self, now: f64, number: RequestNumber, attempt: u32) {
-        let believed = LOCK_BELIEVED_LOADS * self.costs.load_duration(&self.settings);
+    fn record_locked_tables(&mut self, now: f64, number: RequestNumber, attempt: u32) {
+        let validity = LOCK_VALIDITY_LOADS * self.costs.load_duration(&self.settings);
         let request = &self.requests[number];
         let engine = &request.attempts[attempt as usize].engine;
         if let Some(engine) = self.engines.get_mut(engine) {
-            engine.locked_tables.insert(request.query.tables, now + believed);
+            engine.locked_tables.insert(request.query.tables, now + validity);
         }
     }
 
-    /// Whether a retry would be better than to wait for the attempt. Takes the report into the attempt's
-    /// pace.
+    /// Whether a retry would be faster than waiting for the attempt. Updates the attempt's pace with the
+    /// report.
     fn is_retry_better(
         &mut self,
         now: f64,
@@ -128,14 +128,14 @@
             }
             (Progress::Spills(_), _) => false,
             (Progress::WaitsForMemory, _) => {
-                attempt.progress_since = None; // its pace counts from the next report
+                attempt.progress_since = None; // its pace is computed from the next report on
                 true
             }
             (Progress::WaitsForLoad, _) => {
-                attempt.progress_since = None; // it stands still: no pace until it goes on
-                options.elsewhere
+                attempt.progress_since = None; // it is blocked: no pace until it continues
+                options.engine_available
             }
-            (Progress::Done(_), _) if options.still_waits => options.elsewhere,
+            (Progress::Done(_), _) if options.still_waiting => options.engine_available,
             (Progress::Done(share), _) => {
                 let remaining = project_remaining(now, attempt, share);
                 time_left > attempt.expected_delay
@@ -145,7 +145,7 @@
     }
 }
 
-/// Time that an attempt still takes by its pace (seconds), with `share` of the work done (0 to 1).
+/// Remaining time of an attempt projected from its pace (seconds), with `share` of the work done (0 to 1).
 fn project_remaining(now: f64, attempt: &mut Attempt, share: f64) -> f64 {
     let mark = *attempt.progress_since.get_or_insert(ProgressMark { at: now, share_done: share });
     let remaining = (now - mark.at) * (1.0 - share) / (share - mark.share_done).max(MIN_SHARE_DONE);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,10 +1,10 @@
-//! Quotas of tenants: one token bucket for this coordinator's part of each.
+//! Tenant quotas: one token bucket for this coordinator's share of each quota.
 
 use super::Settings;
 
 /// A token bucket.
 struct TokenBucket {
-    /// Requests left of the quota; below 0 when it is exceeded.
+    /// Remaining requests of the quota; negative while it is exceeded.
     tokens: f64,
     /// When the bucket was last refilled (seconds).
     updated_at: f64,
@@ -16,7 +16,7 @@
 }
 
 impl TenantQuotas {
-    /// Buckets with a second's quota each.
+    /// Creates buckets that hold the quota of one second each.
     pub fn new(settings: &Settings) -> Self {
         let bucket =
             |quota_per_s: f64| TokenBucket { tokens: quota_per_s / settings.coordinators, updated_at: 0.0 };
--- a/src/policy/request_state.rs
+++ b/src/policy/request_state.rs
@@ -1,25 +1,25 @@
-//! State of requests and of their attempts, from arrival until nothing is in flight any more.
+//! State of requests and their attempts, from arrival until the request is closed and nothing is in flight.
 
 use super::{ClassSettings, DedupScope, EngineId, Idempotency, Query, RequestId};
 use std::collections::BTreeMap;
 use std::ops::Index;
 use std::sync::Arc;
 
-/// Number of a request: counts up from 1, and also serves as the token of its deadline's timer.
+/// Number of a request: assigned sequentially from 1; also the token of the request's timer.
 pub type RequestNumber = u64;
 
-/// What is known of whether an attempt ran.
+/// State of an attempt: what is known about whether it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
     /// No outcome yet.
     InFlight,
-    /// It ended, and its engine may have run it or may still do.
+    /// It ended, and its engine may have run it or may still be running it.
     MayHaveRun,
-    /// It ended, and no engine has run it.
+    /// It ended without having run.
     NeverRan,
 }
 
-/// Zone and cell of an engine, by which dedup scopes go.
+/// Zone and cell of an engine, which define dedup scopes.
 #[derive(Clone, Debug)]
 pub struct EngineLocation {
     /// Zone of the engine.
@@ -28,43 +28,44 @@
     pub cell: i64,
 }
 
-/// A point from which the pace of an attempt is measured.
+/// Starting point for the pace of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressMark {
-    /// Time of the point (seconds).
+    /// Time (seconds).
     pub at: f64,
-    /// Share of the work that was done by then (0 to 1).
+    /// Share of the work done by then (0 to 1).
     pub share_done: f64,
 }
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// The engine that it was sent to.
+    /// Engine that it was sent to.
     pub engine: EngineId,
-    /// Where that engine was at the time.
+    /// Location of that engine at the time.
     pub location: EngineLocation,
     /// When it was sent (seconds).
     pub sent_at: f64,
-    /// What is known of whether it ran.
+    /// What is known about whether it ran.
     pub state: AttemptState,
     /// Expected delay (seconds).
     pub expected_delay: f64,
-    /// From where its pace counts; `None` while it stands still.
+    /// Starting point for its pace; `None` while it is blocked.
     pub progress_since: Option<ProgressMark>,
-    /// Whether it was cancelled for want of memory or for a load, which says nothing of the engine's health.
-    pub relocated: bool,
-    /// Delay that its pace came to when it was last reported (seconds).
+    /// Whether it was cancelled for lack of memory or because of a load, which does not affect the engine's
+    /// health.
+    pub cancelled_for_resources: bool,
+    /// Total delay projected from its pace at the last progress report (seconds).
     pub projected_delay: Option<f64>,
 }
 
 impl Attempt {
-    /// Whether it may have run, or may yet.
+    /// Whether it may have run or may still run.
     pub fn may_have_run(&self) -> bool {
         self.state != AttemptState::NeverRan
     }
 }
 
-/// A request that is not forgotten yet.
+/// A request that is open or has attempts in flight.
 #[derive(Default)]
 pub struct Request {
     /// The query as it arrived.
@@ -79,11 +80,11 @@
     pub finished: bool,
     /// Whether the answer has started to stream to the client.
     pub streaming: bool,
-    /// Whether its body is no longer kept, so that no attempt can follow.
+    /// Whether its body is no longer stored, so that no further attempt is possible.
     pub body_dropped: bool,
     /// Whether its tenant was over quota when it arrived.
     pub over_quota: bool,
-    /// Memory that its last attempt was granted (MB).
+    /// Memory that was granted to its last attempt (MB).
     pub granted_memory: Option<f64>,
     /// Memory that it needs (MB), once an attempt has spilled.
     pub required_memory: Option<f64>,
@@ -95,7 +96,7 @@
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether an attempt went to this engine.
+    /// Whether an attempt was sent to this engine.
     pub fn tried(&self, engine: &EngineId) -> bool {
         self.attempts.iter().any(|attempt| attempt.engine == *engine)
     }
@@ -105,21 +106,21 @@
         self.deadline - self.query.time_left
     }
 
-    /// Whether a further attempt may be sent at all: an answer is owed, and attempts are left.
+    /// Whether a further attempt may be sent at all: an answer is still possible, and attempts are left.
     pub fn may_be_sent(&self, now: f64, max_attempts: u32) -> bool {
-        let owed = !self.finished && !self.streaming && !self.body_dropped && now < self.deadline;
-        owed && (self.attempts.len() as u32) < max_attempts
+        let is_answerable = !self.finished && !self.streaming && !self.body_dropped && now < self.deadline;
+        is_answerable && (self.attempts.len() as u32) < max_attempts
     }
 
-    /// Whether a rejection can promise the client that a retry is harmless.
-    pub fn is_retry_harmless(&self, class: &ClassSettings) -> bool {
+    /// Whether the client can be told that a retry is safe.
+    pub fn is_retry_safe(&self, class: &ClassSettings) -> bool {
         let never_ran = !self.attempts.iter().any(Attempt::may_have_run);
         let deduplicated = class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::All;
         never_ran || class.idempotency == Idempotency::Always || deduplicated
     }
 }
 
-/// All requests that are not forgotten yet, by number and by identity.
+/// All requests that are open or have attempts in flight, by number and by identity.
 pub struct RequestTable {
     next_number: RequestNumber,
     requests: BTreeMap<RequestNumber, Request>,
@@ -133,12 +134,12 @@
 }
 
 impl RequestTable {
-    /// How many there are.
+    /// Number of requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The number that the next request gets.
+    /// Returns the number for the next request.
     pub fn allocate_number(&mut self) -> RequestNumber {
         let number = self.next_number;
         self.next_number += 1;
@@ -151,7 +152,7 @@
         self.requests.insert(number, request);
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn remove(&mut self, number: RequestNumber) {
         if let Some(request) = self.requests.remove(&number) {
             self.numbers.remove(&request.query.id);
@@ -173,19 +174,19 @@
         self.requests.get(&number)
     }
 
-    /// The request with this number, to change it.
+    /// Mutable access to the request with this number.
     pub fn get_mut(&mut self, number: RequestNumber) -> Option<&mut Request> {
         self.requests.get_mut(&number)
     }
 
-    /// The request with this identity, to change it.
+    /// Mutable access to the request with this identity.
     pub fn by_id_mut(&mut self, id: &RequestId) -> Option<&mut Request> {
         let number = self.numbers.get(id)?;
         self.requests.get_mut(number)
     }
 }
 
-/// The request with a number that is known to be in the table.
+/// Access to a request by a number that is known to be in the table; panics otherwise.
 impl Index<RequestNumber> for RequestTable {
     type Output = Request;
 
--- a/src/policy/send_guard.rs
+++ b/src/policy/send_guard.rs
@@ -1,4 +1,4 @@
-//! The rules on attempts, in one place: whether a request may be sent to an engine at all.
+//! All rules on attempts: whether a request may be sent to an engine at all.
 
 use super::engine_state::{Engine, EngineTable};
 use super::request_state::{Attempt, AttemptState, Request};
@@ -12,7 +12,7 @@
     zone && class.kinds.as_ref().is_none_or(|kinds| kinds.iter().any(|kind| **kind == *entry.kind))
 }
 
-/// The rules on the next attempt of one request.
+/// Applies the rules on attempts to the next attempt of one request.
 pub struct SendGuard<'a> {
     /// The request.
     pub request: &'a Request,
@@ -20,12 +20,12 @@
     pub class: &'a ClassSettings,
     /// Settings of the coordinator.
     pub settings: &'a Settings,
-    /// Limits on warming engines, and the present time.
+    /// Limits on warming engines, and the current time.
     pub slow_start: SlowStart<'a>,
 }
 
 impl SendGuard<'_> {
-    /// Engines that the rules allow for the next attempt now, in the order of their ids.
+    /// Engines that the rules allow for the next attempt now, ordered by id.
     pub fn allowed_engines<'e>(
         &self,
         engines: &'e EngineTable,
@@ -37,7 +37,8 @@
         engines.iter().filter(|engine| self.allows_engine(engine)).collect()
     }
 
-    /// Whether the request may be sent anywhere: an answer is owed, and the limits on retries leave room.
+    /// Whether the request may be sent to any engine: an answer is still possible, and the limits on
+    /// retries allow an attempt.
     fn allows_attempt(&self, retry_budget: &RetryBudgetTracker) -> bool {
         let now = self.slow_start.now;
         let in_budget = || self.request.attempts.is_empty() || retry_budget.allows(now, self.settings);
@@ -53,7 +54,7 @@
             && self.slow_start.has_capacity(engine, self.request.query.class)
     }
 
-    /// Without hedging, no attempt is in flight, and none may still run on the same engine.
+    /// Whether hedging is allowed, or no attempt is in flight and none may still be running on this engine.
     fn is_apart_from_other_attempts(&self, engine: &Engine) -> bool {
         let may_run_there = |attempt: &Attempt| {
             attempt.state == AttemptState::MayHaveRun && attempt.engine == engine.entry.id
@@ -62,7 +63,7 @@
             || !self.request.in_flight() && !self.request.attempts.iter().any(may_run_there)
     }
 
-    /// Whether running once more on this engine is harmless after all attempts that may have run.
+    /// Whether a repeat on this engine is safe, given all attempts that may have run.
     fn may_repeat(&self, entry: &EngineEntry) -> bool {
         let mut attempts = self.request.attempts.iter().filter(|attempt| attempt.may_have_run());
         attempts.all(|attempt| match self.class.idempotency {
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Whether an engine drops repeats of an attempt.
+    /// Whether an engine is in the scope that drops repeats of an attempt.
     fn in_dedup_scope(&self, attempt: &Attempt, entry: &EngineEntry) -> bool {
         let same_zone = attempt.location.zone == entry.zone;
         match self.class.dedup_scope {
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! Times are in seconds, work in milliseconds of one thread, memory in megabytes.
 
-/// Whether a request may be repeated once an attempt may have run.
+/// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// The request may run any number of times.
@@ -24,22 +24,22 @@
     Cell,
 }
 
-/// A class of requests: objective, weight, and how its requests may be repeated.
+/// A class of requests: latency objective, weight, and rules on attempts.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
     /// Name of the class.
     pub name: String,
-    /// Constant part of the latency objective (seconds); the whole adds `objective_stretch` times the service
-    /// time, which a request takes on an engine without other work. A request served within it earns its full
-    /// weight.
+    /// Constant part of the latency objective (seconds). The objective is this plus `objective_stretch`
+    /// times the service time, which is the time that a request takes on an otherwise idle engine. A
+    /// request served within the objective earns its full weight.
     pub latency_objective: f64,
     /// Part of the latency objective that grows with the service time (ratio).
     pub objective_stretch: f64,
-    /// How long a client waits in all (seconds).
+    /// How long a client waits in total (seconds).
     pub client_timeout: f64,
     /// What a request is worth when served within the latency objective (points).
     pub priority_weight: f64,
-    /// Share of the priority weight that is earned after the latency objective (0 to 1).
+    /// Share of the priority weight that a request earns when served after the latency objective (0 to 1).
     pub late_weight: f64,
     /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
@@ -58,9 +58,9 @@
     pub kinds: Option<Vec<String>>,
     /// Threads that one request runs on.
     pub threads: f64,
-    /// Whether it is a load, which locks its table group on its engine while it runs.
+    /// Whether its requests are loads, which lock their table group on their engine while they run.
     pub is_load: bool,
-    /// Whether it stalls while a load locks its table group on the same engine.
+    /// Whether its requests stall while a load locks their table group on the same engine.
     pub yields_to_loads: bool,
 }
 
@@ -71,7 +71,7 @@
     pub name: String,
     /// Cores of one engine.
     pub cores: f64,
-    /// Memory of one engine (MB); 0 where it is not known.
+    /// Memory of one engine (MB); 0 if unknown.
     pub memory: f64,
 }
 
@@ -87,15 +87,15 @@
 /// Limit on retries and hedged requests over a sliding window.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries that are always allowed in a window.
+    /// Number of retries that are always allowed in a window.
     pub min_attempts: f64,
-    /// Further retries allowed for each request accepted in the window.
+    /// Number of further retries allowed per request accepted in the window.
     pub attempts_per_request: f64,
     /// Length of the window (seconds).
     pub window: f64,
 }
 
-/// Everything that a coordinator is configured with.
+/// The configuration of a coordinator.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes; a query names its class by position here.
@@ -104,9 +104,9 @@
     pub kinds: Vec<KindSettings>,
     /// Tenants with a quota; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// How many coordinators share the engines.
+    /// Number of coordinators that share the engines.
     pub coordinators: f64,
-    /// Number of this coordinator among them, from 0.
+    /// Index of this coordinator among them, from 0.
     pub index: f64,
     /// Zone of this coordinator.
     pub zone: String,
@@ -116,32 +116,32 @@
     pub handshake_cost: f64,
     /// Whether the endpoint set must be subscribed to.
     pub must_subscribe: bool,
-    /// Whether attempts may be cancelled, which frees what they use.
+    /// Whether attempts may be cancelled, which frees the resources that they use.
     pub may_cancel: bool,
-    /// Whether two attempts of one request may be in flight together (hedged requests).
+    /// Whether several attempts of one request may be in flight at the same time (hedged requests).
     pub may_hedge: bool,
     /// Longest retry-after that a rejection may carry (seconds); `None`: rejections carry none.
     pub retry_after: Option<f64>,
     /// Whether engines heed priorities.
     pub priorities: bool,
-    /// Whether the memory that an attempt is granted may be set.
+    /// Whether the memory granted to an attempt can be set.
     pub memory_grants: bool,
     /// Whether successful outcomes report the work and memory that the query needed.
     pub reports_cost: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Shortest time between two batches of events (seconds): the grain of the clock.
+    /// Shortest time between two batches of events (seconds): the resolution of the clock.
     pub tick: f64,
     /// Share of its capacity that an engine has when it starts (0 to 1).
     pub initial_capacity_share: f64,
     /// How long an engine warms up after its start (seconds).
     pub warmup_time: f64,
-    /// A warming engine breaks down at more than this multiple of its present capacity (ratio) ...
+    /// Load that overloads a warming engine, as a multiple of its current capacity (ratio) ...
     pub overload_multiple: f64,
-    /// ... over this window (seconds).
+    /// ... in a window of this length (seconds).
     pub overload_window: f64,
-    /// Pause of an order key after an attempt that may still run (seconds).
+    /// Pause of an order key after an attempt that may still be running (seconds).
     pub order_settle: f64,
-    /// Limit on retries; `None`: no limit but `max_attempts`.
+    /// Limit on retries; `None`: limited by `max_attempts` only.
     pub retry_budget: Option<RetryBudget>,
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,27 +1,27 @@
-//! Slow start: an engine that started lately warms up, and until then all coordinators together send it no
-//! more than it can bear.
+//! Slow start: a recently started engine warms up, and until it is warm, all coordinators together limit
+//! their work on it to its reduced capacity.
 //!
-//! Where there are few coordinators, each gets an equal share of what the engine bears in a window. Where an
-//! equal share is less than one query, coordinators take rotation slots instead: in each window some may send
-//! one query of a class.
+//! Where there are few coordinators, each gets an equal share of the engine's budget in a window. Where an
+//! equal share is less than one query, coordinators use rotation slots instead: in each window only some of
+//! them may send one query of a class.
 
 use super::cost_model::CostModel;
 use super::engine_state::Engine;
 use super::{EngineEntry, Settings};
 
-/// Part of a warming engine's budget that rotation slots use: slots of two windows can fall into one.
+/// Share of a warming engine's budget that rotation slots use: queries of two windows can fall into one.
 const SLOT_BUDGET_SHARE: f64 = 0.45;
-/// The same where every coordinator sends in each window: each knows its own attempts in any window.
+/// Share used where every coordinator sends in each window: each knows its own attempts in any window.
 const EQUAL_BUDGET_SHARE: f64 = 0.65;
-/// Part of the warm-up that counts as done for a window, on the careful side.
+/// Share of the elapsed warm-up that is credited to an engine's capacity: a conservative estimate.
 const WARM_UP_CREDIT: f64 = 0.5;
-/// Least warm-up factor (share of the capacity).
+/// Minimum warm-up factor (share of the capacity).
 const MIN_WARM_UP_FACTOR: f64 = 0.01;
-/// Step of the rotation from window to window, as part of the coordinators: the golden section visits all
-/// evenly.
+/// Step of the rotation from window to window (share of the coordinators): the golden section visits all of
+/// them evenly.
 const ROTATION_STEP: f64 = 0.618;
 
-/// An attempt that was sent lately.
+/// A recently sent attempt.
 pub struct RecentSend {
     /// When it was sent (seconds).
     pub sent_at: f64,
@@ -31,17 +31,17 @@
     pub class: usize,
 }
 
-/// What slow start knows of one engine.
+/// State of one engine for slow start.
 pub struct WarmUpState {
-    /// When the engine's process started (seconds); negative infinity: long ago.
+    /// When the engine's process started (seconds); negative infinity: unknown or long ago.
     pub started_at: f64,
-    /// When the engine last refused a connection (seconds): it probably restarts, which discovery may tell
-    /// late.
+    /// When the engine last refused a connection (seconds): it is probably restarting, which discovery may
+    /// report late.
     pub unreachable_at: f64,
-    /// Until when the budget counts as spent (seconds): attempts before this coordinator's restart are
-    /// unknown.
+    /// Time until which the budget is considered spent (seconds): attempts from before this coordinator's
+    /// restart are unknown.
     pub budget_spent_until: f64,
-    /// Attempts of the last window, of warm engines too: one may turn out to have restarted.
+    /// Attempts of the last window, also for a warm engine: it may turn out to have restarted.
     pub recent_sends: Vec<RecentSend>,
 }
 
@@ -57,44 +57,44 @@
 }
 
 impl WarmUpState {
-    /// Forgets attempts from before `from` (seconds).
-    pub fn forget_sends_before(&mut self, from: f64) {
+    /// Drops attempts from before `from` (seconds).
+    pub fn drop_sends_before(&mut self, from: f64) {
         self.recent_sends.retain(|send| send.sent_at >= from);
     }
 }
 
-/// What coordinators may send to a warming engine in one window.
+/// Limit on the work that coordinators may send to a warming engine in one window.
 pub struct WarmUpLimit {
-    /// How many coordinators have a slot in the window.
+    /// Number of coordinators that have a slot in the window.
     pub slots: f64,
     /// Work that each of them may send (ms); `None`: one query of the class.
     pub work_share: Option<f64>,
 }
 
-/// Share of its capacity that an engine has at least at this age in seconds (0 to 1).
+/// Minimum share of its capacity that an engine of this age (seconds) has (0 to 1).
 pub fn warm_up_factor(settings: &Settings, age: f64) -> f64 {
     let warmed = (age / settings.warmup_time.max(1e-9)).clamp(0.0, 1.0);
     let factor = settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * warmed;
     factor.clamp(MIN_WARM_UP_FACTOR, 1.0)
 }
 
-/// The limits on warming engines, by what is known now.
+/// Computes the limits on warming engines at the current time.
 #[derive(Clone, Copy)]
 pub struct SlowStart<'a> {
     /// Settings of the coordinator.
     pub settings: &'a Settings,
-    /// What queries cost.
+    /// Learned query costs.
     pub costs: &'a CostModel,
-    /// The present time (seconds).
+    /// Current time (seconds).
     pub now: f64,
 }
 
 impl SlowStart<'_> {
     /// Limit on attempts of a class at an engine; `None` once the engine is warm.
     ///
-    /// Equal shares of less than one query would starve the engine, and one query from each coordinator would
-    /// overload it. Then each class has slots for one query each, by its part of the demand: most of the work
-    /// is in expensive queries.
+    /// Where equal shares are less than one query, they would starve the engine, and one query from each
+    /// coordinator would overload it. In this case each class has slots for one query each, in proportion
+    /// to its share of the demand: most of the work is in expensive queries.
     pub fn limit(&self, engine: &Engine, class: usize) -> Option<WarmUpLimit> {
         let settings = self.settings;
         let started_at = engine.warm_up.started_at.max(engine.warm_up.unreachable_at);
@@ -112,7 +112,7 @@
         Some(WarmUpLimit { slots: slots.min(settings.coordinators), work_share: None })
     }
 
-    /// Work that a warming engine does at the begin of the window (ms per second).
+    /// Capacity of a warming engine at the start of the window (ms of work per second).
     fn capacity(&self, engine: &Engine, started_at: f64) -> f64 {
         let settings = self.settings;
         let age = self.now - settings.overload_window - started_at;
@@ -132,15 +132,15 @@
         limit.work_share.map_or(sent == 0.0, |share| sent + work <= share)
     }
 
-    /// Work sent to an engine in the present window (ms), of one class or of all.
+    /// Work sent to an engine in the current window (ms), of one class or of all classes.
     fn recently_sent(&self, engine: &Engine, class: Option<usize>) -> f64 {
         let from = self.now - self.settings.overload_window;
-        let counts = |send: &&RecentSend| send.sent_at >= from && class.is_none_or(|c| send.class == c);
-        engine.warm_up.recent_sends.iter().filter(counts).map(|send| send.work).sum()
+        let is_counted = |send: &&RecentSend| send.sent_at >= from && class.is_none_or(|c| send.class == c);
+        engine.warm_up.recent_sends.iter().filter(is_counted).map(|send| send.work).sum()
     }
 
-    /// Whether this coordinator is among the first `slots` of the engine's rotation in the present window.
-    /// Every engine's rotation begins elsewhere.
+    /// Whether this coordinator is among the first `slots` of the engine's rotation in the current window.
+    /// Rotations start at different coordinators for different engines.
     fn has_slot(&self, engine: &EngineEntry, slots: f64) -> bool {
         let settings = self.settings;
         let offset = engine.id.bytes().fold(0.0, |sum, byte| sum * 31.0 % 65537.0 + f64::from(byte));
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -1,8 +1,8 @@
-//! What a [`Policy`](super::Policy) tells operators and tests of its state.
+//! Status: the state of a [`Policy`](super::Policy) that is visible to operators and tests.
 
 use super::engine_state::Engine;
 
-/// How many requests, engines and order keys a policy keeps state of.
+/// Number of requests, engines and order keys that a policy holds state for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateCounts {
     /// Requests that are open or have attempts in flight.
@@ -16,9 +16,9 @@
 /// State of one engine, for operators and tests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineStatus {
-    /// Bound on this coordinator's backlog there (ms of work).
+    /// Bound on this coordinator's backlog on the engine (ms of work).
     pub bound: f64,
-    /// This coordinator's backlog there (ms of work).
+    /// This coordinator's backlog on the engine (ms of work).
     pub backlog: f64,
     /// Whether the engine is ejected as an outlier.
     pub ejected: bool,
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -1,12 +1,14 @@
 //! Deterministic subsetting: which engines a coordinator prefers to keep connections to.
 //!
-//! Every coordinator computes its subset from what all are told alike (ids, zones and cores of engines, its
-//! own number and the count of coordinators), so the subsets add up without any exchange between them.
+//! Every coordinator computes its subset from data known to all (ids, zones and cores of engines, and the
+//! number of coordinators) and its own index, so the subsets fit together without communication between
+//! coordinators.
 //!
-//! The engines of a zone lie on a ring in the order of their hashed ids, each with an arc in proportion to
-//! its cores. Coordinators stand on the ring at even distances and prefer the engines that follow. Every
-//! engine is thus in equally many subsets, within one, and an engine that joins or leaves changes at most
-//! two engines of any subset. `docs/subsetting.md` compares this with other ways.
+//! The engines of a zone are placed on a ring in the order of their hashed ids, each with an arc
+//! proportional to its cores. Coordinators are placed on the ring at equal distances and prefer the engines
+//! that follow. Thus the numbers of subsets that engines are in differ by at most one, and an engine that
+//! joins or leaves changes at most two engines of any subset. `docs/subsetting.md` compares this with other
+//! algorithms.
 
 /// An engine on the ring.
 #[derive(Clone, Copy, Debug)]
@@ -22,8 +24,8 @@
 /// Position of each engine in the order of preference of one coordinator: in (0, 1] for engines of the
 /// coordinator's own `zone`, in (1, 2] for others.
 ///
-/// Positions come in the order of `engines`; that order does not influence them. `index` is the coordinator's
-/// number, from 0 and below `coordinators`; settings that say otherwise get an order all the same.
+/// Positions are returned in the order of `engines`, which does not influence them. `index` is the
+/// coordinator's number, from 0 and below `coordinators`; values outside this range still give an order.
 #[must_use]
 pub fn subset_positions(engines: &[RingEngine], zone: &str, index: f64, coordinators: f64) -> Vec<f64> {
     let mut positions = vec![0.0; engines.len()];
@@ -32,7 +34,8 @@
             (0..engines.len()).filter(|at| (engines[*at].zone != zone) == other_zones).collect();
         ring.sort_by_cached_key(|at| (hash(engines[*at].id), engines[*at].id));
         let circumference = ring.iter().map(|at| engines[*at].cores).sum::<f64>().max(1e-9);
-        // In cores: rounding puts a coordinator at the end of an arc on the same side of it everywhere.
+        // In cores, so that rounding puts a coordinator at the end of an arc on the same side of it
+        // everywhere.
         let coordinator = (index + 0.5) * circumference / coordinators.max(1.0);
         let mut arc_end = 0.0;
         for at in ring {
@@ -44,7 +47,7 @@
     positions
 }
 
-/// FNV-1a with a finisher, so that ids that differ in their last characters only are not neighbours.
+/// FNV-1a with a finalizer, so that ids that differ only in their last characters are not neighbours.
 fn hash(id: &str) -> u64 {
     let hash = id
         .bytes()
