--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -2,7 +2,8 @@
 //!
 //!     cargo bench --bench policy
 //!
-//! Rounds are short, and the fastest one is reported, which excludes the effect of other load on the machine.
+//! Rounds are short, and the fastest one is reported with the median: it excludes the effect of other load on
+//! the machine.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -11,7 +11,7 @@
         id: RequestId,
         /// The engine to send it to.
         engine: EngineId,
-        /// Timeout of the attempt (seconds); `None`: the client's deadline is the only limit.
+        /// Timeout of the attempt (seconds); `None`: no timeout before the client gives up.
         timeout: Option<f64>,
         /// Send deadline: time within which the first byte must be sent, or the attempt is dropped (seconds);
         /// `None`: the timeout applies.
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -21,7 +21,7 @@
 pub struct AttemptPlan {
     /// Expected delay (seconds).
     pub expected_delay: f64,
-    /// Timeout (seconds); `None`: the client's deadline is the only limit.
+    /// Timeout (seconds); `None`: no timeout before the client gives up.
     pub timeout: Option<f64>,
     /// Time within which its first byte must be sent (seconds); `None`: the timeout applies.
     pub send_within: Option<f64>,
@@ -92,8 +92,7 @@
         } else {
             base_timeout.max(UNCANCELLABLE_TIMEOUT_OBJECTIVES * objective)
         };
-        // A request is sent where a load locks its tables for lack of a better engine, and waits for the
-        // lock.
+        // A request is sent where a load locks its tables for lack of a better engine; it waits there.
         let waits_for_load = class.yields_to_loads && engine.has_locked(self.now, self.request.query.tables);
         let lock_wait = if waits_for_load { self.costs.load_duration(self.settings) } else { 0.0 };
         let timeout = timeout + lock_wait;
@@ -103,8 +102,8 @@
         (retryable && timeout + usual < self.time_left()).then_some(timeout)
     }
 
-    /// Time remaining in the dedup windows of earlier attempts (seconds). Repeats are not dropped after
-    /// that, so the attempt must not be sent later.
+    /// Time remaining in the dedup windows of earlier attempts (seconds). Repeats are not dropped after the
+    /// end of a window, so the attempt must not be sent later.
     fn dedup_time_left(&self) -> Option<f64> {
         let class = self.class();
         let is_deduplicated =
--- a/src/policy/bounds.rs
+++ b/src/policy/bounds.rs
@@ -15,7 +15,8 @@
 /// threads busy under light traffic. `work_per_thread` is the mean work on a busy thread (ms).
 ///
 /// For light queries the bound is larger where there are few coordinators. Where coordinators outnumber
-/// cores, a coordinator notices too late that the sum of all bounds was too large.
+/// cores, the increase is smaller: a coordinator would notice too late that the sum of all bounds is too
+/// large.
 pub fn starting_bound(settings: &Settings, cores: f64, work_per_thread: f64) -> f64 {
     let busy = STARTING_THREADS_PER_CORE * work_per_thread;
     let all = busy + query_share(settings, cores) * (STARTING_BOUNDS_PER_CORE - busy).max(0.0);
--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -58,13 +58,13 @@
         self.traffic_share
     }
 
-    /// Records that a request found no engine with capacity: the bounds were fully used, whatever the backlog
-    /// was.
+    /// Records that a request found no engine with capacity, which means that the bounds were fully used,
+    /// whatever the backlog was.
     pub fn add_rejected(&mut self) {
         self.rejected = true;
     }
 
-    /// Counts a served request by its cost (ms).
+    /// Adds a served request of this cost (ms) to the rate of served cost.
     pub fn add_served(&mut self, cost: f64) {
         self.served_rate += cost / RECENT_SPAN_S;
     }
--- a/src/policy/cost_model.rs
+++ b/src/policy/cost_model.rs
@@ -20,7 +20,7 @@
 const REPORTED_WORK_QUANTILE: f64 = 0.5;
 /// Share of queries that are to get all the memory that they need, where a spill is costly.
 const MEMORY_GRANT_QUANTILE: f64 = 0.95;
-/// That share where a spill costs little, as the attempt is cancelled and retried: the median.
+/// The same share where a spill costs little, as the attempt is cancelled and retried: the median.
 const CHEAP_SPILL_GRANT_QUANTILE: f64 = 0.5;
 /// Slowness of a class without outcomes (delay over service time).
 const INITIAL_SLOWNESS: f64 = 1.5;
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -7,8 +7,8 @@
 /// Deadline over service time at the highest priority weight (ratio): about where the throughput of shared
 /// cores peaks.
 const SLACK_FACTOR: f64 = 2.1;
-/// Multiplier of `SLACK_FACTOR` where outcomes report no work: service times are lower quartiles of delays
-/// there.
+/// Multiplier of `SLACK_FACTOR` where outcomes report no work: service times are then lower quartiles of
+/// delays.
 const SLACK_WITHOUT_COST: f64 = 1.6;
 /// Growth of the slack factor with falling priority weight (exponent of the ratio of weights).
 const SLACK_EXPONENT: f64 = 0.03;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -133,8 +133,8 @@
         self.close(number, out);
     }
 
-    /// Closes a request that needs no further answer: cancels its attempts in flight, and removes it if there
-    /// are none.
+    /// Closes a request that needs no further answer: cancels its attempts in flight where that is allowed,
+    /// and removes it if there are none.
     pub(super) fn close(&mut self, number: RequestNumber, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(number) else { return };
         request.finished = true;
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -77,7 +77,7 @@
     /// The engine's machine refused the connection, or no connection could be opened.
     Unreachable,
     /// No byte was sent in time: no connection was established, or none accepted the attempt. This does not
-    /// indicate a problem with the engine's process.
+    /// show whether the engine's process is running.
     Unsent,
     /// The connection broke; the attempt may have run.
     Reset,
@@ -114,8 +114,8 @@
     pub memory: Option<f64>,
     /// Group of tables that it reads or writes.
     pub tables: i64,
-    /// Whether its body is forwarded while the client is still sending it: the delay of an attempt then
-    /// does not depend on the engine alone.
+    /// Whether its body is forwarded while the client is still sending it: the delay of an attempt is
+    /// then no measure of the engine.
     pub uploading: bool,
 }
 
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -23,7 +23,7 @@
 const STALL_DELAYS: f64 = 1.5;
 /// Factor on the cost of a new connection in the (negative) exponent of the weight.
 const HANDSHAKE_EXPONENT: f64 = 50.0;
-/// Factor on the cost of an attempt in another zone there; lower, as zones are loaded unequally.
+/// Factor on the cost of an attempt in another zone in that exponent; lower, as zones are loaded unequally.
 const CROSS_ZONE_EXPONENT: f64 = 25.0;
 /// Time after which an unused connection is assumed to be closed (seconds).
 const CONNECTION_IDLE_S: f64 = 10.0;
@@ -85,8 +85,8 @@
         SlowStart { settings: self.settings, costs: self.costs, now: self.now }
     }
 
-    /// Engines that the rules allow. Ejected engines, and those that the request has tried, are candidates
-    /// only if there are no others.
+    /// Engines that the rules allow. Engines that are ejected or that the request has tried are left out
+    /// while there are others, except that ejection is ignored if most engines are ejected.
     fn candidates(&self) -> Candidates<'a> {
         let guard = SendGuard {
             request: self.request,
@@ -104,8 +104,9 @@
         Candidates { engines, with_ejected }
     }
 
-    /// Whether most ready engines are ejected. They then have a common cause, and ejection is ignored, since
-    /// otherwise nothing would be served. This hurts while most engines really are down.
+    /// Whether most ready engines are ejected. The cause is then assumed to be shared, and ejection is
+    /// ignored, as otherwise nothing would be served. This hurts for as long as most engines really are
+    /// down.
     fn are_most_ejected(&self) -> bool {
         2 * self.engines.available().count() < self.engines.ready().count()
     }
@@ -135,7 +136,7 @@
     }
 
     /// Weight by the costs of new connections and other zones. The coordinators with a rotation slot at a
-    /// warming engine send it the work of all coordinators, whatever their zone.
+    /// warming engine send it the work on behalf of all coordinators, whatever their zone.
     fn connection_weight(&self, engine: &Engine, subset_end: f64) -> f64 {
         let limit = self.slow_start().limit(engine, self.request.query.class);
         let slots = limit.map_or(f64::INFINITY, |limit| limit.slots);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -153,8 +153,7 @@
             }
             _ => engine.health.last_received_at = now,
         }
-        // An engine that refuses connections is probably restarting, which discovery may report late (rule
-        // 4).
+        // An engine that refuses connections is probably restarting; discovery may report that late (rule 4).
         if ended.outcome == Outcome::Unreachable {
             engine.warm_up.unreachable_at = now;
         }
--- a/src/policy/pi_controller.rs
+++ b/src/policy/pi_controller.rs
@@ -7,8 +7,8 @@
 
 /// Target of the mean DDR (ratio), as in the paper.
 const SET_POINT: f64 = 0.9;
-/// Proportional gain (mean-cost queries per unit of error). Lower than in the paper, which bounds hundreds of
-/// items; here a bound is a few.
+/// Proportional gain (mean-cost queries per unit of error). Lower than in the paper, where a bound is
+/// hundreds of items; here it is a few queries.
 const PROPORTIONAL_GAIN: f64 = 0.2;
 /// Integral gain relative to the proportional gain; low for the same reason.
 const INTEGRAL_GAIN: f64 = 0.5;
@@ -129,8 +129,8 @@
         let served = self.served() + pool.served;
         let Some(mean_ddr) = self.end_period(engine.backlog, pool) else { return };
         self.integrate(SET_POINT - mean_ddr, step);
-        // Anti-windup in light traffic: no growth without served requests, nor beyond the starting bound if
-        // unused.
+        // Anti-windup in light traffic: no growth without served requests, nor past the starting bound if the
+        // bound is not used.
         let idle = usage < MIN_USAGE && !pool.rejected && self.bound >= engine.starting_bound;
         if self.increment > 0.0 && (served == 0.0 || idle) {
             self.increment = 0.0;
@@ -152,7 +152,7 @@
     }
 
     /// Returns the mean DDR of the period, if any request finished, and starts the next one. Many seconds can
-    /// pass without an outcome here, so the mean of all engines counts as one more sample.
+    /// pass without an outcome on this engine, so the mean of all engines counts as one more sample.
     fn end_period(&mut self, backlog: f64, pool: &PoolPeriod) -> Option<f64> {
         let pool_weight = pool.ddr_count.min(1.0);
         let count = self.ddr_count() + pool_weight;
--- a/src/policy/progress.rs
+++ b/src/policy/progress.rs
@@ -28,7 +28,7 @@
     pub progress: Progress,
 }
 
-/// What a retry after a progress report would depend on.
+/// Conditions for a retry after a progress report.
 struct RetryOptions {
     /// Whether the rules and limits allow cancelling the attempt and retrying.
     allowed: bool,
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -136,7 +136,7 @@
     pub initial_capacity_share: f64,
     /// How long an engine warms up after its start (seconds).
     pub warmup_time: f64,
-    /// Load that overloads a warming engine, as a multiple of its current capacity (ratio) ...
+    /// A warming engine breaks down under more work than this multiple of its current capacity (ratio) ...
     pub overload_multiple: f64,
     /// ... in a window of this length (seconds).
     pub overload_window: f64,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,5 +1,5 @@
 //! Slow start: a recently started engine warms up, and until it is warm, all coordinators together limit
-//! their work on it to its reduced capacity.
+//! the work that they send it to what it can handle.
 //!
 //! Where there are few coordinators, each gets an equal share of the engine's budget in a window. Where an
 //! equal share is less than one query, coordinators use rotation slots instead: in each window only some of
@@ -11,7 +11,8 @@
 
 /// Share of a warming engine's budget that rotation slots use: queries of two windows can fall into one.
 const SLOT_BUDGET_SHARE: f64 = 0.45;
-/// Share used where every coordinator sends in each window: each knows its own attempts in any window.
+/// Share of the budget used where every coordinator sends in each window: each knows its own attempts in
+/// any window.
 const EQUAL_BUDGET_SHARE: f64 = 0.65;
 /// Share of the elapsed warm-up that is credited to an engine's capacity: a conservative estimate.
 const WARM_UP_CREDIT: f64 = 0.5;
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -34,8 +34,7 @@
             (0..engines.len()).filter(|at| (engines[*at].zone != zone) == other_zones).collect();
         ring.sort_by_cached_key(|at| (hash(engines[*at].id), engines[*at].id));
         let circumference = ring.iter().map(|at| engines[*at].cores).sum::<f64>().max(1e-9);
-        // In cores, so that rounding puts a coordinator at the end of an arc on the same side of it
-        // everywhere.
+        // In cores, so that rounding puts a coordinator at the end of an arc on the same side everywhere.
         let coordinator = (index + 0.5) * circumference / coordinators.max(1.0);
         let mut arc_end = 0.0;
         for at in ring {
