--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -437,7 +437,7 @@
 #[test]
 fn memory_in_flight_stays_within_the_memory_of_the_engine() {
     let mut s = lookup_settings();
-    s.gateways = 2.0;
+    s.coordinators = 2.0;
     let mut h = Harness::new(s, &["e1"]);
     let big = |n: i64| Query { memory: Some(3000.0), ..query_on(&format!("big-{n}"), n) };
     let sent: usize = (0..10).map(|n| sent_to(&h.query_with(big(n))).len()).sum();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -91,7 +91,7 @@
 /// Work (ms) that one of `coordinators` coordinators sends to a warming engine in one second.
 fn work_sent_while_warming(coordinators: f64, scope: ListScope) -> f64 {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
-    s.gateways = coordinators;
+    s.coordinators = coordinators;
     let mut h = Harness::new(s, &[]);
     h.list(scope, vec![EngineEntry { started: Some(h.now - 0.1), ..engine("e1") }]);
     let mut sent = 0.0;
@@ -147,7 +147,7 @@
 fn without_hedging_an_attempt_is_cancelled_only_if_another_engine_exists() {
     for (engines, moves) in [(&["e1"][..], false), (&["e1", "e2"][..], true)] {
         let mut s = settings(vec![class("q", Idempotency::Always)]);
-        (s.grants, s.may_cancel) = (true, true);
+        (s.memory_grants, s.may_cancel) = (true, true);
         let mut h = Harness::new(s, engines);
         h.query_with(Query { memory: Some(100.0), ..ordered("r", "k") });
         h.now += 0.005;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -7,7 +7,7 @@
 /// Settings of coordinator `number` of a fleet of `coordinators`.
 fn fleet(coordinators: usize, number: usize) -> Settings {
     let mut s = settings(vec![class("q", Idempotency::Always)]);
-    (s.gateways, s.index) = (coordinators as f64, number as f64);
+    (s.coordinators, s.index) = (coordinators as f64, number as f64);
     s.reports_cost = true;
     s
 }
@@ -222,7 +222,7 @@
 #[test]
 fn draining_engine_gets_no_requests_and_only_idempotent_ones_are_retried() {
     let mut s = settings(vec![class("safe", Idempotency::Always), class("once", Idempotency::Never)]);
-    s.gateways = 200.0;
+    s.coordinators = 200.0;
     let mut h = Harness::new(s, &["e1"]);
     h.query_with(Query { class: 0, ..query("safe", 20.0) });
     h.wait(0.1);
