--- a/benches/listeners.rs
+++ b/benches/listeners.rs
@@ -9,7 +9,7 @@
 #[path = "../tests/standin/mod.rs"]
 mod standin;
 
-use daemon::{config_told, Daemon};
+use daemon::{config_with_directory, Daemon};
 use hdrhistogram::Histogram;
 use standin::{engines, Client, Engine};
 use std::time::Instant;
@@ -21,7 +21,7 @@
 
 fn start(engines: &[Engine], file: Option<&str>) -> Daemon {
     let known: Vec<_> = engines.iter().map(|e| (e.id.as_str(), e.address)).collect();
-    let config = config_told(&known);
+    let config = config_with_directory(&known);
     let files: Vec<_> = file.iter().map(|text| ("bodies.toml", text.to_string())).collect();
     Daemon::start(&config, &files, None)
 }
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -93,7 +93,7 @@
     let doors = |fleet: &Fleet| -> Vec<SocketAddr> {
         fleet.addresses[3..].iter().map(|doors| doors["http"]).collect()
     };
-    let config = |at: usize| daemon::config_told(&known).replace("\"n1\"", &format!("\"c{at}\""));
+    let config = |at: usize| daemon::config_with_directory(&known).replace("\"n1\"", &format!("\"c{at}\""));
     let plain = Fleet::start(program(), 9, "http", "store", |at, _| vec![("config.json".into(), config(at))]);
     let without = load(doors(&plain), seconds, 200.0);
     drop(plain);
@@ -137,7 +137,7 @@
     use dahliaspoke_test_harness::queries::EngineBehaviour::{Fail, Full, Reset, Serve};
     let engines = StubEngines::start(4);
     let known: Vec<(&str, SocketAddr)> = engines.list.iter().map(|(id, at)| (id.as_str(), *at)).collect();
-    let config = |at: usize| daemon::config_told(&known).replace("\"n1\"", &format!("\"c{at}\""));
+    let config = |at: usize| daemon::config_with_directory(&known).replace("\"n1\"", &format!("\"c{at}\""));
     let mut fleet = start_with(3, 6, config);
     let doors: Vec<SocketAddr> = fleet.addresses[3..].iter().map(|doors| doors["http"]).collect();
     let (audit, over) = (QueryAudit::default(), AtomicBool::new(false));
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -30,7 +30,7 @@
 fn start(engines: &[Engine], file: &str, file_size: Option<u64>) -> Daemon {
     let known: Vec<(&str, SocketAddr)> = engines.iter().map(|e| (e.id.as_str(), e.address)).collect();
     // Idle connections to engines go soon: at the end none may be left.
-    let config = config_told(&known).replace("\"connIdle\":15", "\"connIdle\":1");
+    let config = config_with_directory(&known).replace("\"connIdle\":15", "\"connIdle\":1");
     let files = [("bodies.toml", file.to_string())];
     match file_size {
         None => Daemon::start(&config, &files, None),
@@ -263,7 +263,7 @@
     daemon.child.kill().expect("killed");
     daemon.child.wait().expect("it ends");
     assert!(daemon.files("bodies").iter().all(|name| name == "bodies.lock"), "{:?}", daemon.files("bodies"));
-    let daemon = daemon.again();
+    let daemon = daemon.restart();
     ledger.silent.store(false, Ordering::SeqCst);
     let mut client = Client::new(&daemon);
     client.head("load", 2, true, body.len()).expect("sent");
@@ -343,7 +343,7 @@
     // A listener that takes the connection and reads nothing.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let config = config_told(&[("e0", address)]);
+    let config = config_with_directory(&[("e0", address)]);
     let daemon = Daemon::start(&config, &[("bodies.toml", NOTHING.into())], None);
     let mut client = Client::new(&daemon);
     client.head("load", 1, true, 64 * MB).expect("sent");
--- a/tests/daemon/mod.rs
+++ b/tests/daemon/mod.rs
@@ -24,12 +24,12 @@
  "rules":{"drainGrace":1,"cold":15,"coldShare":0.33,"fallMultiple":3,"overloadFor":3}}"#;
 
 /// An engine's listener and the id it goes by.
-pub struct Named {
+pub struct EngineSocket {
     pub id: String,
     pub listener: TcpListener,
 }
 
-impl Named {
+impl EngineSocket {
     pub fn new(id: &str) -> Self {
         Self { id: id.into(), listener: TcpListener::bind("127.0.0.1:0").expect("a port") }
     }
@@ -93,7 +93,7 @@
 }
 
 /// A configuration that knows these engines, with a directory that goes on telling of them.
-pub fn config_told(engines: &[(&str, SocketAddr)]) -> String {
+pub fn config_with_directory(engines: &[(&str, SocketAddr)]) -> String {
     config(engines, directory(engines))
 }
 
@@ -133,7 +133,7 @@
     }
 
     /// Starts it again with what it has left behind.
-    pub fn again(mut self) -> Self {
+    pub fn restart(mut self) -> Self {
         let folder = std::mem::take(&mut self.folder);
         drop(self);
         Self::run(folder, None, "")
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -2,7 +2,7 @@
 
 mod daemon;
 
-use daemon::{config, config_told, names, Daemon, Named, PATIENCE};
+use daemon::{config, config_with_directory, names, Daemon, EngineSocket, PATIENCE};
 use rustix::process::{getrlimit, prlimit, Pid, Resource, Rlimit};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -22,7 +22,7 @@
 #[test]
 fn engines_and_the_shutdown_get_theirs_while_idle_clients_fill_their_part() {
     // The directory never answers.
-    let (engine, names) = (Named::new("e1"), names());
+    let (engine, names) = (EngineSocket::new("e1"), names());
     let config = config(&[("e1", engine.address())], names.local_addr().expect("bound"));
     let mut daemon = Daemon::start(&config, &[], None);
     // More than it has places for; none of them says anything.
@@ -70,8 +70,8 @@
 
 #[test]
 fn without_a_descriptor_for_a_dial_a_call_shares_a_connection_or_is_refused_at_once() {
-    let engine = Named::new("e1");
-    let config = config_told(&[("e1", engine.address())]);
+    let engine = EngineSocket::new("e1");
+    let config = config_with_directory(&[("e1", engine.address())]);
     let daemon = Daemon::start(&config, &[], None);
     let (mut a, mut b) = (connected(&daemon), connected(&daemon));
     assert!(answers(&mut a) && answers(&mut b));
@@ -97,8 +97,8 @@
 
 #[test]
 fn a_client_that_rests_makes_room_where_the_system_has_no_descriptor() {
-    let engine = Named::new("e1");
-    let config = config_told(&[("e1", engine.address())]);
+    let engine = EngineSocket::new("e1");
+    let config = config_with_directory(&[("e1", engine.address())]);
     let daemon = Daemon::start(&config, &[], None);
     let mut crowd: Vec<TcpStream> = (0..20).map(|_| connected(&daemon)).collect();
     assert!(crowd.iter_mut().all(answers));
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -63,7 +63,7 @@
     daemon: Option<Daemon>,
     old: Option<Daemon>,
     held: Option<TcpListener>,
-    engines: HashMap<String, Named>,
+    engines: HashMap<String, EngineSocket>,
     ports: HashMap<String, u16>,
     streams: HashMap<String, TcpStream>,
     names: std::net::UdpSocket,
@@ -205,7 +205,7 @@
             ("start", _) => {
                 let parts: Vec<&str> = rest.split(' ').collect();
                 let listens = parts.iter().filter(|part| part.starts_with(['e', 'p']) || **part == "consul");
-                let named = if parts.contains(&"narrow") { Named::narrow } else { Named::new };
+                let named = if parts.contains(&"narrow") { EngineSocket::narrow } else { EngineSocket::new };
                 self.engines = listens.map(|id| (id.to_string(), named(id))).collect();
                 self.ports = self.engines.iter().map(|(id, e)| (id.clone(), e.address().port())).collect();
                 if parts.contains(&"patient") {
@@ -244,7 +244,7 @@
                 }
                 if parts.contains(&"store") {
                     let peers = self.engines.values().filter(|e| e.id.starts_with('p'));
-                    let address = |p: &Named| format!("{} = \"{}\"", p.id, p.address());
+                    let address = |p: &EngineSocket| format!("{} = \"{}\"", p.id, p.address());
                     let list = peers.map(address).collect::<Vec<_>>().join(", ");
                     // One that has members to watch is none itself.
                     let own =
@@ -299,7 +299,7 @@
             }
             ("stalls", _) => self.daemon.as_ref().expect("started").stalls(rest),
             ("spoils", _) => self.daemon.as_ref().expect("started").configure("{"),
-            ("again", _) => self.daemon = self.daemon.take().map(Daemon::again),
+            ("again", _) => self.daemon = self.daemon.take().map(Daemon::restart),
             ("counts", _) => self.daemon.as_ref().expect("started").counts(rest),
             ("line", _) => drop(self.daemon.as_ref().expect("started").line(rest)),
             ("exit", code) => {
--- a/tests/leavers.rs
+++ b/tests/leavers.rs
@@ -5,7 +5,7 @@
 
 mod daemon;
 
-use daemon::{config_told, Daemon, Named, PATIENCE};
+use daemon::{config_with_directory, Daemon, EngineSocket, PATIENCE};
 use dahliaspoke_simulator::standin::read_command;
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
@@ -52,9 +52,9 @@
 
 /// The times from a client's end to each later attempt, and how many clients there were.
 fn play(bursts: u64, clients: u64) -> (Vec<Duration>, u64) {
-    let engines = [Named::new("e1"), Named::new("e2"), Named::new("e3")];
+    let engines = [EngineSocket::new("e1"), EngineSocket::new("e2"), EngineSocket::new("e3")];
     let known: Vec<(&str, SocketAddr)> = engines.iter().map(|e| (e.id.as_str(), e.address())).collect();
-    let daemon = Daemon::start(&config_told(&known), &[], None);
+    let daemon = Daemon::start(&config_with_directory(&known), &[], None);
     let (reached, door) = (Reached::default(), daemon.http.expect("it listens"));
     for engine in engines {
         let reached = reached.clone();
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -122,7 +122,7 @@
         now.serial = 1;
         now.ahead = former;
     });
-    site.daemon = site.daemon.again();
+    site.daemon = site.daemon.restart();
     site.until_served_by_drains();
     site.drain();
     site.until_drained();
@@ -153,7 +153,7 @@
         now.serial = 1;
         now.ahead_as_response = vec![high];
     });
-    site.daemon = site.daemon.again();
+    site.daemon = site.daemon.restart();
     site.until_served_by_drains();
     site.directory.change(|now| now.ahead_as_response.clear());
     site.drain();
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -5,7 +5,7 @@
 
 mod daemon;
 
-use daemon::{config_told, Daemon, Named, PATIENCE};
+use daemon::{config_with_directory, Daemon, EngineSocket, PATIENCE};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -21,10 +21,10 @@
 }
 
 /// Kills and starts the program so often while clients come without pause. From each start to its first yes.
-fn restart(times: usize, clients: u64) -> Vec<Duration> {
-    let engine = Named::new("e1");
+fn measure_restarts(times: usize, clients: u64) -> Vec<Duration> {
+    let engine = EngineSocket::new("e1");
     let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let config = config_told(&[("e1", engine.address())]);
+    let config = config_with_directory(&[("e1", engine.address())]);
     let config = config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{free}\""));
     let mut daemon = Daemon::start(&config, &[], None);
     let (stop, number) = (AtomicBool::new(false), AtomicU64::new(0));
@@ -44,7 +44,7 @@
         let mut took = Vec::new();
         for _ in 0..times {
             let begun = Instant::now();
-            daemon = daemon.again();
+            daemon = daemon.restart();
             while !ask(free, "GET /_health HTTP/1.1\r\n\r\n", b"HTTP/1.1 200") {
                 assert!(begun.elapsed() < PATIENCE, "it does not come up");
             }
@@ -57,13 +57,13 @@
 
 #[test]
 fn it_comes_up_under_load_with_the_directory_silent() {
-    assert_eq!(restart(5, 20).len(), 5);
+    assert_eq!(measure_restarts(5, 20).len(), 5);
 }
 
 #[test]
 #[ignore = "a campaign: it measures times"]
 fn how_long_a_restart_takes() {
-    let mut took = restart(100, 100);
+    let mut took = measure_restarts(100, 100);
     took.sort();
     println!("100 restarts: p50 {:?}, p90 {:?}, max {:?}", took[49], took[89], took[99]);
 }
--- a/tests/stored_formats.rs
+++ b/tests/stored_formats.rs
@@ -2,7 +2,7 @@
 
 mod daemon;
 
-use daemon::{config_told, Daemon, PATIENCE};
+use daemon::{config_with_directory, Daemon, PATIENCE};
 use dahliaspoke_test_harness::queries::StubEngines;
 use dahliaspoke_test_harness::until;
 use std::io::{Read, Write};
@@ -51,7 +51,7 @@
     let (in_maintenance, in_service) = (StubEngines::start(1), StubEngines::start(1));
     let engines = [("e1", in_maintenance.list[0].1), ("e2", in_service.list[0].1)];
     let copy_file = format!("cp '{MAINTENANCE}' \"$TMPDIR/maintenance.json\" &&");
-    let daemon = Daemon::start_with(&config_told(&engines), &[], &copy_file);
+    let daemon = Daemon::start_with(&config_with_directory(&engines), &[], &copy_file);
 
     let stats = administer(&daemon, "GET /stats");
     assert!(stats.contains("app.members=2\n"), "{stats}");
