--- a/src/daemon/admin_commands.rs
+++ b/src/daemon/admin_commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of the admin interface.
+//! Executes the commands received by the admin interface.
 
 use super::maintenance::MaintenanceChange;
 use super::shutdown::ShutdownState;
@@ -7,7 +7,7 @@
 use crate::net::Time;
 
 impl Daemon {
-    /// Carries out and answers every command that was received.
+    /// Executes and answers every command received.
     pub(super) fn answer_commands(&mut self, now: Time) {
         while let Some(call) = self.handlers.admin.as_mut().and_then(AdminInterface::next_call) {
             let response = self.execute(now, call.command);
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -7,13 +7,13 @@
 use dahliaspoke_body_store::BodyEvent;
 
 impl Daemon {
-    /// Forwards events until no part has one.
+    /// Forwards events until none is queued anywhere.
     pub(super) fn forward_events(&mut self, now: Time) {
         while self.forward_next_event(now) {}
     }
 
-    /// Forwards one event; false where there is none. Events of the body store come first: that a body is gone counts
-    /// before the outcome of its attempt.
+    /// Forwards one event; returns false if there is none. Body-store events are processed first, so that a
+    /// dropped body is known before its attempt's outcome is handled.
     fn forward_next_event(&mut self, now: Time) -> bool {
         if let Some(event) = self.next_body_event() {
             self.forward_body_event(now, &event);
@@ -47,7 +47,7 @@
 
     fn forward_listener_event(&mut self, now: Time, mut event: ListenerEvent) {
         if let ListenerEvent::Request(request) = &mut event {
-            // A client's time runs from when it sent the request, and that may have been before a suspension.
+            // The client's time limit runs from when it sent the request, possibly before a suspension.
             request.deadline -= now - self.suspend_detector.earliest_arrival(now);
             if matches!(self.shutdown, ShutdownState::Flushing { .. }) {
                 request.deadline = now; // it is rejected at once
--- a/src/daemon/endpoint_updates.rs
+++ b/src/daemon/endpoint_updates.rs
@@ -7,17 +7,17 @@
 use dahliaspoke::policy::{EngineEntry, EngineId, Lifecycle, ListScope};
 use std::collections::HashMap;
 
-/// The endpoint set as this process was last notified of it.
+/// The endpoint set as last reported to this process.
 #[derive(Default)]
 pub struct KnownEndpoints {
     current: EndpointSet,
-    /// Engines that have left the set, and when: one that restarts is not unknown meanwhile.
+    /// Engines that have left the set, and when. An engine that restarts stays known in the meantime.
     departed: HashMap<EngineId, Time>,
     lease_expired: bool,
 }
 
 impl KnownEndpoints {
-    /// Applies changed endpoints. Departures are forgotten after `retention` (s).
+    /// Applies changed endpoints. Departed engines are forgotten after `retention` (s).
     fn apply(&mut self, now: Time, changes: &[Endpoint], retention: Time) {
         self.current.apply_changes(changes.to_vec());
         let gone = changes.iter().filter(|endpoint| endpoint.entry.lifecycle == Lifecycle::Gone);
@@ -30,7 +30,7 @@
         self.current.get(engine)
     }
 
-    /// All endpoints in the set, in order of their ids.
+    /// All endpoints in the set, ordered by id.
     pub fn all(&self) -> Vec<Endpoint> {
         self.current.to_vec()
     }
@@ -40,26 +40,26 @@
         self.current.to_vec().is_empty()
     }
 
-    /// Whether an engine is in the set, or has left it lately.
+    /// Whether an engine is in the set or has left it recently.
     pub fn is_known(&self, engine: &EngineId) -> bool {
         self.current.get(engine).is_some() || self.departed.contains_key(engine)
     }
 
-    /// Whether the set is too old to be believed.
+    /// Whether the set is too old to be relied on.
     pub fn is_lease_expired(&self) -> bool {
         self.lease_expired
     }
 }
 
 impl Daemon {
-    /// Applies what discovery has found.
+    /// Applies the changes that discovery has found.
     pub(super) fn apply_discovered_changes(&mut self, now: Time) {
         if let Some(changes) = self.handlers.discovery.take_changes() {
             self.apply_endpoint_changes(now, ListScope::Changes, changes);
         }
     }
 
-    /// Applies changes of the endpoint set.
+    /// Applies changes to the endpoint set.
     pub(super) fn apply_endpoint_changes(&mut self, now: Time, scope: ListScope, changes: EndpointChanges) {
         let EndpointChanges { notified_at: notified, endpoints } = changes;
         self.endpoints.apply(now, &endpoints, self.limits.discovery.departed_retention);
@@ -67,8 +67,8 @@
         self.distribute_endpoints(now, notified, scope, endpoints);
     }
 
-    /// Writes the endpoint set to the store. A coordinator that knows of no endpoint has nothing to write: others may know
-    /// better.
+    /// Writes the endpoint set to the store. A coordinator that knows no endpoints writes nothing, so as not
+    /// to overwrite the set of one that does.
     fn publish_endpoints(&mut self, now: Time) {
         if self.endpoints.is_empty() {
             return;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Checks the lease on the endpoint set. Once it has expired, upstreams begin nothing, and all engines count as draining
-    /// here until discovery has confirmed a set.
+    /// Checks the lease on the endpoint set. Once it has expired, upstreams start no attempts, and the core
+    /// treats all engines as draining until discovery has confirmed a set.
     pub(super) fn check_lease(&mut self, now: Time) {
         let until = self.handlers.discovery.lease_expires_at();
         self.handlers.routes.set_lease_end(until);
@@ -87,12 +87,13 @@
         if expired == std::mem::replace(&mut self.endpoints.lease_expired, expired) {
             return;
         }
-        let state = if expired { "is too old: nothing begins" } else { "counts again" };
+        let state = if expired { "is too old: no attempt starts" } else { "is valid again" };
         tracing::info!(at = now, "the list of engines {state}");
         self.distribute_endpoints(now, now, ListScope::Changes, self.endpoints.all());
     }
 
-    /// Updates upstreams and core with these endpoints. `notified` is when the change counts as known.
+    /// Updates upstreams and core with these endpoints. `notified` is the time from which the change is
+    /// treated as known.
     pub(super) fn distribute_endpoints(
         &mut self,
         now: Time,
@@ -107,15 +108,15 @@
         self.core.update_engines(now, scope, entries, &mut self.handlers.routes.for_core());
     }
 
-    /// Updates the upstreams with an endpoint. One in maintenance drains, whatever discovery says, from when the maintenance
-    /// began. Returns the engine as the core is to know it.
+    /// Updates the upstreams with an endpoint. An engine in maintenance drains from the start of the
+    /// maintenance, whatever discovery reports. Returns the entry for the core.
     fn update_upstreams(&mut self, now: Time, notified: Time, mut endpoint: Endpoint) -> EngineEntry {
         let maintenance = self.maintenance.since(now, &endpoint.entry.id);
         let maintenance = maintenance.filter(|_| endpoint.entry.lifecycle == Lifecycle::Ready);
         if maintenance.is_some() {
             endpoint.entry.lifecycle = Lifecycle::Draining;
         }
-        // One that is gone is no longer in the set, but its attempts may be out.
+        // Upstreams are updated for departed engines as well: their attempts may still be in flight.
         self.handlers.routes.update_endpoint(now, maintenance.unwrap_or(notified), &endpoint);
         let mut entry = endpoint.entry;
         if entry.lifecycle != Lifecycle::Ready {
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon could not start, or could not go on.
+//! Why the daemon could not start or keep running.
 
 use crate::body_store::BodyStoreError;
 use crate::config::ConfigError;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A failure of the daemon's start or of its event loop. Each is told in one line, and the process exits.
+/// A failure at startup or in the event loop. It is reported in one line, and the process exits.
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// epoll failed.
@@ -20,17 +20,17 @@
     /// A listener for clients could not be opened.
     #[error("listen {address}: {source}")]
     Listen {
-        /// Where the configuration wants it.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
     /// The admin interface could not be opened.
     #[error("console {address}: {source}")]
     AdminInterface {
-        /// Where the configuration wants it.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
     /// The directory cannot be queried.
@@ -38,16 +38,16 @@
     Directory {
         /// The directory's address.
         address: SocketAddr,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The configuration, or a value of the store that stands in for it, is wrong.
+    /// The configuration, or a stored value that replaces part of it, is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The file of the `MySQL` listener is wrong.
+    /// The `MySQL` listener's configuration file is invalid.
     #[error(transparent)]
     Mysql(#[from] MysqlConfigError),
-    /// The file of the body store is wrong, or the body store could not be opened.
+    /// The body store's configuration file is invalid, or the body store could not be opened.
     #[error(transparent)]
     BodyStore(#[from] BodyStoreError),
     /// The replicated store could not be opened.
--- a/src/daemon/event_loop.rs
+++ b/src/daemon/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: waits for what is ready or due, lets the event handlers work, and applies what they received.
+//! The event loop: waits for ready descriptors and due timers, calls the event handlers, and applies what
+//! they received.
 
 use super::handlers::{self, Owner};
 use super::signals::Signal;
@@ -6,18 +7,20 @@
 use crate::net::{Ready, Time};
 use std::time::Duration;
 
-/// Interval between two polls while discovery is waited for after a suspension and other descriptors are ready.
+/// Interval between polls after a suspension, while discovery has not responded and other descriptors are
+/// ready.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Daemon {
-    /// Runs until a graceful shutdown has ended.
+    /// Runs until a graceful shutdown has completed.
     ///
     /// # Errors
-    /// Where epoll fails.
+    /// If epoll fails.
     pub fn run(mut self) -> Result<(), DaemonError> {
         let mut ready = Vec::new();
         loop {
-            // The process may be suspended between any two lines; what it then knows is old, and what waits comes first.
+            // The process may be suspended between any two lines. Its state is then out of date, and pending
+            // input is handled first.
             if self.was_suspended(None) {
                 self.catch_up(&mut ready)?;
                 self.handle_ready(&mut ready);
@@ -38,12 +41,13 @@
         }
     }
 
-    /// Waits until a descriptor is ready or the time has come.
+    /// Waits until a descriptor is ready or `until` is reached.
     fn wait(&self, until: Time, ready: &mut Vec<Ready>) -> Result<(), DaemonError> {
         self.poller.wait(self.clock.now(), until, ready).map_err(DaemonError::Poll)
     }
 
-    /// The earliest time at which something is due that no descriptor tells of. Every wait of the loop is computed here.
+    /// The earliest time at which a timer is due. All waits of the loop, except while catching up, end at
+    /// this time.
     fn next_deadline(&mut self) -> Time {
         let lease_end = self.handlers.discovery.lease_expires_at();
         let deadlines = [
@@ -56,7 +60,7 @@
         deadlines.into_iter().flatten().fold(self.handlers.next_deadline(), Time::min)
     }
 
-    /// Does whatever is due by now.
+    /// Runs all timers that are due.
     fn run_timers(&mut self, now: Time) {
         self.handlers.on_timer(now);
         self.apply_received(now);
@@ -66,7 +70,7 @@
         self.advance_shutdown(now);
     }
 
-    /// Handles the descriptors that are ready, in order of their priorities.
+    /// Handles the ready descriptors in priority order.
     fn handle_ready(&mut self, ready: &mut [Ready]) {
         let now = self.clock.now();
         ready.sort_by_key(|ready| handlers::priority(*ready));
@@ -96,15 +100,16 @@
         }
     }
 
-    /// Whether the process did not run for a while, though the loop waited until `deadline` at the most.
+    /// Whether the process was suspended, given that the loop waited until `deadline` at the latest.
     fn was_suspended(&mut self, deadline: Option<Time>) -> bool {
         let threshold = self.limits.event_loop.suspend_threshold;
         self.suspend_detector.check(self.clock.now(), deadline, threshold)
     }
 
-    /// After a suspension engines may have drained or gone: queries the directory before anything is admitted or sent, for a
-    /// bounded time, since one that does not answer must not hold up all else. Leaves in `ready` what is ready then: a wait
-    /// that was broken off by the suspension has reported nothing.
+    /// Queries the directory before anything is admitted or sent, since engines may have drained or departed
+    /// during the suspension. The wait is bounded, so that an unresponsive directory does not block
+    /// everything else. Fills `ready` with the descriptors ready afterwards: a wait interrupted by the
+    /// suspension has reported none.
     fn catch_up(&mut self, ready: &mut Vec<Ready>) -> Result<(), DaemonError> {
         let now = self.clock.now();
         tracing::info!(at = now, "the process was suspended");
@@ -123,7 +128,8 @@
         }
     }
 
-    /// Lets discovery alone handle what is ready. All else stays ready, and the answer takes a moment.
+    /// Handles discovery's descriptors only. Sleeps briefly if none of them is ready: the other descriptors
+    /// stay ready, so that polling again would return at once.
     fn receive_discovery(&mut self, now: Time, ready: &[Ready]) {
         let discovery = Owner::Discovery.number();
         match ready.iter().find(|ready| ready.token.owner == discovery) {
--- a/src/daemon/handlers.rs
+++ b/src/daemon/handlers.rs
@@ -1,4 +1,4 @@
-//! The event handlers of the daemon, each registered once with its owner number and its priority.
+//! The daemon's event handlers, each registered once with its owner number and priority.
 
 use super::routes::Routes;
 use super::signals::Signals;
@@ -8,7 +8,7 @@
 use crate::net::{EventHandler, Ready, Time};
 use crate::store::Store;
 
-/// Who owns a descriptor: the owner number in its token.
+/// The owner of a descriptor, identified by the owner number in its token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Owner {
@@ -39,24 +39,24 @@
     }
 }
 
-/// In which order the descriptors that are ready in one iteration of the loop are handled. What the directory says, and
-/// that clients have gone, counts before anything is sent on.
+/// The order in which the descriptors ready in one iteration of the loop are handled. Endpoint changes and
+/// client disconnects are applied before anything is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Before all else.
+    /// Before everything else.
     Signals,
-    /// Changes of the endpoint set.
+    /// Changes to the endpoint set.
     Discovery,
-    /// Clients' requests and departures.
+    /// Clients' requests and disconnects.
     Listeners,
-    /// After those.
+    /// After all of the above.
     Others,
 }
 
-/// Finds a handler; `None` where the deployment has none of its kind.
+/// Finds a handler; `None` if the deployment has no handler of this kind.
 type Find = for<'a> fn(&'a mut Handlers) -> Option<&'a mut (dyn EventHandler + 'a)>;
 
-/// How the loop reaches one handler.
+/// How the loop finds one handler.
 struct Registration {
     owner: Owner,
     priority: Priority,
@@ -116,7 +116,7 @@
     },
 ];
 
-/// The registration that an owner number in a token belongs to.
+/// The registration with this owner number.
 fn registration(owner: u8) -> Option<&'static Registration> {
     REGISTRATIONS.iter().find(|registration| registration.owner.number() == owner)
 }
@@ -134,16 +134,16 @@
     pub discovery: Box<dyn Discovery>,
     /// Listeners and upstreams.
     pub routes: Routes,
-    /// Large request bodies, where the deployment keeps them.
+    /// The store of large request bodies, if the deployment has one.
     pub body_store: Option<body_store::SharedBodyStore>,
-    /// The replicated store, where the deployment has one.
+    /// The replicated store, if the deployment has one.
     pub store: Option<Store>,
-    /// The admin interface, where the configuration names an address for it.
+    /// The admin interface, if the configuration has an address for it.
     pub admin: Option<AdminInterface>,
 }
 
 impl Handlers {
-    /// The earliest time at which a handler has something to do that no descriptor tells of; infinity for none.
+    /// The earliest time at which a handler's timer is due; infinity if none is set.
     pub fn next_deadline(&mut self) -> Time {
         let mut earliest = Time::INFINITY;
         for registration in &REGISTRATIONS {
@@ -153,7 +153,7 @@
         earliest
     }
 
-    /// Lets every handler do what is due by now.
+    /// Runs the due timers of every handler.
     pub fn on_timer(&mut self, now: Time) {
         for registration in &REGISTRATIONS {
             if let Some(handler) = (registration.find)(self) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Tells the owner of a descriptor that it is ready.
+    /// Notifies the owner of a descriptor that it is ready.
     pub fn on_ready(&mut self, now: Time, ready: Ready) {
         let handler = registration(ready.token.owner).and_then(|registration| (registration.find)(self));
         if let Some(handler) = handler {
--- a/src/daemon/maintenance.rs
+++ b/src/daemon/maintenance.rs
@@ -1,4 +1,5 @@
-//! Engines in maintenance: set over the admin interface of this process or of one beside it, or in the store.
+//! Engines in maintenance: set through the admin interface of this process or of the other process of an
+//! upgrade, or in the store.
 
 use super::Daemon;
 use crate::admin::Response;
@@ -8,32 +9,32 @@
 use dahliaspoke::policy::{EngineId, ListScope};
 use std::collections::BTreeSet;
 
-/// The engines in maintenance, whoever put them there.
+/// The engines in maintenance, from all sources.
 pub struct Maintenance {
-    /// By admin interfaces; a file holds it for the process beside this one.
+    /// Set through admin interfaces, and shared through a file with the other process of an upgrade.
     local: MaintenanceSet,
-    /// By the store.
+    /// Set in the store.
     stored: BTreeSet<EngineId>,
-    /// When to look whether another process has changed the file.
+    /// When to check next whether another process has changed the file.
     poll_at: Time,
 }
 
-/// What an operator wants of an engine's maintenance.
+/// An operator's change to an engine's maintenance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceChange {
-    /// The engine is taken out of service.
+    /// Takes the engine out of service.
     Start,
-    /// It may serve again.
+    /// Returns the engine to service.
     End,
 }
 
 impl Maintenance {
-    /// Starts from what an earlier process has left in the file.
+    /// Starts from the state that an earlier process has stored in the file.
     pub fn open(now: Time) -> Self {
         Self { local: MaintenanceSet::open(), stored: BTreeSet::new(), poll_at: now }
     }
 
-    /// When the file is polled next.
+    /// When the file is to be polled next.
     pub fn next_deadline(&self) -> Time {
         self.poll_at
     }
@@ -45,12 +46,13 @@
 
     /// Since when an engine is in maintenance.
     pub fn since(&self, now: Time, engine: &EngineId) -> Option<Time> {
-        // The file may be of a process whose clock is ahead of this one's: nothing was changed later than now.
+        // The clock of the process that wrote the file may be ahead of this one's: a start is never later
+        // than now.
         let local = self.local.since(engine).map(|since| since.min(now));
         local.or_else(|| self.stored.contains(engine).then_some(now))
     }
 
-    /// Replaces what the store says; returns the engines that this changes.
+    /// Replaces the engines set in the store; returns those whose state this changes.
     fn replace_stored(&mut self, stored: BTreeSet<EngineId>) -> Vec<EngineId> {
         let changed = self.stored.symmetric_difference(&stored).cloned().collect();
         self.stored = stored;
@@ -58,7 +60,7 @@
     }
 }
 
-/// The engines that the store has in maintenance.
+/// The engines that are in maintenance according to the store.
 fn stored_engines(store: &Store) -> BTreeSet<EngineId> {
     store
         .entries_with_prefix(store::MAINTENANCE_PREFIX)
@@ -68,7 +70,7 @@
 }
 
 impl Daemon {
-    /// Polls the file, when that is due.
+    /// Polls the file if that is due.
     pub(super) fn poll_maintenance(&mut self, now: Time) {
         if self.maintenance.poll_at <= now {
             self.maintenance.poll_at = now + self.limits.discovery.maintenance_poll_interval;
@@ -76,23 +78,24 @@
         }
     }
 
-    /// Applies what the process beside this one has changed.
+    /// Applies the changes that the other process has written to the file.
     fn read_maintenance(&mut self, now: Time) {
         match self.maintenance.local.poll() {
             Ok(changed) => self.apply_maintenance(now, changed),
-            Err(error) => tracing::info!(at = now, "maintenance is not kept: {error}"),
+            Err(error) => tracing::info!(at = now, "cannot write the maintenance file: {error}"),
         }
     }
 
-    /// Applies what the store says.
+    /// Applies the maintenance set in the store.
     pub(super) fn apply_stored_maintenance(&mut self, now: Time) {
         let Some(store) = &self.handlers.store else { return };
         let changed = self.maintenance.replace_stored(stored_engines(store));
         self.apply_maintenance(now, changed);
     }
 
-    /// Updates upstreams and core where the maintenance of these engines may have changed. An engine that comes back was
-    /// restarted meanwhile, perhaps just now, and discovery may tell that late: it counts as started now.
+    /// Updates upstreams and core after the maintenance of these engines may have changed. An engine that
+    /// returns to service was restarted in the meantime, perhaps just now, and discovery may report it late:
+    /// its start time is set to now.
     fn apply_maintenance(&mut self, now: Time, engines: Vec<EngineId>) {
         for engine in engines {
             let in_maintenance = self.maintenance.contains(&engine);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Carries out what an operator wants.
+    /// Executes an operator's change.
     pub(super) fn change_maintenance(
         &mut self,
         now: Time,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,22 +1,26 @@
-//! The daemon: one thread with an event loop that joins listeners, core, upstreams, discovery, the stores and the admin
-//! interface.
+//! The daemon: one thread with an event loop that connects listeners, core, upstreams, discovery, the stores
+//! and the admin interface.
 //!
-//! - [`startup`] builds the parts, [`handlers`] registers those that have descriptors or timers, [`event_loop`] runs them;
+//! - [`startup`] builds the components, [`handlers`] registers those with descriptors or timers,
+//!   [`event_loop`] runs them;
 //! - [`dispatch`] forwards events between listeners, core and upstreams, which [`routes`] groups;
-//! - [`endpoint_updates`], [`store_updates`], [`maintenance`], [`reload`] and [`signals`] apply what comes from outside;
-//! - [`admin_commands`] and [`statistics`] answer operators; [`shutdown`] ends it.
+//! - [`endpoint_updates`], [`store_updates`], [`maintenance`], [`reload`] and [`signals`] apply external
+//!   changes;
+//! - [`admin_commands`] and [`statistics`] answer operators; [`shutdown`] stops the daemon.
 //!
 //! One iteration of the event loop:
 //!
-//! 1. the timers of all handlers, then what the handlers received for the daemon itself: signals, discovery, the lease,
-//!    the store, operators' commands, in this order;
-//! 2. the daemon's own timers: maintenance, a reload that is retried, the core's timers, the next step of a shutdown;
-//! 3. forwarding of events until there are none: of the body store, else of a listener, else of an upstream;
-//! 4. whether the process may exit;
-//! 5. the wait, until the earliest deadline of all these;
-//! 6. descriptors that are ready, by [`handlers::Priority`], each followed by steps 1 (without timers) and 3.
+//! 1. the timers of all handlers, then what the handlers received for the daemon itself: signals, discovery,
+//!    the lease, the store, operators' commands, in this order;
+//! 2. the daemon's own timers: maintenance, a reload to be retried, the core's timers, the next step of a
+//!    shutdown;
+//! 3. forwarding of events until none is left: of the body store, else of a listener, else of an upstream;
+//! 4. the check whether the process may exit;
+//! 5. the wait, until the earliest of all deadlines;
+//! 6. the ready descriptors, by [`handlers::Priority`], each followed by steps 1 (without timers) and 3.
 //!
-//! A suspension of the process is noticed before step 1 and after step 5; the loop then catches up with discovery first.
+//! A suspension of the process is detected before step 1 and after step 5; the loop then catches up with
+//! discovery first.
 
 mod admin_commands;
 mod dispatch;
@@ -46,20 +50,21 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The coordinator as a process: all of its parts, and the state that belongs to none of them.
+/// The coordinator process: all of its components, and the state that belongs to none of them.
 pub struct Daemon {
     clock: Clock,
     suspend_detector: SuspendDetector,
     poller: Rc<Poller>,
     limits: Rc<Limits>,
     core: Core,
-    /// By position in the settings.
+    /// Indexed by position in the settings.
     class_names: Vec<Arc<str>>,
     handlers: Handlers,
     endpoints: KnownEndpoints,
     maintenance: Maintenance,
     reload: ReloadState,
-    /// The platform holds the clients' listening socket, and upgrades run two processes side by side.
-    in_pairs: bool,
+    /// The listening socket for clients is inherited from the platform, and an upgrade runs two processes
+    /// that share it.
+    shares_listener: bool,
     shutdown: ShutdownState,
 }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,23 +1,24 @@
-//! The configuration is read again after SIGHUP. The directory's address counts at once, the rest from the next start on.
+//! Reloads the configuration after SIGHUP. The directory's address takes effect at once, the rest at the next
+//! start.
 
 use super::Daemon;
 use crate::config::Config;
 use crate::net::{Backoff, Time};
 
-/// Delay before a configuration that could not be read is read again for the first time (s).
+/// Delay before the first retry of a reload that failed (s).
 const FIRST_RETRY_DELAY: Time = 0.05;
-/// The longest delay between two retries (s).
+/// Maximum delay between retries (s).
 const MAX_RETRY_DELAY: Time = 1.0;
 
-/// Whether a configuration is waiting to be read again.
+/// Whether a failed reload is to be retried.
 #[derive(Default)]
 pub enum ReloadState {
-    /// None is.
+    /// No retry is pending.
     #[default]
     Idle,
     /// The latest attempt failed.
     Retrying {
-        /// When it is read again.
+        /// When the next attempt is due.
         at: Time,
         /// The delays between attempts.
         backoff: Backoff,
@@ -25,7 +26,7 @@
 }
 
 impl ReloadState {
-    /// When the configuration is read again.
+    /// When the next retry is due.
     pub fn next_deadline(&self) -> Option<Time> {
         match self {
             ReloadState::Idle => None,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The delays of the retries that are going on, or of new ones.
+    /// The backoff of the retries in progress, or a new one.
     fn into_backoff(self) -> Backoff {
         match self {
             ReloadState::Idle => Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY),
@@ -43,21 +44,21 @@
 }
 
 impl Daemon {
-    /// Reads the configuration after SIGHUP. The newest file counts: retries of an earlier one end.
+    /// Reads the configuration after SIGHUP. Retries of an earlier reload are dropped.
     pub(super) fn start_reload(&mut self, now: Time) {
         self.reload = ReloadState::Idle;
         self.read_configuration(now);
     }
 
-    /// Reads the configuration once more, when that is due.
+    /// Retries a failed reload if that is due.
     pub(super) fn retry_reload(&mut self, now: Time) {
         if self.reload.next_deadline().is_some_and(|at| at <= now) {
             self.read_configuration(now);
         }
     }
 
-    /// Applies the configuration. One that cannot be read may be half written, or there may be no descriptor: it is read
-    /// again until it can.
+    /// Reads and applies the configuration. A failure may be temporary (the file is half written, or no
+    /// descriptor is free), so it is retried until it succeeds.
     fn read_configuration(&mut self, now: Time) {
         let mut backoff = std::mem::take(&mut self.reload).into_backoff();
         match Config::load() {
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -1,4 +1,5 @@
-//! The routes of this deployment, and what applies to all of their listeners or to all of their upstreams.
+//! The routes of this deployment, and the operations that apply to all of their listeners or all of their
+//! upstreams.
 
 use crate::core::{ListenerEvent, Route, Upstream, UpstreamEvent};
 use crate::discovery::Endpoint;
@@ -23,18 +24,18 @@
     pub upstream: MysqlUpstream,
 }
 
-/// Listeners and the upstreams that run their requests.
+/// Listeners, and the upstreams that run their requests.
 pub struct Routes {
     /// The platform's listener.
     pub http: HttpListener,
     /// The platform's upstream.
     pub resp: RespUpstream,
-    /// The second route, where the deployment has one.
+    /// The second route, if the deployment has one.
     pub mysql: Option<MysqlRoute>,
 }
 
 impl Routes {
-    /// All routes for the core, each at the position of its number.
+    /// All routes for the core, indexed by route number.
     pub fn for_core(&mut self) -> Vec<Route<'_>> {
         let mut routes = vec![Route { listener: &mut self.http, upstream: &mut self.resp }];
         routes.extend(
@@ -55,7 +56,7 @@
         self.resp.next_event().or_else(|| mysql.as_mut().and_then(|route| route.upstream.next_event()))
     }
 
-    /// A reader of a body may find bytes: lets the upstream that has it go on.
+    /// A body reader may have data: resumes the upstream that uses it.
     pub fn wake_reader(&mut self, now: Time, reader: u64) {
         self.resp.continue_body(now, reader);
         if let Some(mysql) = &mut self.mysql {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The state of a body has changed: lets the listener that receives it go on.
+    /// The state of a body has changed: resumes the listener that receives it.
     pub fn wake_upload(&mut self, now: Time, body: BodyId, wake: &BodyEvent) {
         self.http.on_body_change(now, body, wake);
         if let Some(mysql) = &mut self.mysql {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// No upload begins after this time.
+    /// No upload is accepted after this time.
     pub fn accept_uploads_until(&mut self, until: Time) {
         self.http.set_upload_cutoff(until);
         if let Some(mysql) = &mut self.mysql {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// No attempt begins after this time, when the lease on the endpoint set expires.
+    /// No attempt starts after this time, when the lease on the endpoint set expires.
     pub fn set_lease_end(&mut self, until: Time) {
         self.resp.set_lease_end(until);
         if let Some(mysql) = &mut self.mysql {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Updates one engine at the upstreams. `notified` is when the change counts as known.
+    /// Updates one engine at the upstreams. `notified` is the time from which the change is treated as known.
     pub fn update_endpoint(&mut self, now: Time, notified: Time, endpoint: &Endpoint) {
         let Endpoint { entry, address } = endpoint;
         self.resp.update_engine(now, notified, &entry.id, entry.lifecycle, *address);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether every answer is written, and no body is coming in.
+    /// Whether every answer has been written and no body is being received.
     pub fn is_idle(&mut self) -> bool {
         self.http.is_drained() && self.mysql.as_mut().is_none_or(|mysql| mysql.listener.is_drained())
     }
@@ -107,7 +108,7 @@
         self.http.is_empty() && self.mysql.as_ref().is_none_or(|mysql| mysql.listener.is_empty())
     }
 
-    /// Attempts that were written whole to engines.
+    /// Attempts that were written completely to engines.
     pub fn attempts_written(&self) -> u64 {
         self.resp.sent_attempts() + self.mysql.as_ref().map_or(0, |mysql| mysql.upstream.sent_attempts())
     }
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -1,36 +1,36 @@
-//! Graceful shutdown: SIGTERM or SIGINT starts it, and the steps follow by time.
+//! Graceful shutdown: SIGTERM or SIGINT starts it, and its further steps are driven by timers.
 
 use super::handlers::{self, Priority};
 use super::{Daemon, DaemonError};
 use crate::failpoints;
 use crate::net::{Ready, Time};
 
-/// How far a graceful shutdown is.
+/// The progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ShutdownState {
-    /// No shutdown has begun.
+    /// No shutdown has been started.
     Serving,
-    /// Clients are still served, since they may not know yet.
+    /// Clients are still served, since they may not know of the shutdown yet.
     Draining {
         /// When idle connections are closed.
         until: Time,
-        /// When open requests are given up, with an answer.
+        /// When open requests are aborted, with an answer.
         force_at: Time,
     },
-    /// Nothing more is expected: connections are closed as they become idle.
+    /// No further requests are expected: connections are closed as they become idle.
     Closing {
-        /// When open requests are given up, with an answer.
+        /// When open requests are aborted, with an answer.
         force_at: Time,
     },
-    /// All requests were given up, and their answers are being written.
+    /// All requests were aborted, and their answers are being written.
     Flushing {
-        /// Until when clients may receive them.
+        /// The deadline for writing the answers.
         until: Time,
     },
 }
 
 impl ShutdownState {
-    /// When the next step is due by itself.
+    /// When the next step is due at the latest.
     pub fn next_deadline(self) -> Option<Time> {
         match self {
             ShutdownState::Serving => None,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// When open requests are given up, while that is still to come.
+    /// When open requests are to be aborted; none if no shutdown has started or they were aborted already.
     fn force_at(self) -> Option<Time> {
         match self {
             ShutdownState::Draining { force_at, .. } | ShutdownState::Closing { force_at } => Some(force_at),
@@ -50,18 +50,18 @@
 }
 
 impl Daemon {
-    /// Starts a shutdown, unless there is one already.
+    /// Starts a shutdown, unless one has been started already.
     pub(super) fn start_shutdown(&mut self, now: Time) {
         if self.shutdown != ShutdownState::Serving {
             return;
         }
-        // The platform goes on sending for a while: what comes is still served.
+        // The platform keeps sending for a while: new requests are still served.
         let until = now + self.limits.shutdown.grace_period;
         self.shutdown = ShutdownState::Draining { until, force_at: now + self.limits.shutdown.force_after };
         self.handlers.routes.accept_uploads_until(until);
-        if self.in_pairs {
-            // The other process has the listening socket as well, and accepts what comes.
-            tracing::info!(at = now, "leaving: connections go to the process beside");
+        if self.shares_listener {
+            // The other process shares the listening socket and accepts new connections.
+            tracing::info!(at = now, "leaving: new connections go to the other process");
             self.handlers.routes.http.stop_accepting();
         }
         self.handlers.discovery.deregister(now);
@@ -70,34 +70,34 @@
     /// Takes the next steps of a shutdown that are due.
     pub(super) fn advance_shutdown(&mut self, now: Time) {
         if let ShutdownState::Draining { until, force_at } = self.shutdown {
-            // Where another process accepts what comes, this one need not stay for it.
-            let unused = self.in_pairs && self.handlers.routes.is_empty();
+            // If another process accepts new connections, this one need not wait for any.
+            let unused = self.shares_listener && self.handlers.routes.is_empty();
             if now >= until || unused {
                 self.close_idle_connections(now, force_at);
             }
         }
         if self.shutdown.force_at().is_some_and(|force_at| now >= force_at) {
-            self.force_answers(now);
+            self.abort_open_requests(now);
         }
     }
 
     fn close_idle_connections(&mut self, now: Time, force_at: Time) {
         self.shutdown = ShutdownState::Closing { force_at };
-        if !self.in_pairs {
+        if !self.shares_listener {
             self.handlers.routes.http.begin_shutdown(now);
         }
     }
 
-    fn force_answers(&mut self, now: Time) {
+    fn abort_open_requests(&mut self, now: Time) {
         self.shutdown = ShutdownState::Flushing { until: now + self.limits.shutdown.flush_timeout };
         self.core.shut_down(now, &mut self.handlers.routes.for_core());
     }
 
-    /// Whether the process may exit: every answer is written, and nothing that clients have sent is unread. New connections
-    /// are accepted to the end: one that the kernel accepted, and nobody here, would be lost.
+    /// Whether the process may exit: every answer has been written, and no input from clients is unread. New
+    /// connections are accepted until the end: one that only the kernel has accepted would be lost.
     ///
     /// # Errors
-    /// Where epoll fails.
+    /// If epoll fails.
     pub(super) fn may_exit(&mut self, ready: &mut Vec<Ready>) -> Result<bool, DaemonError> {
         match self.shutdown {
             ShutdownState::Serving | ShutdownState::Draining { .. } => return Ok(false),
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -1,4 +1,5 @@
-//! POSIX signals as events of the loop: each handler writes one byte into a socket pair that the poller watches.
+//! POSIX signals as event-loop events: each signal handler writes one byte into a socket pair watched by the
+//! poller.
 
 use super::handlers::Owner;
 use crate::net::{EventHandler, Poller, Ready, Time, Token};
@@ -7,7 +8,7 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// Bytes read from a socket pair at once. It only wakes the loop; how many bytes it holds does not matter.
+/// Bytes read from a socket pair at once. It only wakes the loop; the number of bytes does not matter.
 const WAKE_BYTES: usize = 64;
 
 /// A signal that the daemon handles.
@@ -15,7 +16,7 @@
 pub enum Signal {
     /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGINT: the same.
+    /// SIGINT: shut down gracefully, as for SIGTERM.
     Interrupt,
     /// SIGUSR1: write the counters to the log.
     ReportCounters,
@@ -27,7 +28,7 @@
     const ALL: [Signal; 4] =
         [Signal::Terminate, Signal::Interrupt, Signal::ReportCounters, Signal::ReloadConfiguration];
 
-    /// The system's number of the signal.
+    /// The signal number.
     fn number(self) -> i32 {
         match self {
             Signal::Terminate => SIGTERM,
@@ -46,7 +47,7 @@
 
 /// The event handler for signals.
 pub struct Signals {
-    /// By slot in the token.
+    /// Indexed by the slot in the token.
     pipes: Vec<SignalPipe>,
     received: VecDeque<Signal>,
 }
@@ -55,7 +56,7 @@
     /// Installs a handler for every [`Signal`].
     ///
     /// # Errors
-    /// Where the system refuses a socket pair or a handler.
+    /// If a socket pair cannot be created or a handler cannot be installed.
     pub fn open(poller: &Poller) -> io::Result<Self> {
         let mut pipes = Vec::new();
         for (slot, signal) in Signal::ALL.into_iter().enumerate() {
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -1,7 +1,8 @@
-//! Start-up: builds every part of the daemon, each step from the parts before it.
+//! Startup: builds the components of the daemon, each from those built before it.
 //!
-//! The order matters: the store comes before whatever the configuration decides, since its settings and endpoints stand in
-//! for the configuration's; listeners of clients come before discovery, which may register the address.
+//! The order matters. The store is opened before everything that depends on the configuration, since its
+//! settings replace the configuration's, and its endpoints do if the configuration has none. The HTTP
+//! listener is opened before discovery, which may register its address.
 
 use super::endpoint_updates::KnownEndpoints;
 use super::handlers::{Handlers, Owner};
@@ -34,29 +35,29 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What every event handler is built from.
+/// What all event handlers are built from.
 struct Resources {
     now: Time,
     poller: Rc<Poller>,
     limits: Rc<Limits>,
-    /// Large request bodies, where the deployment keeps them.
+    /// The store of large request bodies, if the deployment has one.
     body_store: Option<body_store::SharedBodyStore>,
 }
 
-/// The HTTP listener, and where it listens: the configuration may leave the port to the system.
+/// The HTTP listener and the address that it is bound to: the configuration may leave the port to the system.
 struct OpenHttpListener {
     listener: HttpListener,
     address: SocketAddr,
 }
 
-/// All event handlers, and where clients connect by HTTP.
+/// All event handlers, and the address of the HTTP listener.
 struct OpenHandlers {
     handlers: Handlers,
     address: SocketAddr,
 }
 
 impl Resources {
-    /// Opens the body store, and then what all handlers share.
+    /// Opens the body store, then the other resources that all handlers share.
     fn open(now: Time, config: &mut Config) -> Result<Self, DaemonError> {
         let body_store = open_body_store(config)?;
         let poller = Poller::new().map_err(DaemonError::Poll)?;
@@ -79,7 +80,8 @@
         })
     }
 
-    /// The store's settings and endpoints stand in for the configuration's from here on.
+    /// Opens the replicated store, if the deployment has one, and applies its settings and endpoints to the
+    /// configuration.
     fn open_store(&self, config: &mut Config) -> Result<Option<Store>, DaemonError> {
         let Some(file) = read_optional(store::CONFIG_FILE)? else { return Ok(None) };
         let context = LoopContext::new(Owner::Store.number(), self.now, &self.poller, &self.limits);
@@ -109,7 +111,8 @@
         Ok(OpenHttpListener { listener, address })
     }
 
-    /// Consul where the deployment has its file, else DNS. `address` is where this coordinator's clients connect.
+    /// Opens Consul discovery if the deployment has its file, else DNS. `address` is that of this
+    /// coordinator's HTTP listener.
     fn open_discovery(
         &self,
         config: &Config,
@@ -196,7 +199,7 @@
     }
 }
 
-/// Opens the body store, where the deployment has its file, and sets the limits that follow from it.
+/// Opens the body store, if the deployment has its file, and sets the limits that follow from it.
 fn open_body_store(config: &mut Config) -> Result<Option<body_store::SharedBodyStore>, DaemonError> {
     let file = BodyStoreFile::from_file(&config.settings)?;
     let Some(file) = file else { return Ok(None) };
@@ -209,7 +212,7 @@
     settings.classes.iter().map(|class| class.name.as_str().into()).collect()
 }
 
-/// What requests may name.
+/// The class and tenant names that requests may use.
 fn request_names(settings: &Settings) -> Names {
     let tenants = settings.tenants.iter().map(|tenant| tenant.name.as_str().into()).collect();
     Names { classes: class_names(settings), tenants }
@@ -222,11 +225,11 @@
 }
 
 impl Daemon {
-    /// Starts the daemon as its configuration and the files under `deploy/` say. Clients are accepted from here on, and
-    /// served once it runs.
+    /// Starts the daemon with its configuration and the files under `deploy/`. Clients can connect from here
+    /// on, and are served once it runs.
     ///
     /// # Errors
-    /// Where a file is wrong, or the system refuses an address or a descriptor.
+    /// If a file is invalid, an address cannot be bound, or a descriptor cannot be opened.
     pub fn start(mut config: Config) -> Result<Self, DaemonError> {
         let clock = Clock::new();
         let now = clock.now();
@@ -248,19 +251,20 @@
             endpoints: KnownEndpoints::default(),
             maintenance: Maintenance::open(now),
             reload: ReloadState::Idle,
-            in_pairs: config.inherited_listener.is_some(),
+            shares_listener: config.inherited_listener.is_some(),
             shutdown: ShutdownState::Serving,
         };
-        daemon.install_store_check();
-        daemon.apply_first_endpoints(now, config.initial_endpoints.endpoints.to_vec());
+        daemon.install_value_check();
+        daemon.apply_initial_endpoints(now, config.initial_endpoints.endpoints.to_vec());
         tracing::info!("{} listens on {address}", config.name);
         Ok(daemon)
     }
 
-    /// Applies the endpoints of the configuration. A process that this one takes over from kept to its part of what
-    /// warming-up engines bear, and so does this one from here on. After a crash nothing is known of that.
-    fn apply_first_endpoints(&mut self, now: Time, endpoints: Vec<Endpoint>) {
-        let scope = if self.in_pairs { ListScope::Complete } else { ListScope::Restored };
+    /// Applies the endpoints of the configuration. In an upgrade the previous process has kept within its
+    /// share of the load that warming-up engines can take, and this one uses that share from here on. After a
+    /// crash it is unknown how much of the share was used.
+    fn apply_initial_endpoints(&mut self, now: Time, endpoints: Vec<Endpoint>) {
+        let scope = if self.shares_listener { ListScope::Complete } else { ListScope::Restored };
         self.apply_endpoint_changes(now, scope, EndpointChanges { notified_at: now, endpoints });
     }
 }
--- a/src/daemon/statistics.rs
+++ b/src/daemon/statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics for operators, and the counters that SIGUSR1 and the exit write to the log.
+//! Statistics for operators, and the counters that are logged on SIGUSR1 and at exit.
 
 use super::Daemon;
 use crate::body_store;
@@ -7,13 +7,13 @@
 use dahliaspoke::policy::Lifecycle;
 use std::fmt::{Display, Write};
 
-/// Statistics as text: a line `app.NAME=VALUE` each.
+/// Statistics as text, one line `app.NAME=VALUE` per value.
 #[derive(Default)]
 struct StatisticsText(String);
 
 impl StatisticsText {
     fn add(&mut self, name: impl Display, value: u64) {
-        let _ = writeln!(self.0, "app.{name}={value}"); // a string takes everything
+        let _ = writeln!(self.0, "app.{name}={value}"); // writing to a string cannot fail
     }
 }
 
--- a/src/daemon/store_updates.rs
+++ b/src/daemon/store_updates.rs
@@ -1,5 +1,5 @@
-//! Changes of the replicated store. Settings and maintenance count at once; the store's endpoints count where none are known
-//! here.
+//! Changes in the replicated store. Settings and maintenance are applied at once; endpoints are applied only
+//! if this coordinator knows none.
 
 use super::Daemon;
 use crate::core::FixedSettingsError;
@@ -11,19 +11,19 @@
 use dahliaspoke::settings::{object, parse_settings, SettingsError};
 use thiserror::Error;
 
-/// Why a value of the store cannot be used.
+/// Why a stored value cannot be used.
 #[derive(Debug, Error)]
 enum StoredValueError {
-    /// It is no JSON.
+    /// The value is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// It is no settings object.
+    /// The value is not a valid settings object.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The settings change what cannot change in service.
+    /// The settings change a value that is fixed while the daemon runs.
     #[error(transparent)]
     FixedSettings(#[from] FixedSettingsError),
-    /// It is no list of endpoints.
+    /// The value is not a valid list of endpoints.
     #[error(transparent)]
     Endpoints(#[from] EndpointJsonError),
 }
@@ -34,26 +34,27 @@
     Ok(parse_settings(object(&value, "settings")?)?)
 }
 
-/// Checks whether a key may hold a text; `fits` says whether settings can count in service.
+/// Checks whether `text` is a valid value of `key`; `check_settings` checks whether settings can be applied
+/// at run time.
 fn check_value(
     key: &str,
     text: &str,
-    fits: impl Fn(&Settings) -> Result<(), FixedSettingsError>,
+    check_settings: impl Fn(&Settings) -> Result<(), FixedSettingsError>,
 ) -> Result<(), StoredValueError> {
     match key {
-        store::SETTINGS_KEY => Ok(fits(&decode_settings(text)?)?),
+        store::SETTINGS_KEY => Ok(check_settings(&decode_settings(text)?)?),
         store::ENDPOINTS_KEY => Ok(endpoint_json::from_json(text).map(drop)?),
         _ => Ok(()),
     }
 }
 
 impl Daemon {
-    /// Has the store check values before it proposes them.
-    pub(super) fn install_store_check(&mut self) {
+    /// Makes the store check values before it proposes them.
+    pub(super) fn install_value_check(&mut self) {
         if let Some(store) = &mut self.handlers.store {
-            let fits = self.core.settings_check();
+            let check_settings = self.core.settings_check();
             store.set_value_check(Box::new(move |key, text| {
-                check_value(key, text, &fits).map_err(|error| error.to_string())
+                check_value(key, text, &check_settings).map_err(|error| error.to_string())
             }));
         }
     }
@@ -74,18 +75,19 @@
         }
     }
 
-    /// What a key of the store holds.
+    /// The value of a key in the store.
     fn stored_text(&self, key: &str) -> Option<String> {
         self.handlers.store.as_ref().and_then(|store| store.get(key)).map(str::to_string)
     }
 
-    /// The store's settings count from here on.
+    /// Applies the settings in the store.
     fn apply_stored_settings(&mut self, now: Time, text: &str) {
         let version = self.handlers.store.as_ref().map_or(0, |store| store.version(store::SETTINGS_KEY));
         match self.change_settings(now, text) {
             Ok(()) => tracing::info!(at = now, part = "store", "settings of version {version} count"),
-            // The coordinator that proposed them has checked them; its classes may be others.
-            Err(error) => tracing::info!(at = now, part = "store", "settings do not count here: {error}"),
+            // The coordinator that proposed them has checked them, but its classes may differ from this
+            // one's.
+            Err(error) => tracing::info!(at = now, part = "store", "settings are not applied here: {error}"),
         }
     }
 
@@ -95,7 +97,7 @@
         Ok(self.core.apply_settings(now, settings, routes)?)
     }
 
-    /// The store's endpoints count where none are known here.
+    /// Applies the endpoints in the store if this coordinator knows none.
     fn apply_stored_endpoints(&mut self, now: Time, text: &str) {
         if !self.endpoints.is_empty() {
             return;
@@ -103,12 +105,12 @@
         match endpoint_json::from_json(text) {
             Ok(set) => {
                 let endpoints = set.to_vec();
-                // Discovery must know of them, or it could not notice that one is gone.
+                // Discovery must know the endpoints to detect departures.
                 self.handlers.discovery.reset_to(now, set);
                 let changes = EndpointChanges { notified_at: now, endpoints };
                 self.apply_endpoint_changes(now, ListScope::Restored, changes);
             }
-            Err(error) => tracing::info!(at = now, part = "store", "engines: {error}"),
+            Err(error) => tracing::info!(at = now, part = "store", "stored engines cannot be used: {error}"),
         }
     }
 }
