--- a/src/discovery/consul/catalog.rs
+++ b/src/discovery/consul/catalog.rs
@@ -1,16 +1,16 @@
-//! This coordinator's own entry in Consul's catalogue.
+//! Registration of this coordinator in Consul's catalog.
 
 use serde_json::json;
 use std::net::SocketAddr;
 
 /// Path of the call that registers an instance of a service (PUT).
 pub const REGISTER_PATH: &str = "/v1/catalog/register";
-/// Path of the call that removes one (PUT).
+/// Path of the call that deregisters an instance (PUT).
 pub const DEREGISTER_PATH: &str = "/v1/catalog/deregister";
 
-/// A coordinator as the catalogue names it.
+/// A coordinator's node in the catalog.
 pub struct CatalogNode {
-    /// The coordinator's name, which is that of its node.
+    /// The coordinator's name, which is also the name of its node.
     pub name: String,
     /// Where the coordinator listens for clients.
     pub address: SocketAddr,
@@ -29,7 +29,7 @@
         body.to_string()
     }
 
-    /// The body of a call that removes that instance.
+    /// The body of a call that deregisters this instance.
     pub fn deregistration(&self, service: &str) -> String {
         json!({"Node": self.name, "ServiceID": self.instance_id(service)}).to_string()
     }
--- a/src/discovery/consul/connection.rs
+++ b/src/discovery/consul/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the agent, with one request on it.
+//! A connection to the agent that carries one request.
 
 use super::error::HttpError;
 use super::http::{self, Response};
@@ -6,23 +6,23 @@
 use crate::net::{BufferedStream, Connection, Flow, Time, Token};
 use std::rc::Rc;
 
-/// How the request on a connection has ended.
+/// The outcome of the request on a connection.
 pub struct Reply {
     /// The connection.
     pub token: Token,
-    /// What the agent has sent.
+    /// The agent's response, or why there is none.
     pub response: Result<Response, HttpError>,
 }
 
-/// What all connections to the agent have in common.
+/// The state that all connections to the agent share.
 pub struct Shared {
-    /// Limits of what the agent may send.
+    /// Limits on what the agent may send.
     pub limits: Rc<Limits>,
     /// Replies that are not handled yet.
     pub replies: Vec<Reply>,
 }
 
-/// A connection to the agent, with one request on it.
+/// A connection to the agent that carries one request.
 pub struct AgentConnection {
     stream: BufferedStream,
     token: Token,
@@ -30,7 +30,7 @@
 }
 
 impl AgentConnection {
-    /// A connection on which the request has been queued.
+    /// Creates a connection from a stream on which the request has been queued.
     pub fn new(stream: BufferedStream, token: Token) -> Self {
         Self { stream, token, has_replied: false }
     }
--- a/src/discovery/consul/error.rs
+++ b/src/discovery/consul/error.rs
@@ -5,10 +5,10 @@
 use std::num::ParseFloatError;
 use thiserror::Error;
 
-/// Why the bytes that the agent sent are no HTTP response.
+/// Why the bytes that the agent sent are not an HTTP response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// The head does not end within its limit.
+    /// The head is longer than its limit.
     #[error("the head is too long")]
     HeadTooLong,
     /// The body is longer than its limit.
@@ -17,13 +17,13 @@
     /// The head is not UTF-8.
     #[error("the head is not UTF-8")]
     HeadNotUtf8,
-    /// The first line has no HTTP/1.1 version and status.
+    /// The first line does not have the HTTP/1.1 version and a status.
     #[error("the status line is malformed")]
     StatusLine,
     /// `Content-Length` is not a number.
     #[error("the length of the body is malformed")]
     ContentLength,
-    /// A chunk has no length, or does not end where its length says.
+    /// A chunk has no length, or does not end after that length.
     #[error("a chunk is malformed")]
     Chunk,
     /// The connection ended before the response did.
@@ -31,10 +31,10 @@
     ClosedEarly,
 }
 
-/// Why a response of the agent cannot be used. The text is that of the log.
+/// Why a response of the agent cannot be used. The text is written to the log.
 #[derive(Debug, Error)]
 pub enum ConsulError {
-    /// There is no HTTP response.
+    /// The agent has not sent a valid HTTP response.
     #[error("malformed")]
     Http(#[from] HttpError),
     /// The status is not 200.
@@ -46,10 +46,10 @@
     /// The body is not a list of services.
     #[error("the answer is not a list")]
     NotAList,
-    /// The head has no index for the next query.
+    /// The head has no valid `X-Consul-Index`, which the next query needs.
     #[error("no X-Consul-Index")]
     NoIndex,
-    /// A field has another type than expected; the text names it.
+    /// A field has an unexpected type; the text names the field.
     #[error(transparent)]
     Field(#[from] SettingsError),
     /// The address of a service is not an IP address.
@@ -60,10 +60,10 @@
         /// What is wrong with the address.
         source: AddrParseError,
     },
-    /// A service lacks its id, or has no port from 1 to 65535.
+    /// A service has no id, or no port from 1 to 65535.
     #[error("a service has no id or no port")]
     NoIdOrPort,
-    /// A value in the service's metadata must be a number.
+    /// A value in the service's metadata that must be a number is not one.
     #[error("{key} of {id}: {source}")]
     Metadata {
         /// The key in the metadata.
--- a/src/discovery/consul/health.rs
+++ b/src/discovery/consul/health.rs
@@ -1,4 +1,4 @@
-//! Consul's health API: the instances of a service, with their checks.
+//! Consul's health API: the instances of a service with their checks.
 
 use super::error::ConsulError;
 use super::http::Response;
@@ -9,7 +9,7 @@
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 
-/// The status of a check that fails, and of one that maintenance sets.
+/// The status of a failed check, and of the check that marks maintenance.
 const CRITICAL: &str = "critical";
 
 /// Keys in the metadata of an engine's service.
@@ -21,22 +21,22 @@
 
 /// The instances of a service.
 pub struct HealthList {
-    /// The version from which the next blocking query waits.
+    /// The version that the next blocking query waits to change.
     pub index: u64,
     /// Every instance of the service.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// The path of a blocking query for a service: it is answered when the service differs from version `index`, or after
-/// `wait` seconds.
+/// The path of a blocking query for a service: it is answered when the service differs from version `index`,
+/// or after `wait` seconds.
 pub fn query_path(service: &str, index: u64, wait: Time) -> String {
     format!("/v1/health/service/{service}?index={index}&wait={wait}s")
 }
 
-/// Decodes the response to such a query.
+/// Decodes the response to a blocking query.
 ///
 /// # Errors
-/// Where it is not of the form that Consul's API documents, or has no index.
+/// If it does not have the form that Consul's API documents, or has no index.
 pub fn decode(response: &Response) -> Result<HealthList, ConsulError> {
     let body: Value = serde_json::from_slice(&response.body)?;
     let entries = body.as_array().ok_or(ConsulError::NotAList)?;
@@ -65,7 +65,7 @@
     Ok(Endpoint { entry, address: Some(address) })
 }
 
-/// Where a service listens; one without an address of its own is at that of its node.
+/// The address that a service listens on; a service without an address uses that of its node.
 fn decode_address(
     node: &Map<String, Value>,
     service: &Map<String, Value>,
@@ -81,7 +81,8 @@
     Ok(SocketAddr::new(ip, port as u16))
 }
 
-/// Maintenance and failed checks are critical: no new attempt begins there, and those that run may end.
+/// Whether a check is critical, which failed checks and maintenance are. The engine then gets no new
+/// attempts, and running ones may complete.
 fn has_critical_check(entry: &Map<String, Value>) -> Result<bool, ConsulError> {
     Ok(list(entry, "Checks")?.iter().any(is_critical))
 }
@@ -90,7 +91,7 @@
     check.as_object().and_then(|check| field(check, "Status")).is_some_and(|status| status == CRITICAL)
 }
 
-/// A number in the metadata, where all values are texts; 0 where it is absent.
+/// A number in the metadata, whose values are all strings; 0 if it is absent.
 fn decode_number(metadata: &Map<String, Value>, key: &'static str, id: &str) -> Result<f64, ConsulError> {
     let text = text(metadata, key, "0")?;
     text.parse().map_err(|source| ConsulError::Metadata { key, id: id.into(), source })
--- a/src/discovery/consul/http.rs
+++ b/src/discovery/consul/http.rs
@@ -1,4 +1,4 @@
-//! The client's side of HTTP/1.1, as far as Consul's API needs it: one request on a connection, and its response.
+//! The client side of HTTP/1.1, as far as Consul's API needs it: one request and its response per connection.
 
 use super::error::HttpError;
 use crate::limits::Limits;
@@ -6,10 +6,10 @@
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Digits of a status.
+/// Digits of a status code.
 const STATUS_LENGTH: usize = 3;
 
-/// Bytes in which the length of a chunk and its line end must stand.
+/// Maximum bytes of the line with a chunk's length, including its line end.
 const MAX_CHUNK_LINE: usize = 16;
 
 /// A response of the agent.
@@ -17,13 +17,13 @@
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// `X-Consul-Index`: the version of what was queried.
+    /// `X-Consul-Index`: the version of the queried data.
     pub index: Option<u64>,
-    /// The body, without the framing of chunks.
+    /// The body, without chunk framing.
     pub body: Vec<u8>,
 }
 
-/// What the head of a response says.
+/// The decoded head of a response.
 struct Head {
     status: u16,
     index: Option<u64>,
@@ -37,10 +37,10 @@
     format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// Decodes the response at the start of the input; none where it is not complete.
+/// Decodes the response at the start of the input; none if it is not complete.
 ///
 /// # Errors
-/// Where the input is no HTTP/1.1 response, or one over the limits.
+/// If the input is not an HTTP/1.1 response, or exceeds the limits.
 pub fn decode_response(input: &[u8], limits: &Limits) -> Result<Option<Response>, HttpError> {
     let max_head = limits.http.max_head_bytes;
     let Some(end) = find(&input[..input.len().min(max_head)], HEAD_END) else {
@@ -89,7 +89,8 @@
     Ok(rest.get(..length).map(<[u8]>::to_vec))
 }
 
-/// Decodes a body in chunks, each after its length in hexadecimal digits; an empty one ends it.
+/// Decodes a chunked body: each chunk is preceded by its length in hexadecimal digits, and an empty chunk
+/// ends the body.
 fn decode_chunked_body(rest: &[u8], max_length: usize) -> Result<Option<Vec<u8>>, HttpError> {
     let mut body = Vec::new();
     let mut position = 0;
--- a/src/discovery/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -1,10 +1,10 @@
-//! The endpoint set from Consul's health API, by blocking queries, and this coordinator's own entry in Consul's catalogue.
-//! It takes the place of the directory where `deploy/consul.toml` exists.
+//! The endpoint set from Consul's health API, watched with blocking queries, and the registration of this
+//! coordinator in Consul's catalog. It replaces the directory if `deploy/consul.toml` exists.
 //!
 //! - `http`: the codec of requests and responses;
 //! - `connection`: a connection to the agent;
-//! - `watch`: the queries for the service of the engines;
-//! - `health`: what their responses contain;
+//! - `watch`: the blocking queries for the engines' service;
+//! - `health`: the responses to these queries;
 //! - `catalog`: the registration of this coordinator.
 
 mod catalog;
@@ -28,10 +28,10 @@
 use std::rc::Rc;
 use watch::Watch;
 
-/// Path of the configuration file, from the folder that the daemon is started in.
+/// Path of the configuration file, relative to the daemon's working directory.
 pub const FILE: &str = "deploy/consul.toml";
 
-/// Names this module in the log.
+/// The name of this module in the log.
 const LOG_PART: &str = "consul";
 
 const STATUS_OK: u16 = 200;
@@ -40,17 +40,17 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Consul's HTTP API.
+    /// Address of the agent's HTTP API.
     pub agent: SocketAddr,
     /// The service that the engines are registered as.
     pub service: String,
-    /// The service that this coordinator registers itself as; absent: it does not.
+    /// The service that this coordinator registers itself as; it does not register itself if this is absent.
     pub register: Option<String>,
 }
 
-/// What [`ConsulDiscovery`] starts from.
+/// Start parameters of [`ConsulDiscovery`].
 pub struct ConsulConfig {
-    /// Number of the event handler in tokens.
+    /// Owner number of the event handler in tokens.
     pub owner: u8,
     /// The content of the configuration file.
     pub file: Config,
@@ -58,20 +58,20 @@
     pub name: String,
     /// Where this coordinator listens for clients.
     pub address: SocketAddr,
-    /// The endpoints that the configuration holds.
+    /// The endpoints in the configuration.
     pub endpoints: EndpointSet,
 }
 
-/// Watches the service of the engines, and registers this coordinator.
+/// Watches the engines' service, and registers this coordinator.
 pub struct ConsulDiscovery {
     config: Config,
     node: CatalogNode,
     connections: ConnectionSlab<AgentConnection>,
     shared: Shared,
     watch: Watch,
-    /// Version of `endpoints` in Consul; 0 where the next query is not to be held.
+    /// Version of `endpoints` in Consul; 0 if the next query must not block.
     index: u64,
-    /// The latest query failed: the agent may not hold the next one, so that its response renews the lease at once.
+    /// The latest query failed: the next one must not block, so that its response renews the lease at once.
     has_failed: bool,
     endpoints: EndpointSet,
     is_registered: bool,
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Registers this coordinator, where the configuration names a service for it.
+    /// Registers this coordinator, if the configuration names a service for it.
     fn register(&mut self, now: Time) {
         let Some(service) = &self.config.register else { return };
         let body = self.node.registration(service);
         self.is_registered = self.send_request(now, "PUT", catalog::REGISTER_PATH, &body).is_some();
     }
 
-    /// Sends a request on a connection of its own; none where there is no descriptor for it.
+    /// Sends a request on a new connection; none if the connection could not be opened.
     fn send_request(&mut self, now: Time, method: &str, path: &str, body: &str) -> Option<Token> {
         let agent = self.config.agent;
         let mut stream = BufferedStream::connect(agent).ok()?;
@@ -117,11 +117,12 @@
         Some(token)
     }
 
-    /// Gives up a query whose response is overdue.
-    fn give_up_pending_query(&mut self, now: Time) {
+    /// Abandons a query whose response is overdue.
+    fn abandon_pending_query(&mut self, now: Time) {
         let Watch::Pending { token, .. } = self.watch else { return };
         self.connections.close(now, token, &mut self.shared);
-        // The connection was closed here: that says nothing of the entry in the catalogue.
+        // The connection was closed here, so its `ClosedEarly` reply must not be handled as a failed
+        // registration.
         self.shared.replies.retain(|reply| reply.token != token);
         self.failed_requests += 1;
         self.has_failed = true;
@@ -148,14 +149,15 @@
                 Ok(list) => self.apply_list(now, queried_at, list),
                 Err(error) => self.on_query_failed(now, &error),
             },
-            (Ok(_), None) => {} // of the catalogue
+            (Ok(_), None) => {} // response to a catalog call
             (Err(error), Some(_)) => self.on_query_failed(now, &error),
             (Err(error), None) => self.on_registration_failed(now, &error),
         }
     }
 
     fn apply_list(&mut self, now: Time, queried_at: Time, HealthList { index, endpoints }: HealthList) {
-        // An index that goes back starts from nothing; one of 0 would not block.
+        // If the index goes backwards, the next query starts over with 0; an index of 0 from the agent would
+        // never block.
         self.index = if index < self.index { 0 } else { index.max(1) };
         self.has_failed = false;
         let confirmed_at = self.lease.confirmed_at();
@@ -165,7 +167,7 @@
         self.watch = Watch::Idle { until: now };
     }
 
-    /// The endpoint set stays: an agent that fails says nothing of the engines.
+    /// Keeps the endpoint set: a failure of the agent is no information about the engines.
     fn on_query_failed(&mut self, now: Time, error: &ConsulError) {
         self.count_failure(now, error);
         self.has_failed = true;
@@ -222,12 +224,12 @@
         Some(self.watch.next_deadline())
     }
 
-    /// Sends the next query where it is due, in place of one that the agent holds for too long.
+    /// Sends the next query if it is due, in place of one whose response is overdue.
     fn on_timer(&mut self, now: Time) {
         if now < self.watch.next_deadline() {
             return;
         }
-        self.give_up_pending_query(now);
+        self.abandon_pending_query(now);
         if !self.is_registered {
             self.register(now);
         }
--- a/src/discovery/consul/watch.rs
+++ b/src/discovery/consul/watch.rs
@@ -2,34 +2,35 @@
 
 use crate::net::{Time, Token};
 
-/// The agent adds up to a sixteenth to the time that it may hold a query; one that takes a quarter more has failed.
-const HOLD_TOLERANCE: f64 = 1.25;
+/// Factor on the wait time after which a query has failed. The agent itself adds up to a sixteenth to the
+/// wait time.
+const WAIT_TOLERANCE: f64 = 1.25;
 
-/// Where the watch stands.
+/// The state of the watch.
 pub enum Watch {
-    /// A query is out.
+    /// A query is in flight.
     Pending {
-        /// The connection that it is on.
+        /// The connection of the query.
         token: Token,
         /// When it was sent.
         sent_at: Time,
         /// When its response is overdue.
         due: Time,
     },
-    /// None is out: the next one is sent then.
+    /// No query is in flight.
     Idle {
-        /// When to send it.
+        /// When to send the next query.
         until: Time,
     },
 }
 
 impl Watch {
-    /// A query was sent at `now`, which the agent may hold for `wait` seconds.
+    /// A query was sent at `now`, and the agent may delay its response for `wait` seconds.
     pub fn sent(now: Time, token: Token, wait: Time) -> Self {
-        Self::Pending { token, sent_at: now, due: now + wait * HOLD_TOLERANCE }
+        Self::Pending { token, sent_at: now, due: now + wait * WAIT_TOLERANCE }
     }
 
-    /// When the watch has something to do next.
+    /// When the next query is to be sent, or the pending one is overdue.
     pub fn next_deadline(&self) -> Time {
         match *self {
             Self::Pending { due, .. } => due,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// When the query on that connection was sent; none where it is not the watch's.
+    /// When the query on this connection was sent; none if the connection is not that of the pending query.
     pub fn sent_at(&self, connection: Token) -> Option<Time> {
         match *self {
             Self::Pending { token, sent_at, .. } if token == connection => Some(sent_at),
--- a/src/discovery/dns/codec/error.rs
+++ b/src/discovery/dns/codec/error.rs
@@ -1,4 +1,4 @@
-//! Why a datagram is no usable response.
+//! Why a datagram is not a usable response.
 
 use thiserror::Error;
 
@@ -26,7 +26,7 @@
     /// A label has a length that RFC 1035 reserves.
     #[error("a label of a reserved type")]
     ReservedLabel,
-    /// A name follows more compression pointers than one can need.
+    /// A name follows more compression pointers than a valid name needs.
     #[error("too many compression pointers in a name")]
     TooManyPointers,
     /// A name is longer than RFC 1035 allows.
@@ -35,22 +35,22 @@
     /// A label or a text is not UTF-8.
     #[error("a text is not UTF-8")]
     NotUtf8,
-    /// The data of a record go beyond the length that the record gives, or beyond the message.
-    #[error("a record goes beyond its length")]
+    /// The data of a record exceed the length in the record, or the end of the message.
+    #[error("a record exceeds its length")]
     RecordOverrun,
-    /// No SOA record gives the number of the list.
+    /// There is no SOA record with the number of the list.
     #[error("the response has no SOA record")]
     NoSerial,
     /// An SRV record has a target without a first label.
     #[error("a target has no id")]
     NoId,
-    /// No A or AAAA record has the address of a target.
+    /// There is no A or AAAA record for a target.
     #[error("no address of {target}")]
     NoAddress {
         /// The target, as the SRV record names it.
         target: String,
     },
-    /// The TXT record of a target has a value that must be a number and is none.
+    /// A value in the TXT record of a target that must be a number is not one.
     #[error("{key} of {target} is not a number")]
     NotANumber {
         /// The target, as the SRV record names it.
--- a/src/discovery/dns/codec/mod.rs
+++ b/src/discovery/dns/codec/mod.rs
@@ -1,4 +1,5 @@
-//! The directory's DNS messages (RFC 1035; SRV records by RFC 2782): the query for the endpoint list, and the responses.
+//! The directory's DNS messages (RFC 1035; SRV records: RFC 2782): the query for the endpoint list, and the
+//! responses.
 
 mod error;
 mod reader;
@@ -22,7 +23,7 @@
 const FLAG_TRUNCATED: u16 = 0x0200;
 const RESPONSE_CODE_MASK: u16 = 0x000f;
 
-/// Bytes that a query of the usual length fits in.
+/// Initial buffer size (bytes), sufficient for a query of usual length.
 const QUERY_CAPACITY: usize = 64;
 
 /// The endpoint list of a response.
@@ -32,7 +33,7 @@
     pub id: u16,
     /// Number of the last event in the list: the serial of the SOA record.
     pub serial: u32,
-    /// Every engine that the response has an SRV record of.
+    /// Every engine that the response has an SRV record for.
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -67,8 +68,8 @@
 /// Decodes a response to the query for the SRV records of `name`.
 ///
 /// # Errors
-/// Where the message is malformed, is truncated, reports a failure, answers another question, or lacks a record that the
-/// list needs.
+/// If the message is malformed, is truncated, reports a failure, answers another question, or lacks a record
+/// that the list needs.
 pub fn decode_response(message: &[u8], name: &str) -> Result<Response, DecodeError> {
     let mut reader = Reader::new(message);
     let header = decode_header(&mut reader)?;
@@ -101,7 +102,8 @@
     Ok(Header { id, questions, records })
 }
 
-/// A response repeats the question that it answers; one that does not may answer any.
+/// Checks that a response repeats the question of the query; without it, the response may answer any
+/// question.
 fn check_question(reader: &mut Reader, header: &Header, name: &str) -> Result<(), DecodeError> {
     let is_ours = header.questions == 1
         && reader.name()? == name
--- a/src/discovery/dns/codec/reader.rs
+++ b/src/discovery/dns/codec/reader.rs
@@ -2,12 +2,13 @@
 
 use super::DecodeError;
 
-/// Compression pointers that are followed in one name: a loop of them must end.
+/// Maximum compression pointers followed in one name, which bounds pointer loops.
 const MAX_POINTERS: usize = 32;
-/// Characters of a name, its dots included (RFC 1035, 2.3.4).
+/// Maximum characters of a name, including dots (RFC 1035, 2.3.4).
 const MAX_NAME_LENGTH: usize = 255;
 
-/// The two high bits of a label's length (RFC 1035, 4.1.4): a plain label, or a pointer to the rest of the name.
+/// The two high bits of a label's length (RFC 1035, 4.1.4): a plain label, or a pointer to the rest of the
+/// name.
 const LABEL_TYPE_MASK: u8 = 0xc0;
 const LABEL_PLAIN: u8 = 0x00;
 const LABEL_POINTER: u8 = 0xc0;
@@ -34,7 +35,7 @@
         self.message.len()
     }
 
-    /// Goes on at this offset (bytes).
+    /// Continues at this offset (bytes).
     pub fn seek(&mut self, position: usize) {
         self.position = position;
     }
@@ -47,7 +48,7 @@
         Ok(bytes)
     }
 
-    /// The next bytes, as many as the array holds.
+    /// The next `COUNT` bytes.
     pub fn array<const COUNT: usize>(&mut self) -> Result<[u8; COUNT], DecodeError> {
         self.bytes(COUNT)?.try_into().map_err(|_| DecodeError::UnexpectedEnd)
     }
@@ -72,13 +73,13 @@
         std::str::from_utf8(self.bytes(length)?).map_err(|_| DecodeError::NotUtf8)
     }
 
-    /// A text with its length in front (a character string of RFC 1035, 3.3).
+    /// A length-prefixed text (a character string of RFC 1035, 3.3).
     pub fn character_string(&mut self) -> Result<&'a str, DecodeError> {
         let length = self.u8()?;
         self.text(usize::from(length))
     }
 
-    /// A name in lower case, with its labels divided by dots and its compression undone.
+    /// A decompressed name in lower case, with its labels separated by dots.
     pub fn name(&mut self) -> Result<String, DecodeError> {
         let mut name = String::new();
         let mut pointers = 0;
--- a/src/discovery/dns/codec/record.rs
+++ b/src/discovery/dns/codec/record.rs
@@ -1,4 +1,4 @@
-//! Resource records, and the endpoint list that they make together.
+//! Resource records, and the endpoint list that is built from them.
 
 use super::reader::Reader;
 use super::{DecodeError, Response, CLASS_IN, TYPE_A, TYPE_AAAA, TYPE_SOA, TYPE_SRV, TYPE_TXT};
@@ -13,11 +13,11 @@
 /// Start of the process in Unix milliseconds; 0 is long ago.
 const KEY_STARTED: &str = "started";
 
-/// The data of an SRV record: where a service runs.
+/// The data of an SRV record: the location of a service.
 pub struct Service {
-    /// The engine's id, its zone and a domain, as labels.
+    /// Labels: the engine's id, its zone and a domain.
     target: String,
-    /// Priority 0 is ready, any other is draining.
+    /// Priority 0 means ready, any other means draining.
     is_draining: bool,
     port: u16,
 }
@@ -28,7 +28,7 @@
     Service(Service),
     /// The address of a name.
     Address { owner: String, ip: IpAddr },
-    /// Texts of a name, each as `key=value`.
+    /// Texts of a name, each of the form `key=value`.
     Texts { owner: String, texts: Vec<String> },
     /// The number of the list.
     Serial(u32),
@@ -37,12 +37,12 @@
 }
 
 impl Record {
-    /// Decodes the next record; of SRV records those of `service` count.
+    /// Decodes the next record; an SRV record of a name other than `service` is [`Self::Other`].
     pub fn decode(reader: &mut Reader, service: &str) -> Result<Self, DecodeError> {
         let owner = reader.name()?;
         let record_type = reader.u16()?;
         let class = reader.u16()?;
-        let _time_to_live = reader.u32()?; // queries are sent all the time
+        let _time_to_live = reader.u32()?; // unused: the list is polled at an interval
         let length = usize::from(reader.u16()?);
         let end = reader.position() + length;
         if end > reader.message_length() {
@@ -88,7 +88,7 @@
     reader.u32()
 }
 
-/// The records of a response that the endpoint list is made of.
+/// The records of a response that the endpoint list is built from.
 #[derive(Default)]
 pub struct RecordSet {
     services: Vec<Service>,
@@ -98,8 +98,8 @@
 }
 
 impl RecordSet {
-    /// Adds a record. Of several for one name the last counts, and an IPv4 address goes before an IPv6 address, of which
-    /// the first counts.
+    /// Adds a record. Of several records for one name the last is used, except that an IPv4 address is
+    /// preferred over an IPv6 address, and the first IPv6 address is used.
     pub fn add(&mut self, record: Record) {
         match record {
             Record::Service(service) => self.services.push(service),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The list that the records make, in the response to query `id`.
+    /// Builds the response to query `id` with the endpoint list from the records.
     pub fn into_response(self, id: u16) -> Result<Response, DecodeError> {
         let endpoints =
             self.services.iter().map(|service| self.endpoint(service)).collect::<Result<_, _>>()?;
@@ -152,7 +152,7 @@
         pairs.into_iter().find(|(name, _)| *name == key).map(|(_, value)| value)
     }
 
-    /// The same as a number; 0 where it is absent.
+    /// The value of a key in the TXT record of a target as a number; 0 if it is absent.
     fn number(&self, target: &str, key: &'static str) -> Result<f64, DecodeError> {
         let Some(text) = self.text(target, key) else { return Ok(0.0) };
         text.parse().map_err(|_| DecodeError::NotANumber { target: target.to_string(), key })
--- a/src/discovery/dns/mod.rs
+++ b/src/discovery/dns/mod.rs
@@ -1,12 +1,12 @@
-//! The directory: the endpoint list by DNS over UDP, polled.
+//! The directory: the endpoint list, polled with DNS over UDP.
 //!
-//! What a response may change is decided in [`EndpointTracker`]. Here are the queries and their times:
+//! [`EndpointTracker`] decides what a response may change. This module sends the queries and schedules them:
 //!
-//! - `codec`: the messages;
+//! - `codec`: the DNS messages;
 //! - `sockets`: the sockets in use;
 //! - `pending`: queries that may still be answered;
 //! - `responsiveness`: whether responses arrive;
-//! - `relocation`: a directory that is to be queried at another address.
+//! - `relocation`: a pending move to another directory address.
 
 mod codec;
 mod pending;
@@ -30,27 +30,27 @@
 /// The name whose SRV records are the endpoint list (protocol, "The directory").
 const SERVICE: &str = "_back._tcp.pool.lan";
 
-/// Datagrams that are read at one turn of the event loop, so that a flood does not hold it up.
-const MAX_DATAGRAMS_PER_TURN: usize = 16;
+/// Maximum datagrams read in one iteration of the event loop, so that a flood does not block it.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 16;
 
-/// Names this module in the log.
+/// The name of this module in the log.
 const LOG_PART: &str = "directory";
 
-/// What [`DnsDiscovery`] starts from.
+/// Start parameters of [`DnsDiscovery`].
 pub struct DnsConfig {
-    /// Number of the event handler in tokens.
+    /// Owner number of the event handler in tokens.
     pub owner: u8,
-    /// Where the directory is queried.
+    /// The directory's address.
     pub directory: SocketAddr,
     /// Number of the last event in `endpoints`.
     pub list_number: u32,
-    /// The endpoints that the configuration holds.
+    /// The endpoints in the configuration.
     pub endpoints: EndpointSet,
-    /// Seed of the ids of queries.
+    /// Seed for the query ids.
     pub seed: u64,
 }
 
-/// Queries the directory for the whole list at an interval; a lost datagram costs one interval.
+/// Queries the directory for the complete list at a fixed interval; a lost datagram costs one interval.
 pub struct DnsDiscovery {
     sockets: DirectorySockets,
     poller: Rc<Poller>,
@@ -68,7 +68,7 @@
     /// Starts from the list of the configuration; the first query is due at `now`.
     ///
     /// # Errors
-    /// Where no socket can be opened.
+    /// If no socket can be opened.
     pub fn open(now: Time, config: DnsConfig, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
         let DnsConfig { owner, directory, list_number, endpoints, seed } = config;
         let sockets = DirectorySockets::open(Token::new(owner, 0, 0), directory, &poller)?;
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Attempts the move to another directory, if one is wanted; it is retried later where it fails.
+    /// Attempts the pending move to another directory, if any; a failed attempt is retried later.
     fn attempt_relocation(&mut self, now: Time) {
         let Some(mut relocation) = self.relocation.take() else { return };
         let directory = relocation.directory;
@@ -105,7 +105,7 @@
             return;
         }
         tracing::info!(at = now, part = LOG_PART, "queries {directory} from now on");
-        self.pending.clear(); // they were sent to the directory before
+        self.pending.clear(); // they were sent to the previous directory
         self.tracker.reset_numbering();
         self.responsiveness = Responsiveness::new(now);
         self.next_query = now;
@@ -117,7 +117,7 @@
             tracing::info!(at = now, part = LOG_PART, renewed, "queries from another port");
         }
         let id = self.pending.add(now);
-        // A query that cannot be sent is as good as lost: the next one follows.
+        // A query that cannot be sent is treated as lost: the next one follows after the poll interval.
         let _ = self.sockets.send(&codec::encode_query(id, SERVICE));
     }
 
@@ -125,7 +125,7 @@
         let Ok(response) = codec::decode_response(datagram, SERVICE) else {
             return self.reject_datagram(now, "cannot be read", datagram.len());
         };
-        // A response to no query may be older than it seems, or another's.
+        // A response that matches no pending query may be outdated, or meant for another process.
         let Some(queried_at) = self.pending.remove(response.id) else {
             return self.reject_datagram(now, "matches no pending query", datagram.len());
         };
@@ -142,7 +142,8 @@
     fn apply_list(&mut self, now: Time, queried_at: Time, list: EndpointList) {
         let number = list.number;
         let current = self.tracker.number();
-        // What the list changes happened after the last confirmation, and may count as notified from then on.
+        // The changes in the list happened after the last confirmation, and may be treated as notified from
+        // that time on.
         let confirmed_at = self.tracker.lease().confirmed_at();
         let ListOutcome { verdict, changes } = self.tracker.apply_response(now, queried_at, list);
         if verdict != ListVerdict::Confirmed {
@@ -211,7 +212,7 @@
 
     fn on_ready(&mut self, now: Time, _: Ready) {
         let mut buffer = vec![0; self.limits.discovery.max_datagram_bytes];
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Some(length) = self.sockets.receive(&mut buffer) else { return };
             self.receive_datagram(now, &buffer[..length]);
         }
--- a/src/discovery/dns/pending.rs
+++ b/src/discovery/dns/pending.rs
@@ -1,4 +1,4 @@
-//! Queries that no response has arrived to.
+//! Queries that have no response yet.
 
 use crate::net::Time;
 use rand_core::{RngCore, SeedableRng};
@@ -10,24 +10,25 @@
     sent_at: Time,
 }
 
-/// The queries that may still be answered, each with an id that nobody can guess: a response to another incarnation of
-/// this process, or a forged one, has none of them.
+/// The queries that may still be answered, each with an unpredictable id: a response to an earlier
+/// incarnation of this process, or a forged one, matches none of them.
 pub struct PendingQueries {
     ids: Pcg64Mcg,
-    /// The latest last.
+    /// Ordered by send time, the latest last.
     queries: VecDeque<PendingQuery>,
     max_queries: usize,
     latest_id: u16,
 }
 
 impl PendingQueries {
-    /// Draws ids from `seed`, and keeps `max_queries` queries at most.
+    /// Generates ids from `seed`, and keeps at most `max_queries` queries.
     pub fn new(seed: u64, max_queries: usize) -> Self {
         let ids = Pcg64Mcg::seed_from_u64(seed);
         Self { ids, queries: VecDeque::new(), max_queries, latest_id: 0 }
     }
 
-    /// Adds a query that is sent at `now` and returns its id. The oldest one is given up where there are too many.
+    /// Adds a query that is sent at `now` and returns its id. If there are `max_queries` already, the oldest
+    /// is dropped.
     pub fn add(&mut self, now: Time) -> u16 {
         let mut id = self.ids.next_u32() as u16;
         while self.queries.iter().any(|query| query.id == id) {
@@ -47,7 +48,7 @@
         self.queries.remove(index).map(|query| query.sent_at)
     }
 
-    /// Gives up all queries.
+    /// Drops all queries.
     pub fn clear(&mut self) {
         self.queries.clear();
     }
--- a/src/discovery/dns/relocation.rs
+++ b/src/discovery/dns/relocation.rs
@@ -1,24 +1,24 @@
-//! A directory that is to be queried at another address, and that no socket could be opened to yet.
+//! A move of the directory to another address, to which no socket could be opened yet.
 
 use crate::net::{Backoff, Time};
 use std::net::SocketAddr;
 
-/// Delay (s) after the first failed attempt to open a socket; it doubles with each further one.
+/// Delay (s) after the first failed attempt to open a socket; it doubles with each further failure.
 const FIRST_RETRY_DELAY: Time = 0.05;
-/// The longest delay (s) between two attempts.
+/// Maximum delay (s) between attempts.
 const MAX_RETRY_DELAY: Time = 1.0;
 
-/// A move to another directory, until it is done.
+/// A pending move to another directory.
 pub struct Relocation {
-    /// Where the directory is.
+    /// The new address of the directory.
     pub directory: SocketAddr,
-    /// When it is attempted next.
+    /// When the next attempt is due.
     pub next_attempt: Time,
     delays: Backoff,
 }
 
 impl Relocation {
-    /// A move that is attempted at `now`.
+    /// Creates a move whose first attempt is due at `now`.
     pub fn new(now: Time, directory: SocketAddr) -> Self {
         Self { directory, next_attempt: now, delays: Backoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY) }
     }
@@ -28,7 +28,7 @@
         self.delays.is_first()
     }
 
-    /// An attempt has failed at `now`: it is retried later.
+    /// Schedules a retry after an attempt has failed at `now`.
     pub fn retry_later(&mut self, now: Time) {
         self.next_attempt = now + self.delays.next_delay();
     }
--- a/src/discovery/dns/responsiveness.rs
+++ b/src/discovery/dns/responsiveness.rs
@@ -3,25 +3,25 @@
 use super::LOG_PART;
 use crate::net::{Backoff, Time};
 
-/// Without a response for so long (s) the directory counts as silent.
+/// Time without a response (s) after which the directory is regarded as silent.
 const SILENT_AFTER: Time = 1.0;
 
-/// Delay (s) after the first change of the port, for late responses to arrive on the one before; it doubles with each
-/// further change.
+/// Delay (s) after the first change of the port, so that late responses can still arrive on the previous
+/// port; it doubles with each further change.
 const FIRST_PORT_CHANGE_DELAY: Time = 1.0;
-/// The longest delay (s) between two changes of the port.
+/// Maximum delay (s) between changes of the port.
 const MAX_PORT_CHANGE_DELAY: Time = 8.0;
 
 /// Whether responses arrive, and since when.
 pub enum Responsiveness {
-    /// The latest response arrived then.
+    /// The directory responds; the latest response arrived at `last_response`.
     Responsive { last_response: Time },
     /// No response has arrived since `since`.
     Silent { since: Time, next_port_change: Time, delays: Backoff },
 }
 
 impl Responsiveness {
-    /// The directory counts as responsive at `now`.
+    /// Treats the directory as responsive at `now`.
     pub fn new(now: Time) -> Self {
         Self::Responsive { last_response: now }
     }
@@ -34,7 +34,8 @@
         *self = Self::new(now);
     }
 
-    /// Notices a silence. Whether the next query is to be sent from another port.
+    /// Detects that the directory is silent, and returns whether the next query is to be sent from another
+    /// port.
     pub fn should_change_port(&mut self, now: Time) -> bool {
         if let Self::Responsive { last_response: since } = *self {
             if now - since <= SILENT_AFTER {
--- a/src/discovery/dns/sockets.rs
+++ b/src/discovery/dns/sockets.rs
@@ -1,13 +1,14 @@
-//! The sockets on which the directory is queried. A connected UDP socket receives from one address alone.
+//! The sockets for queries to the directory. They are connected, so that each receives from the directory's
+//! address only.
 
 use crate::net::{Poller, Token};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 
-/// Errors that a socket may report before a datagram: the kernel reports each of them once.
+/// Maximum errors that are skipped on a socket before a datagram; the kernel reports each error once.
 const MAX_PENDING_ERRORS: usize = 4;
 
-/// The socket in use, and the one before it, on which a late response may still arrive.
+/// The current socket, and the previous one, on which late responses may still arrive.
 pub struct DirectorySockets {
     token: Token,
     directory: SocketAddr,
@@ -16,25 +17,25 @@
 }
 
 impl DirectorySockets {
-    /// Opens a socket to the directory. `token` names it to the poller.
+    /// Opens a socket to the directory and registers it with the poller under `token`.
     pub fn open(token: Token, directory: SocketAddr, poller: &Poller) -> io::Result<Self> {
         let current = open_socket(token, directory, poller)?;
         Ok(Self { token, directory, current, previous: None })
     }
 
-    /// The local address of the socket in use.
+    /// The local address of the current socket.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.current.local_addr()
     }
 
-    /// Queries another directory from now on, and receives from the one before no more. Without a descriptor for a
-    /// further socket, the open one is connected anew.
+    /// Queries another directory from now on, and no longer receives from the previous one. If no new socket
+    /// can be opened, the current one is reconnected.
     pub fn connect_to(&mut self, directory: SocketAddr, poller: &Poller) -> io::Result<()> {
         self.previous = None;
         if let Ok(socket) = open_socket(self.token, directory, poller) {
             self.current = socket;
         } else {
-            // Disconnected first: the kernel then chooses the source address anew.
+            // Disconnect first, so that the kernel selects a new source address.
             rustix::net::connect_unspec(&self.current)?;
             self.current.connect(directory)?;
         }
@@ -42,7 +43,8 @@
         Ok(())
     }
 
-    /// Queries from another port from now on: something on the path may have forgotten the present one.
+    /// Queries from another port from now on: a middlebox on the path may have dropped its state for the
+    /// current port.
     pub fn change_port(&mut self, poller: &Poller) -> io::Result<()> {
         let fresh = open_socket(self.token, self.directory, poller)?;
         self.previous = Some(std::mem::replace(&mut self.current, fresh));
@@ -54,8 +56,8 @@
         self.current.send(datagram)
     }
 
-    /// The length of the next datagram that has arrived on either socket, if there is one. Errors that the network
-    /// reported for earlier datagrams are skipped.
+    /// The length of the next datagram that has arrived on either socket, if there is one. Errors that the
+    /// network reported for earlier datagrams are skipped.
     pub fn receive(&self, buffer: &mut [u8]) -> Option<usize> {
         let sockets = std::iter::once(&self.current).chain(&self.previous);
         sockets.into_iter().find_map(|socket| receive_on(socket, buffer))
--- a/src/discovery/endpoint_json.rs
+++ b/src/discovery/endpoint_json.rs
@@ -1,4 +1,5 @@
-//! The endpoints that the configuration holds as events (protocol, "The directory"), and the store as a list of servers.
+//! JSON encoding of endpoints: as events in the configuration (protocol, "The directory"), as a list of
+//! servers in the store.
 
 use super::{start_time, Endpoint, EndpointSet};
 use dahliaspoke::policy::{EngineEntry, Lifecycle};
@@ -7,7 +8,7 @@
 use std::net::{AddrParseError, SocketAddr};
 use thiserror::Error;
 
-/// Names of the life cycle's steps.
+/// Names of the lifecycle states.
 const STATE_READY: &str = "active";
 const STATE_DRAINING: &str = "leaving";
 const STATE_GONE: &str = "left";
@@ -18,7 +19,7 @@
 /// Why endpoints cannot be read.
 #[derive(Debug, Error)]
 pub enum EndpointJsonError {
-    /// A field has another type than expected; the text names it.
+    /// A field has an unexpected type; the text names the field.
     #[error(transparent)]
     Field(#[from] SettingsError),
     /// The text is not JSON.
@@ -27,7 +28,7 @@
     /// The text is not a list.
     #[error("the servers are not a list")]
     NotAList,
-    /// A server is in a state that the protocol does not name.
+    /// A server has a state that the protocol does not define.
     #[error("unknown state {0}")]
     UnknownState(String),
     /// The address of a server is not an IP address with a port.
@@ -38,24 +39,24 @@
         /// What is wrong with the address.
         source: AddrParseError,
     },
-    /// A server lacks its id, or lacks its address and is not gone.
+    /// A server has no id, or it has no address and its state is not `left`.
     #[error("a server has no id or no address")]
     NoIdOrAddress,
 }
 
-/// The endpoints that the configuration holds.
+/// The endpoints in the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct InitialEndpoints {
     /// The number of the last list that they include.
     pub list_number: u32,
-    /// The endpoints after all lists.
+    /// The endpoints after all lists have been applied.
     pub endpoints: EndpointSet,
 }
 
 /// Reads the events under `known` in the configuration.
 ///
 /// # Errors
-/// Where the events are not of the protocol's form.
+/// If the events do not have the form that the protocol defines.
 pub fn from_config(config: &Map<String, Value>) -> Result<InitialEndpoints, EndpointJsonError> {
     let known = object_field(config, "known")?;
     let mut endpoints = EndpointSet::default();
@@ -77,7 +78,7 @@
     Ok(())
 }
 
-/// Encodes endpoints as a list of servers, in the form that they have in events.
+/// Encodes endpoints as a list of servers, in the same form as in events.
 pub fn to_json(endpoints: &EndpointSet) -> String {
     let servers = endpoints.to_vec().iter().map(encode_endpoint).collect::<Vec<_>>();
     Value::from(servers).to_string()
@@ -86,7 +87,7 @@
 /// Decodes a list of servers, as [`to_json`] encodes it.
 ///
 /// # Errors
-/// Where the text is not of that form.
+/// If the text does not have that form.
 pub fn from_json(text: &str) -> Result<EndpointSet, EndpointJsonError> {
     let value: Value = serde_json::from_str(text)?;
     let servers = value.as_array().ok_or(EndpointJsonError::NotAList)?;
--- a/src/discovery/maintenance.rs
+++ b/src/discovery/maintenance.rs
@@ -1,5 +1,5 @@
-//! Engines that operators have taken out of service, whatever a list reports of them. They are stored in a file of the
-//! folder for temporary files, so that both processes of an upgrade know them.
+//! Engines that operators have taken out of service, whatever a list reports of them. They are stored in a
+//! file in the folder for temporary files, which both processes of an upgrade use.
 
 use crate::net::Time;
 use crate::shared_file::SharedFile;
@@ -12,21 +12,21 @@
 /// The environment variable that names the folder for temporary files.
 const FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// Name of the file: a JSON object with the engines' ids and since when each is in maintenance (s).
+/// Name of the file: a JSON object that maps the ids of engines to the start of their maintenance (s).
 const FILE_NAME: &str = "maintenance.json";
 
-/// Since when (s) each engine is in maintenance.
+/// When the maintenance of each engine started (s).
 type StartTimes = BTreeMap<EngineId, Time>;
 
 /// The engines in maintenance.
 pub struct MaintenanceSet {
-    /// Absent where the platform names no folder: the set then ends with the process.
+    /// Absent if the platform names no folder: the set is then lost when the process exits.
     file: Option<SharedFile>,
     start_times: StartTimes,
 }
 
 impl MaintenanceSet {
-    /// Opens the file, and begins with what an earlier process has stored there.
+    /// Opens the file and starts from what an earlier process has stored there.
     pub fn open() -> Self {
         let folder = std::env::var_os(FOLDER_VARIABLE).map(PathBuf::from);
         let (file, content) = folder.map(|folder| SharedFile::open(folder.join(FILE_NAME))).unzip();
@@ -34,16 +34,16 @@
         Self { file, start_times }
     }
 
-    /// Since when (s) an engine is in maintenance; none where it is not.
+    /// When the maintenance of an engine started (s); none if it is not in maintenance.
     pub fn since(&self, engine: &EngineId) -> Option<Time> {
         self.start_times.get(engine).copied()
     }
 
-    /// Applies what another process has stored since, and returns the engines that have entered or left maintenance by
-    /// that. Content that cannot be decoded is ignored.
+    /// Applies what another process has stored since the last call, and returns the engines that this puts
+    /// into or takes out of maintenance. Content that cannot be decoded is ignored.
     ///
     /// # Errors
-    /// Where this process could not write the file: a later process will not know of its changes.
+    /// If this process could not write the file: a later process will not know of its changes.
     pub fn poll(&mut self) -> io::Result<Vec<EngineId>> {
         let content = self.file.as_mut().map_or(Ok(None), SharedFile::poll)?;
         let Some(stored) = content.and_then(|content| decode(&content)) else { return Ok(Vec::new()) };
@@ -53,7 +53,8 @@
         Ok(changed)
     }
 
-    /// Takes an engine out of service at `now`. One that is in maintenance already stays so since its earlier time.
+    /// Takes an engine out of service at `now`. An engine that is already in maintenance keeps its earlier
+    /// start time.
     pub fn add(&mut self, now: Time, engine: &EngineId) {
         self.start_times.entry(engine.clone()).or_insert(now);
         self.store();
