--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin interface for operators: HTTP/1.1, one call a connection. It decodes calls and encodes responses; the daemon
-//! carries the calls out.
+//! The admin interface for operators: HTTP/1.1, one call per connection. It decodes calls and encodes
+//! responses; the daemon executes the commands.
 
 mod command;
 mod response;
@@ -16,23 +16,23 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Status of a call that is not whole in time.
+/// Status for a call that is not received completely in time.
 const REQUEST_TIMEOUT: u16 = 408;
-/// Status of a call whose body is too large.
+/// Status for a call whose body is too large.
 const CONTENT_TOO_LARGE: u16 = 413;
-/// The number of a listener's route in requests; calls of operators become none.
+/// Placeholder for the route number that a listener's state needs; operators' calls never become requests.
 const NO_ROUTE: usize = 0;
 
-/// A call that waits for its response.
+/// A call that has not been answered yet.
 #[derive(Debug)]
 pub struct Call {
-    /// The connection that it came by.
+    /// The connection on which it was received.
     pub connection: Token,
-    /// What the operator wants.
+    /// The decoded command.
     pub command: Command,
 }
 
-/// What all connections of operators share.
+/// The state that all operator connections share.
 pub struct Shared {
     state: ListenerState,
     calls: VecDeque<Call>,
@@ -43,20 +43,20 @@
     stream: BufferedStream,
     token: Token,
     accepted_at: Time,
-    /// When it is closed, at the latest.
+    /// When the connection is closed or answered with an error, at the latest.
     deadline: Time,
-    /// Its call is read; bytes behind it are passed over.
-    called: bool,
+    /// The call has been read or rejected; any further input is discarded.
+    has_read_call: bool,
 }
 
 /// The admin interface: a listener and its connections.
 pub type AdminInterface = Server<AdminConnection>;
 
 impl AdminInterface {
-    /// Opens it on a listening socket. `owner` is the owner number in tokens.
+    /// Opens the admin interface on a listening socket. `owner` is the owner number in tokens.
     ///
     /// # Errors
-    /// Where the system refuses to have the socket watched.
+    /// If the socket cannot be registered with the poller.
     pub fn open(owner: u8, socket: TcpListener, poller: Rc<Poller>, limits: Rc<Limits>) -> io::Result<Self> {
         let shared = Shared { state: ListenerState::new(NO_ROUTE, limits), calls: VecDeque::new() };
         Self::new(owner, socket, shared, poller)
@@ -67,7 +67,7 @@
         self.shared.calls.pop_front()
     }
 
-    /// Answers a call, if its connection is still there.
+    /// Answers a call, if its connection is still open.
     pub fn respond(&mut self, now: Time, connection: Token, response: &Response) {
         self.reply(now, connection, |operator, shared| {
             operator.finish(now, response.status(), &response.body(), shared)
@@ -78,7 +78,7 @@
 impl ClientConnection for AdminConnection {
     fn accepted(now: Time, stream: BufferedStream, token: Token, shared: &Shared) -> Option<Self> {
         let deadline = now + shared.state.limits.clients.request_timeout;
-        Some(AdminConnection { stream, token, accepted_at: now, deadline, called: false })
+        Some(AdminConnection { stream, token, accepted_at: now, deadline, has_read_call: false })
     }
 
     fn deadline(&self) -> Option<Time> {
@@ -86,15 +86,16 @@
     }
 
     fn on_deadline(&mut self, now: Time, shared: &mut Shared) -> Flow {
-        if self.called {
+        if self.has_read_call {
             return Flow::Close;
         }
         self.finish(now, REQUEST_TIMEOUT, "", shared)
     }
 
-    /// Operators that stay silent, or do not take their answer, must not keep others out.
+    /// Every connection can be evicted, so that operators who send nothing or do not read their answer do not
+    /// block others.
     fn eviction_rank(&self) -> Option<EvictionRank> {
-        let has_sent_request = self.called && self.stream.queued() > 0;
+        let has_sent_request = self.has_read_call && self.stream.queued() > 0;
         Some(EvictionRank { has_sent_request, idle_since: self.accepted_at })
     }
 
@@ -115,14 +116,14 @@
     }
 
     fn readable(&mut self, now: Time, shared: &mut Shared) -> Flow {
-        if self.called {
+        if self.has_read_call {
             self.stream.input.clear();
             return Flow::Open;
         }
         match self.read_command(&shared.state.limits) {
             Ok(None) => Flow::Open,
             Ok(Some(command)) => {
-                self.called = true;
+                self.has_read_call = true;
                 shared.calls.push_back(Call { connection: self.token, command });
                 Flow::Open
             }
@@ -138,7 +139,10 @@
 }
 
 impl AdminConnection {
-    /// The command in the input, once its call is here whole; else the status that rejects it.
+    /// The command in the input; none until the call has been received completely.
+    ///
+    /// # Errors
+    /// The HTTP status with which the call is rejected.
     fn read_command(&self, limits: &Limits) -> Result<Option<Command>, HttpError> {
         match codec::decode(&self.stream.input, limits)? {
             Decoded::Partial { .. } => Ok(None),
@@ -147,9 +151,9 @@
         }
     }
 
-    /// Answers, and closes the connection once the answer is written.
+    /// Sends the answer, and closes the connection once it has been written.
     fn finish(&mut self, now: Time, status: u16, text: &str, shared: &mut Shared) -> Flow {
-        self.called = true;
+        self.has_read_call = true;
         self.stream.input = Vec::new();
         self.stream.push(codec::text(status, text));
         self.deadline = shared.state.begin_linger(now, self.token);
--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -1,19 +1,19 @@
-//! The answers to commands, and how HTTP carries them.
+//! The responses to commands, and their HTTP status and body.
 
 use dahliaspoke::policy::EngineId;
 
-/// The answer to a [`Command`](super::Command).
+/// The response to a [`Command`](super::Command).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// This process takes clients.
+    /// This process serves clients.
     Healthy,
     /// This process is shutting down.
     ShuttingDown,
-    /// The statistics: a line `NAME=VALUE` each.
+    /// The statistics, one line `NAME=VALUE` per value.
     Statistics(String),
-    /// The engine's maintenance is as wanted.
+    /// The engine's maintenance has been set as requested.
     Done,
-    /// No engine of that id is known.
+    /// No engine with this id is known.
     UnknownEngine(EngineId),
 }
 
--- a/src/check.rs
+++ b/src/check.rs
@@ -1,4 +1,4 @@
-//! `dahliaspoke check FILE`: whether a file would be accepted, without a start.
+//! `dahliaspoke check FILE`: checks whether the daemon would accept a file, without starting it.
 
 use crate::body_store::BodyStoreFile;
 use crate::config::{parse_toml, Config, ConfigError};
@@ -10,10 +10,10 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The ending of examples: an example is checked as the file that it stands for.
+/// The suffix of example files, which are checked as the file that they are an example of.
 const EXAMPLE_SUFFIX: &str = ".example";
 
-/// Why a file would not be accepted.
+/// Why a file is rejected.
 #[derive(Debug, Error)]
 pub enum CheckError {
     /// The file cannot be read.
@@ -21,18 +21,18 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The file is no JSON.
+    /// The file is not JSON.
     #[error("{path}: not JSON: {source}")]
     NotJson {
         /// The file.
         path: String,
-        /// Where and why.
+        /// The parser's error, with line and column.
         source: serde_json::Error,
     },
-    /// The file's keys or values are wrong.
+    /// The file's keys or values are invalid.
     #[error("{path}: {reason}")]
     Invalid {
         /// The file.
@@ -40,21 +40,22 @@
         /// The key, and what is wrong with it.
         reason: String,
     },
-    /// The file's syntax, or a single key of it, is wrong; the text names file, line and key.
+    /// The file's syntax or one of its keys is invalid; the message names file, line and key.
     #[error(transparent)]
     Unparsable(#[from] ConfigError),
-    /// The daemon reads no file of that name.
-    #[error("{path}: no file of ours has that name")]
+    /// The daemon reads no file of this name.
+    #[error("{path}: the daemon reads no file of this name")]
     UnknownName {
         /// The file.
         path: String,
     },
 }
 
-/// Checks the file at `path` as the one that its name says. What depends on the settings is checked at the start only.
+/// Checks the file at `path`; its name determines what it is checked as. Rules that depend on the settings
+/// are checked only when the daemon starts.
 ///
 /// # Errors
-/// What is wrong with the file.
+/// If the file is invalid.
 pub fn check_file(path: &str) -> Result<(), CheckError> {
     let name = Path::new(path).file_name().and_then(|name| name.to_str()).unwrap_or_default();
     let text = std::fs::read_to_string(path)
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the configuration.
+//! Errors in the configuration.
 
 use crate::discovery::endpoint_json::EndpointJsonError;
 use dahliaspoke::settings::SettingsError;
@@ -7,10 +7,10 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Why the configuration, or a file in `deploy/`, was not accepted.
+/// Why the configuration or a file in `deploy/` was rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// An environment variable that must be there is absent or is not Unicode.
+    /// A required environment variable is absent or not Unicode.
     #[error("{variable}: {source}")]
     Environment {
         /// The variable.
@@ -34,21 +34,21 @@
         /// The reason, with line and column.
         source: serde_json::Error,
     },
-    /// A file in TOML could not be parsed, or has an unknown key or a value of a wrong type.
+    /// A TOML file cannot be parsed, or has an unknown key or a value of the wrong type.
     #[error("{path}: line {line}, {key:?}: {message}")]
     Toml {
         /// The file.
         path: String,
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What stands before the first `=` in that line.
+        /// The text before the first `=` in this line.
         key: String,
         /// The parser's message in one line.
         message: String,
-        /// The parser's own report.
+        /// The parser's error.
         source: Box<toml::de::Error>,
     },
-    /// The content of a file is wrong.
+    /// The content of a file is invalid.
     #[error("{path}: {source}")]
     InFile {
         /// The file.
@@ -76,22 +76,22 @@
         /// The reason.
         source: ParseIntError,
     },
-    /// A key or a setting has a wrong type or an unknown value.
+    /// A key or a setting has the wrong type or an unknown value.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The endpoints that are known at the start are wrong.
+    /// The endpoints in the configuration are invalid.
     #[error(transparent)]
     Endpoints(EndpointJsonError),
     /// The settings in the replicated store are not JSON.
     #[error("stored settings: {0}")]
     StoredSettings(#[source] serde_json::Error),
-    /// The engines in the replicated store are wrong.
+    /// The engines in the replicated store are invalid.
     #[error("stored engines: {0}")]
     StoredEngines(#[source] EndpointJsonError),
 }
 
 impl ConfigError {
-    /// The error with the file that it was found in.
+    /// Adds the path of the file in which the error was found.
     pub fn in_file(self, path: &str) -> Self {
         Self::InFile { path: path.into(), source: Box::new(self) }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration that the platform hands to the daemon at its start: a JSON file that an environment variable names.
-//! Files in `deploy/` switch on further parts; [`read_optional`] reads them.
+//! The configuration that the platform passes to the daemon at startup: a JSON file named by an environment
+//! variable. Files in `deploy/` enable further components; [`read_optional`] reads them.
 
 mod error;
 mod toml_file;
@@ -17,30 +17,30 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
-/// The environment variable with the admin interface's address, where the file has none.
+/// The environment variable with the admin interface's address, which is used if the file has none.
 const ADMIN_ADDRESS_VARIABLE: &str = "NODE_CONSOLE";
 /// The environment variable with the descriptor of the listening socket that this process inherits.
 const INHERITED_LISTENER_VARIABLE: &str = "NODE_INHERITED_FD";
-/// The base of the number that `seed` holds.
+/// The base in which the value of `seed` is written.
 const SEED_RADIX: u32 = 16;
 
-/// The configuration, checked.
+/// The validated configuration.
 pub struct Config {
     /// The name of this coordinator.
     pub name: String,
     /// The address of the HTTP listener.
     pub listen_address: SocketAddr,
-    /// The descriptor of the HTTP listener's socket, where this process inherits it.
+    /// The descriptor of the HTTP listener's socket, if this process inherits it.
     pub inherited_listener: Option<RawFd>,
-    /// The address of the admin interface, where there is one.
+    /// The address of the admin interface, if it is enabled.
     pub admin_address: Option<SocketAddr>,
-    /// Seeds the decisions' random numbers.
+    /// Seed of the random numbers for decisions.
     pub seed: u64,
     /// The address of the directory that answers DNS queries.
     pub directory: SocketAddr,
     /// The endpoints known at the start, and the number of the last event that they include.
     pub initial_endpoints: InitialEndpoints,
-    /// Settings of the decisions.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Limits that follow from the configuration.
     pub limits: Limits,
@@ -50,7 +50,7 @@
     /// Reads the file that the environment names.
     ///
     /// # Errors
-    /// [`ConfigError::Environment`], or what is wrong with the file, with its path.
+    /// [`ConfigError::Environment`], or the error in the file with its path.
     pub fn load() -> Result<Self, ConfigError> {
         let path = std::env::var(CONFIG_VARIABLE)
             .map_err(|source| ConfigError::Environment { variable: CONFIG_VARIABLE, source })?;
@@ -64,7 +64,7 @@
     /// Reads the configuration and the environment variables that complete it.
     ///
     /// # Errors
-    /// The first key that is wrong, in the order in which they are read here.
+    /// The first invalid key, in the order in which the keys are read.
     pub fn from_json(value: &Value) -> Result<Self, ConfigError> {
         let map = object(value, "the configuration")?;
         let admin_address = admin_address(map)?;
@@ -83,11 +83,11 @@
         })
     }
 
-    /// Applies what the replicated store holds: its settings replace those of the file, and its engines are used if the
-    /// file has none.
+    /// Applies the values in the replicated store: its settings replace those of the file, and its engines
+    /// are used if the file has none.
     ///
     /// # Errors
-    /// What is wrong with the stored value.
+    /// If a stored value is invalid.
     pub fn apply_stored(&mut self, settings: Option<&str>, engines: Option<&str>) -> Result<(), ConfigError> {
         if let Some(text) = settings {
             let value: Value = serde_json::from_str(text).map_err(ConfigError::StoredSettings)?;
@@ -101,7 +101,7 @@
     }
 }
 
-/// The address of the admin interface: of the file, else of the environment.
+/// The address of the admin interface: from the file, else from the environment.
 fn admin_address(map: &Map<String, Value>) -> Result<Option<SocketAddr>, ConfigError> {
     if !text(map, "console", "")?.is_empty() {
         return address(map, "console").map(Some);
@@ -117,7 +117,7 @@
     number.map(Some).map_err(|source| ConfigError::Number { name: INHERITED_LISTENER_VARIABLE, text, source })
 }
 
-/// The address at `key`; an absent one cannot be parsed.
+/// The address at `key`. An absent address is an error, since an empty text cannot be parsed.
 fn address(map: &Map<String, Value>, key: &'static str) -> Result<SocketAddr, ConfigError> {
     parse_address(key, text(map, key, "")?)
 }
--- a/src/config/toml_file.rs
+++ b/src/config/toml_file.rs
@@ -1,4 +1,4 @@
-//! Files in TOML that may be absent.
+//! Optional TOML files.
 
 use super::ConfigError;
 use serde::de::DeserializeOwned;
@@ -6,13 +6,13 @@
 
 /// A file that was read.
 pub struct ParsedFile<T> {
-    /// What it holds.
+    /// The parsed content.
     pub content: T,
-    /// Its text, for checks that report a line.
+    /// The text, for checks that report a line number.
     pub text: String,
 }
 
-/// Reads a file; `None` if it is absent: what it switches on is off then.
+/// Reads a file; `None` if it is absent, which leaves the component that it configures disabled.
 ///
 /// # Errors
 /// [`ConfigError::Read`] or [`ConfigError::Toml`].
@@ -20,7 +20,7 @@
     Ok(read_optional_with_text(path)?.map(|file| file.content))
 }
 
-/// Reads a file and returns its text as well; `None` if it is absent.
+/// Reads a file and also returns its text; `None` if it is absent.
 ///
 /// # Errors
 /// [`ConfigError::Read`] or [`ConfigError::Toml`].
@@ -39,7 +39,7 @@
 /// Parses the text of the file `path`.
 ///
 /// # Errors
-/// [`ConfigError::Toml`], whose text is one line with path, line and key.
+/// [`ConfigError::Toml`], whose message is one line with path, line and key.
 pub fn parse_toml<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
     toml::from_str(text).map_err(|error| toml_error(path, text, error))
 }
@@ -53,7 +53,7 @@
     ConfigError::Toml { path: path.into(), line, key: key.trim().into(), message, source: Box::new(error) }
 }
 
-/// The line, from 1, that holds the byte at `offset`.
+/// The number, from 1, of the line that contains the byte at `offset`.
 pub fn line_number(text: &str, offset: usize) -> usize {
     1 + text.bytes().take(offset).filter(|byte| *byte == b'\n').count()
 }
--- a/src/failpoints.rs
+++ b/src/failpoints.rs
@@ -1,4 +1,5 @@
-//! Named points at which a test kills or stops the process in the middle of its work. The daemon's own build has none.
+//! Failpoints at which a test kills or stops the process. They are compiled in only with the feature
+//! `points`.
 
 /// Marks a failpoint.
 #[cfg(not(feature = "points"))]
@@ -14,8 +15,9 @@
 #[cfg(not(feature = "points"))]
 pub fn configure() {}
 
-/// Configures the failpoints that the environment names: `DAHLIASPOKE_KILL_AT=NAME` kills the process there, and
-/// `DAHLIASPOKE_STOP_AT=NAME` stops it; `NAME@3` means the third time that it reaches the point.
+/// Configures the failpoints named by the environment: `DAHLIASPOKE_KILL_AT=NAME` kills the process at a
+/// failpoint, and `DAHLIASPOKE_STOP_AT=NAME` stops it; `NAME@3` means the third time that the failpoint is
+/// reached.
 #[cfg(feature = "points")]
 pub fn configure() {
     active::configure();
@@ -26,9 +28,9 @@
     use rustix::process::{getpid, kill_process, Signal};
     use std::sync::atomic::{AtomicUsize, Ordering};
 
-    /// Names the failpoint at which the process is killed.
+    /// The environment variable with the failpoint at which the process is killed.
     const KILL_VARIABLE: &str = "DAHLIASPOKE_KILL_AT";
-    /// Names the failpoint at which the process is stopped.
+    /// The environment variable with the failpoint at which the process is stopped.
     const STOP_VARIABLE: &str = "DAHLIASPOKE_STOP_AT";
 
     pub fn configure() {
@@ -50,7 +52,8 @@
         fail::cfg_callback(name, on_reached).unwrap_or_else(|error| println!("{name}: {error}"));
     }
 
-    /// A process that is killed does not come back; one that is stopped goes on from here.
+    /// Returns only after SIGSTOP, once the process is continued. SIGKILL may take a moment to take effect,
+    /// and the process must not run on until then.
     fn send(signal: Signal) {
         let _ = kill_process(getpid(), signal);
         if signal == Signal::KILL {
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,6 +1,7 @@
-//! The program's log on standard output: lines of text, or JSON objects where `deploy/log.toml` wants them.
+//! The program's log on standard output: lines of text, or JSON objects if `deploy/log.toml` selects them.
 //!
-//! An event's `at` is the daemon's own clock (Unix seconds), and its `part` the component that logs; both may be absent.
+//! An event's `at` is the time by the daemon's clock (Unix seconds), and its `part` is the component that
+//! logs it; both may be absent.
 
 use crate::config::{read_optional, ConfigError};
 use serde::Deserialize;
@@ -12,7 +13,7 @@
 use tracing_subscriber::fmt::FmtContext;
 use tracing_subscriber::registry::LookupSpan;
 
-/// Where the file is, from the folder that the daemon is started in.
+/// Path of the log's configuration file, relative to the daemon's working directory.
 pub const FILE: &str = "deploy/log.toml";
 
 /// The content of [`FILE`].
@@ -34,7 +35,7 @@
 /// Why the log could not be opened.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The file is wrong; the text names file, line and key.
+    /// The configuration file is invalid; the message names file, line and key.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
 }
@@ -42,16 +43,16 @@
 /// Writes the program's events to standard output from here on.
 ///
 /// # Errors
-/// Where [`FILE`] is wrong.
+/// If [`FILE`] is invalid.
 pub fn init() -> Result<(), LogError> {
     let config = read_optional(FILE)?;
     let Config { format } = config.unwrap_or_default();
-    // A second call in one process, as tests may make, keeps the first subscriber.
+    // A second call in the same process, as in tests, leaves the first subscriber installed.
     let _ = tracing_subscriber::fmt().event_format(format).with_writer(std::io::stdout).try_init();
     Ok(())
 }
 
-/// A field of an event that has no place of its own in a line.
+/// A field of an event other than `at`, `part` and the message.
 struct ExtraField {
     name: &'static str,
     value: String,
@@ -60,7 +61,7 @@
 /// The fields of one event.
 #[derive(Default)]
 struct EventFields {
-    /// Unix seconds.
+    /// Time (Unix seconds).
     at: Option<f64>,
     part: String,
     message: String,
@@ -81,7 +82,7 @@
         for ExtraField { name, value } in &self.extra {
             write!(line, " {name}={value}")?;
         }
-        // One line for each event, whatever a value holds.
+        // Each event is one line, even if a value contains line breaks.
         writeln!(out, "{}", line.replace(['\r', '\n'], " "))
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! dahliaspoke: the coordinator before the query engines, around the decision module in the library.
+//! dahliaspoke: the coordinator in front of the query engines, built around the decision module in the
+//! library.
 #![forbid(unsafe_code)]
 
 mod admin;
@@ -26,10 +27,11 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// How clap begins the text of a usage error.
+/// The prefix of clap's usage errors.
 const USAGE_ERROR_PREFIX: &str = "error: ";
 
-/// The coordinator before the query engines. Without a command it starts as the file that `NODE_CONFIG` names says.
+/// The coordinator in front of the query engines. Without a command it starts with the configuration file
+/// that `NODE_CONFIG` names.
 #[derive(Debug, Parser)]
 #[command(name = "dahliaspoke")]
 struct CommandLine {
@@ -39,14 +41,14 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Checks a file of `deploy/`, or the configuration, without a start.
+    /// Checks a file of `deploy/`, or the configuration, without starting the coordinator.
     Check {
-        /// The file; its name says what it must hold.
+        /// The file; its name determines what it is checked as.
         file: String,
     },
 }
 
-/// Why the program fails.
+/// Why the program failed.
 #[derive(Debug, Error)]
 enum MainError {
     /// The log could not be opened.
@@ -55,10 +57,10 @@
     /// The configuration could not be read.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The daemon could not start, or not go on.
+    /// The daemon could not start or keep running.
     #[error(transparent)]
     Daemon(#[from] DaemonError),
-    /// The checked file would not be accepted.
+    /// The checked file is invalid.
     #[error(transparent)]
     Check(#[from] CheckError),
 }
@@ -67,7 +69,7 @@
     failpoints::configure();
     let command_line = match CommandLine::try_parse() {
         Ok(command_line) => command_line,
-        Err(error) => return answer_unparsed(&error),
+        Err(error) => return handle_parse_error(&error),
     };
     let result = match command_line.command {
         None => run(),
@@ -79,7 +81,7 @@
     }
 }
 
-/// Runs the daemon until it is told to shut down.
+/// Runs the daemon until a graceful shutdown has completed.
 fn run() -> Result<(), MainError> {
     log::init()?;
     let config = Config::load()?;
@@ -92,8 +94,8 @@
     Ok(())
 }
 
-/// Prints the help, where it was asked for; else the command line is wrong.
-fn answer_unparsed(error: &clap::Error) -> ExitCode {
+/// Prints the help if it was requested; any other parse error is a usage error, on which the program fails.
+fn handle_parse_error(error: &clap::Error) -> ExitCode {
     if error.use_stderr() {
         let text = error.to_string();
         return fail(text.strip_prefix(USAGE_ERROR_PREFIX).unwrap_or(&text).trim_end());
--- a/src/shared_file.rs
+++ b/src/shared_file.rs
@@ -1,4 +1,5 @@
-//! A small file with a thread of its own. A disk may delay a call for seconds, and the event loop must not wait for it.
+//! A small file with its own I/O thread: a disk may delay a call for seconds, and the event loop must not
+//! block on it.
 
 use rustix::fs::{Mode, OFlags};
 use std::fs::File;
@@ -6,62 +7,62 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-/// What the thread is to do.
+/// A task for the I/O thread.
 enum Task {
-    /// Read the file, to see whether another process has replaced it.
+    /// Read the file, to detect whether another process has replaced it.
     Read,
-    /// Replace its content.
+    /// Replace the content of the file.
     Replace(Vec<u8>),
 }
 
-/// A task that the thread has done.
+/// The result of a completed task.
 enum Completion {
-    /// The content, where it is not what was read or written here last.
+    /// The content, if it differs from what this process last read or wrote.
     Read(Option<Vec<u8>>),
-    /// The content was replaced, or that failed.
+    /// The result of replacing the content.
     Replaced(io::Result<()>),
 }
 
-/// A small file that other processes may replace as well.
+/// A small file that other processes may replace, too.
 pub struct SharedFile {
     tasks: Sender<Task>,
     completions: Receiver<Completion>,
-    /// Reads that are not complete yet.
+    /// Reads that are not completed yet.
     pending_reads: usize,
-    /// Replacements that are not complete yet.
+    /// Replacements that are not completed yet.
     pending_writes: usize,
 }
 
 impl SharedFile {
-    /// Starts the thread; returns the content as well, if the file is there.
+    /// Starts the I/O thread; also returns the current content, if the file can be read.
     pub fn open(path: PathBuf) -> (Self, Option<Vec<u8>>) {
         let content = read(&path);
         let (tasks, task_queue) = channel();
         let (completion_queue, completions) = channel();
         let worker =
             Worker { path, content: content.clone(), tasks: task_queue, completions: completion_queue };
-        // It ends with the program, or with the channel.
+        // The thread ends with the process, or when the channel is closed.
         std::thread::spawn(move || worker.run());
         (Self { tasks, completions, pending_reads: 0, pending_writes: 0 }, content)
     }
 
-    /// Replaces the content, soon.
+    /// Replaces the content asynchronously.
     pub fn replace(&mut self, bytes: Vec<u8>) {
         self.pending_writes += usize::from(self.tasks.send(Task::Replace(bytes)).is_ok());
     }
 
-    /// The content that another process has put in place since the last call, as far as that is known, and starts the next
-    /// read.
+    /// Returns the content that another process has written since the last call, if a completed read has
+    /// found any, and starts the next read.
     ///
     /// # Errors
-    /// Where an earlier replacement failed.
+    /// If an earlier replacement failed.
     pub fn poll(&mut self) -> io::Result<Option<Vec<u8>>> {
         let (mut latest, mut written) = (None, Ok(()));
         while let Ok(completion) = self.completions.try_recv() {
             match completion {
                 Completion::Read(found) => {
                     self.pending_reads -= 1;
-                    // What was found before one's own bytes were there is about to be replaced.
+                    // Content read before a pending write of this process is about to be replaced.
                     latest = found.filter(|_| self.pending_writes == 0).or(latest);
                 }
                 Completion::Replaced(result) => {
@@ -77,7 +78,8 @@
     }
 }
 
-/// Reads the file without an access time on the disk, which would be a write: a start must not wait for that either.
+/// Reads the file without updating its access time, which would be a write: startup must not wait for the
+/// disk either.
 fn read(path: &Path) -> Option<Vec<u8>> {
     let flags = OFlags::RDONLY | OFlags::NOATIME | OFlags::CLOEXEC;
     let mut bytes = Vec::new();
@@ -85,10 +87,10 @@
     Some(bytes)
 }
 
-/// The thread's side.
+/// The state of the I/O thread.
 struct Worker {
     path: PathBuf,
-    /// What was read or written last.
+    /// The content that was last read or written.
     content: Option<Vec<u8>>,
     tasks: Receiver<Task>,
     completions: Sender<Completion>,
@@ -113,7 +115,7 @@
         Some(found)
     }
 
-    /// Replaces the file whole or not at all: others read it at any time.
+    /// Replaces the file atomically, since other processes may read it at any time.
     fn replace(&mut self, bytes: Vec<u8>) -> io::Result<()> {
         let temporary = self.path.with_extension(std::process::id().to_string());
         let result =
