--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line and log: `check FILE`, usage errors, a start that fails, JSON lines.
+//! The daemon's command line and log: `check FILE`, usage errors, failed starts, JSON log lines.
 
 mod daemon;
 use daemon::*;
@@ -12,12 +12,12 @@
     let done =
         Command::new(env!("CARGO_BIN_EXE_dahliaspoke")).arg("check").arg(&path).output().expect("it starts");
     std::fs::remove_dir_all(folder).expect("it was there");
-    let said = [done.stdout, done.stderr].concat();
-    (done.status.success(), String::from_utf8(said).expect("text"))
+    let printed = [done.stdout, done.stderr].concat();
+    (done.status.success(), String::from_utf8(printed).expect("text"))
 }
 
 #[test]
-fn a_file_is_checked_without_a_start() {
+fn check_reports_errors_in_files_and_accepts_valid_ones() {
     let member = "listen = \"127.0.0.1:0\"\nfolder = \"store\"\n[peers]\nc1 = \"127.0.0.1:1\"\n";
     let wrong = [
         ("store.toml", format!("{member}c2 = \"nowhere\"\n"), "line 5, \"c2\""),
@@ -28,27 +28,27 @@
         ("other.toml", String::new(), "reads no file of this name"),
     ];
     for (name, text, why) in wrong {
-        let (taken, said) = check(name, &text);
-        assert!(!taken && said.contains(why), "{name}: {said}");
+        let (taken, printed) = check(name, &text);
+        assert!(!taken && printed.contains(why), "{name}: {printed}");
     }
     assert!(check("store.toml", member).0);
     assert!(check("config.json", &config(&[], "127.0.0.1:1".parse().expect("an address"))).0);
 }
 
 #[test]
-fn every_example_under_deploy_is_one_that_would_be_taken() {
+fn check_accepts_every_example_under_deploy() {
     for entry in std::fs::read_dir("deploy").expect("it is there") {
         let path = entry.expect("readable").path();
         if path.extension().is_some_and(|ending| ending == "example") {
             let name = path.file_name().and_then(|name| name.to_str()).expect("text").to_string();
-            let (taken, said) = check(&name, &std::fs::read_to_string(&path).expect("readable"));
-            assert!(taken, "{said}");
+            let (taken, printed) = check(&name, &std::fs::read_to_string(&path).expect("readable"));
+            assert!(taken, "{printed}");
         }
     }
 }
 
 #[test]
-fn lines_are_json_where_the_file_wants_them() {
+fn log_lines_are_json_if_configured() {
     let names = names();
     let text =
         config(&[("e1", "127.0.0.1:1".parse().expect("an address"))], names.local_addr().expect("bound"));
@@ -63,7 +63,7 @@
     }
 }
 
-/// Runs the program to its end: its exit code, and what it writes to standard error.
+/// Runs the program until it exits; returns its exit code and its standard error.
 fn failure(arguments: &[&str], configuration: Option<&std::path::Path>) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dahliaspoke"));
     command
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_is_reported_and_fails() {
+fn invalid_command_line_is_reported_and_fails() {
     for arguments in [&["start"][..], &["check"], &["check", "a", "b"], &["--colour"], &[""]] {
         let (code, text) = failure(arguments, None);
         assert_eq!(code, Some(1), "{arguments:?}: {text}");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_start_that_fails_says_why_in_one_line() {
+fn failed_start_reports_its_reason_in_one_line() {
     let missing = failure(&[], None);
     assert_eq!(missing, (Some(1), "dahliaspoke: NODE_CONFIG: environment variable not found\n".into()));
     let occupant = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/tests/daemon/mod.rs
+++ b/tests/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The program as a child process, with a configuration that names stand-ins on loopback.
+//! The daemon as a child process, with a configuration that names stand-ins on loopback.
 #![allow(dead_code)]
 
 use dahliaspoke_simulator::standin::{Directory, DirectoryEntry};
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Far beyond what anything here takes: only a failure waits so long.
+/// Time limit of every wait, far longer than a passing test needs.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 pub const SETTINGS: &str = r#"{"classes":[
@@ -23,7 +23,7 @@
   "retryAfter":true,"streamsPerConn":100,"tryLimit":4},"report":{"columns":["q","busy"],"via":"piggyback"},
  "rules":{"drainGrace":1,"cold":15,"coldShare":0.33,"fallMultiple":3,"overloadFor":3}}"#;
 
-/// An engine's listener and the id it goes by.
+/// The id and the listening socket of a stand-in for an engine.
 pub struct EngineSocket {
     pub id: String,
     pub listener: TcpListener,
@@ -34,7 +34,8 @@
         Self { id: id.into(), listener: TcpListener::bind("127.0.0.1:0").expect("a port") }
     }
 
-    /// One whose connections take small pieces and hold little: long calls to it stand partly unwritten.
+    /// Creates a socket whose connections have small segments and receive buffers, so that long requests stay
+    /// partly unwritten.
     pub fn narrow(id: &str) -> Self {
         let named = Self::new(id);
         let socket = socket2::SockRef::from(&named.listener);
@@ -46,10 +47,10 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// The next connection that comes.
+    /// Waits for the next connection.
     pub fn next(&self) -> TcpStream {
         self.listener.set_nonblocking(true).expect("set");
-        let stream = within(&format!("a connection to {}", self.id), || self.listener.accept().ok()).0;
+        let stream = wait_for(&format!("a connection to {}", self.id), || self.listener.accept().ok()).0;
         self.listener.set_nonblocking(false).expect("set");
         stream.set_nonblocking(false).expect("set");
         stream
@@ -66,7 +67,7 @@
     folder: PathBuf,
 }
 
-/// A configuration that knows these engines.
+/// A configuration that lists these engines, with the directory at `names`.
 pub fn config(engines: &[(&str, SocketAddr)], names: SocketAddr) -> String {
     let server = |(id, address): &(&str, SocketAddr)| {
         format!(
@@ -80,48 +81,49 @@
     )
 }
 
-/// A directory that goes on telling of these engines, all ready, as a configuration does.
+/// Starts a directory that lists these engines, all ready, as a configuration does; returns its address.
 pub fn directory(engines: &[(&str, SocketAddr)]) -> SocketAddr {
-    let told = |(id, address): &(&str, SocketAddr)| DirectoryEntry {
+    let listing = |(id, address): &(&str, SocketAddr)| DirectoryEntry {
         id: (*id).into(),
         zone: "hall-a".into(),
         address: *address,
         drains: false,
         started_ms: 0,
     };
-    Directory::start(engines.iter().map(told).collect()).expect("a port").address
+    Directory::start(engines.iter().map(listing).collect()).expect("a port").address
 }
 
-/// A configuration that knows these engines, with a directory that goes on telling of them.
+/// A configuration that lists these engines, with a running directory that lists them as well.
 pub fn config_with_directory(engines: &[(&str, SocketAddr)]) -> String {
     config(engines, directory(engines))
 }
 
-/// Looks until it finds.
-fn within<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
+/// Retries `find` until it returns a value.
+fn wait_for<T>(what: &str, mut find: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + PATIENCE;
     loop {
         if let Some(found) = find() {
             return found;
         }
-        assert!(Instant::now() < until, "waits for {what}");
+        assert!(Instant::now() < until, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 impl Daemon {
-    /// Starts the program with these files in its `deploy/`.
-    pub fn start(config: &str, files: &[(&str, String)], held: Option<&TcpListener>) -> Self {
-        Self::run(Self::folder(config, files), held, "")
+    /// Starts the daemon with these files in its `deploy/`, and with `shared_socket` as its inherited
+    /// listening socket.
+    pub fn start(config: &str, files: &[(&str, String)], shared_socket: Option<&TcpListener>) -> Self {
+        Self::run(Self::folder(config, files), shared_socket, "")
     }
 
-    /// The same, in a shell that has run this first.
-    pub fn start_with(config: &str, files: &[(&str, String)], first: &str) -> Self {
-        Self::run(Self::folder(config, files), None, first)
+    /// Starts the daemon from a shell that runs the commands in `prelude` before it.
+    pub fn start_with(config: &str, files: &[(&str, String)], prelude: &str) -> Self {
+        Self::run(Self::folder(config, files), None, prelude)
     }
 
     fn folder(config: &str, files: &[(&str, String)]) -> PathBuf {
-        // A folder of its own: the thread's and the process's numbers name it.
+        // The folder is named by the process and thread ids, so that each test has its own.
         let name = format!("dahliaspoke-{}-{:?}", std::process::id(), std::thread::current().id());
         let folder = std::env::temp_dir().join(name.replace(['(', ')'], ""));
         std::fs::create_dir_all(folder.join("deploy")).expect("a folder");
@@ -132,30 +134,31 @@
         folder
     }
 
-    /// Starts it again with what it has left behind.
+    /// Kills the daemon and starts it again in the same folder.
     pub fn restart(mut self) -> Self {
         let folder = std::mem::take(&mut self.folder);
         drop(self);
         Self::run(folder, None, "")
     }
 
-    /// Starts it once more beside this one, with the same folders and the socket that is held for both.
-    pub fn beside(&mut self, held: &TcpListener) -> Self {
-        Self::run(std::mem::take(&mut self.folder), Some(held), "")
+    /// Starts a second daemon beside this one, in the same folder and with the listening socket that both
+    /// share.
+    pub fn beside(&mut self, shared_socket: &TcpListener) -> Self {
+        Self::run(std::mem::take(&mut self.folder), Some(shared_socket), "")
     }
 
-    /// `held` is a listening socket that it inherits as descriptor 5.
-    fn run(folder: PathBuf, held: Option<&TcpListener>, first: &str) -> Self {
+    /// `shared_socket` is a listening socket that the daemon inherits as descriptor 5.
+    fn run(folder: PathBuf, shared_socket: Option<&TcpListener>, prelude: &str) -> Self {
         let program = env!("CARGO_BIN_EXE_dahliaspoke");
-        let direct = held.is_none() && first.is_empty();
+        let direct = shared_socket.is_none() && prelude.is_empty();
         let mut command = Command::new(if direct { program } else { "sh" });
         if !direct {
-            let handed = if held.is_some() { "5<&0 0</dev/null" } else { "" };
-            command.args(["-c", &format!("{first} exec \"$0\" {handed}"), program]);
+            let redirection = if shared_socket.is_some() { "5<&0 0</dev/null" } else { "" };
+            command.args(["-c", &format!("{prelude} exec \"$0\" {redirection}"), program]);
         }
-        if let Some(held) = held {
-            let held = OwnedFd::from(held.try_clone().expect("a copy"));
-            command.stdin(held).env("NODE_INHERITED_FD", "5");
+        if let Some(shared_socket) = shared_socket {
+            let shared_socket = OwnedFd::from(shared_socket.try_clone().expect("a copy"));
+            command.stdin(shared_socket).env("NODE_INHERITED_FD", "5");
         }
         let mut child = command
             .current_dir(&folder)
@@ -169,7 +172,8 @@
         let stdout = BufReader::new(child.stdout.take().expect("piped"));
         std::thread::spawn(move || stdout.lines().map_while(Result::ok).try_for_each(|line| send.send(line)));
         let mut daemon = Self { child, lines, http: None, mysql: None, store: None, console: None, folder };
-        // It tells of its doors, the platform's last; where the configuration is bad it ends instead.
+        // The daemon logs its listeners' addresses, the HTTP listener's last; with a bad configuration it
+        // exits instead.
         while let Ok(line) = daemon.lines.recv_timeout(PATIENCE) {
             let address = line.rsplit(' ').next().and_then(|a| a.parse().ok());
             if line.contains("speaks MySQL on") {
@@ -191,10 +195,10 @@
         std::fs::write(self.folder.join("config.json"), config).expect("written");
     }
 
-    /// From here on its disk stands still where the file of that name is: whoever opens it waits.
+    /// Replaces the file of this name with a FIFO: whoever opens it blocks, as on a stalled disk.
     pub fn stalls(&self, name: &str) {
         let path = self.folder.join(name);
-        let _ = std::fs::remove_file(&path); // it need not be there yet
+        let _ = std::fs::remove_file(&path); // it may not exist yet
         assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success());
     }
 
@@ -207,50 +211,50 @@
         }
     }
 
-    /// Waits until its counters hold that.
+    /// Waits until the line of its counters contains `text`.
     pub fn counts(&self, text: &str) {
-        within(text, || {
+        wait_for(text, || {
             self.signal("USR1");
             self.line("counters").contains(text).then_some(())
         });
     }
 
-    /// Waits until it has stopped: what comes from here on meets nobody.
+    /// Waits until the process is in the stopped state.
     pub fn stopped(&self) {
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
-        within("its stop", || state().contains(") T ").then_some(()));
+        wait_for("the process to stop", || state().contains(") T ").then_some(()));
     }
 
-    /// How it ends.
+    /// Waits for the process to exit; returns its status.
     pub fn ended(&mut self) -> ExitStatus {
-        within("its end", || self.child.try_wait().expect("it was started"))
+        wait_for("the process to exit", || self.child.try_wait().expect("it was started"))
     }
 
-    /// Descriptors that it has open.
+    /// The number of its open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
 
-    /// The lowest number that none of its descriptors has.
+    /// The lowest unused descriptor number.
     pub fn first_free(&self) -> u64 {
         let entry = |number: &u64| format!("/proc/{}/fd/{number}", self.child.id());
         (0..).find(|number| std::fs::symlink_metadata(entry(number)).is_err()).expect("they are bounded")
     }
 
-    /// The most memory that it has had resident (KB).
+    /// The peak of its resident memory (KB).
     pub fn memory_peak(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("it is told");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("VmHWM is listed");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Names in one of its folders.
+    /// The names of the files in one of its folders.
     pub fn files(&self, folder: &str) -> Vec<String> {
         let entries = std::fs::read_dir(self.folder.join(folder)).expect("it is there");
         entries.map(|e| e.expect("readable").file_name().to_string_lossy().into_owned()).collect()
     }
 
-    /// Waits for a line that holds `text`.
+    /// Waits for a log line that contains `text`.
     pub fn line(&self, text: &str) -> String {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -265,7 +269,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.kill(); // it may have exited
         let _ = self.child.wait();
         if self.folder.is_absolute() {
             let _ = std::fs::remove_dir_all(&self.folder);
@@ -273,7 +277,7 @@
     }
 }
 
-/// The latest query to the directory, and who asked.
+/// Waits for a query to the directory; returns the latest one and its sender.
 pub fn query(names: &UdpSocket) -> (Vec<u8>, SocketAddr) {
     let mut buffer = [0; 512];
     let mut latest = names.recv_from(&mut buffer).expect("a query");
@@ -285,7 +289,7 @@
     (buffer[..latest.0].to_vec(), latest.1)
 }
 
-/// A socket that stands for the directory.
+/// A socket that stands in for the directory; it responds to nothing by itself.
 pub fn names() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(PATIENCE)).expect("set");
--- a/tests/faulty_directory/mod.rs
+++ b/tests/faulty_directory/mod.rs
@@ -1,4 +1,5 @@
-//! A directory on loopback whose responses a test makes faulty: silent, late, truncated, repeated, renumbered.
+//! A directory on loopback whose responses a test can make faulty: missing, late, truncated, repeated or
+//! renumbered.
 #![allow(dead_code)]
 
 use dahliaspoke_simulator::standin::{directory_answer, DirectoryEntry};
@@ -8,7 +9,7 @@
 
 /// The header's TC flag (RFC 1035, 4.1.1), in its third byte.
 const TRUNCATED: u8 = 0x02;
-/// How long the directory waits for a query before it sends responses that are due.
+/// Maximum wait for a query, after which the responses that are due are sent.
 const TICK: Duration = Duration::from_millis(2);
 
 /// How the directory responds to queries.
@@ -20,26 +21,26 @@
     pub list: Vec<DirectoryEntry>,
     /// Queries are received and not answered.
     pub silent: bool,
-    /// Only queries from the socket that queried first are not answered.
+    /// Queries from the socket that queried first are not answered; others are.
     pub ignores_first_socket: bool,
     /// Responses are marked as truncated.
     pub truncated: bool,
-    /// From the making of a response to its sending.
+    /// Delay before a response is sent.
     pub delay: Duration,
     /// Datagrams that are sent ahead of every response.
     pub ahead: Vec<Vec<u8>>,
-    /// The same, under the id of the query that is answered.
+    /// Old responses that are sent ahead of every response, with the id of the query that is answered.
     pub ahead_as_response: Vec<Vec<u8>>,
 }
 
-/// What it has received and sent so far.
+/// The responses sent and the clients seen so far.
 #[derive(Default)]
 struct Record {
     responses: Vec<Vec<u8>>,
     clients: Vec<SocketAddr>,
 }
 
-/// A directory that responds as its latest behaviour says.
+/// A directory that responds according to its current behaviour.
 pub struct FaultyDirectory {
     pub address: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
@@ -51,7 +52,7 @@
 }
 
 impl FaultyDirectory {
-    /// Starts it on a free port.
+    /// Starts the directory on a free port.
     pub fn start(behaviour: Behaviour) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("bound");
@@ -62,12 +63,12 @@
         Self { address, behaviour, record }
     }
 
-    /// Changes its behaviour from the next query on.
+    /// Changes the behaviour from the next query on.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut lock(&self.behaviour));
     }
 
-    /// Every response that it has sent.
+    /// Every response created so far.
     pub fn responses(&self) -> Vec<Vec<u8>> {
         lock(&self.record).responses.clone()
     }
@@ -84,20 +85,22 @@
     let mut buffer = [0; 512];
     loop {
         if let Ok((length, client)) = socket.recv_from(&mut buffer) {
-            let now = lock(behaviour).clone();
+            let current = lock(behaviour).clone();
             let mut record = lock(record);
             if !record.clients.contains(&client) {
                 record.clients.push(client);
             }
-            let is_ignored = now.silent || now.ignores_first_socket && record.clients[0] == client;
-            let answer = directory_answer(&buffer[..length], now.serial, &now.list).filter(|_| !is_ignored);
+            let is_ignored = current.silent || current.ignores_first_socket && record.clients[0] == client;
+            let answer =
+                directory_answer(&buffer[..length], current.serial, &current.list).filter(|_| !is_ignored);
             if let Some(mut answer) = answer {
-                if now.truncated {
+                if current.truncated {
                     answer[2] |= TRUNCATED;
                 }
-                let as_response = now.ahead_as_response.iter().map(|old| [&buffer[..2], &old[2..]].concat());
-                let due = Instant::now() + now.delay;
-                let ahead = now.ahead.iter().cloned().chain(as_response);
+                let as_response =
+                    current.ahead_as_response.iter().map(|old| [&buffer[..2], &old[2..]].concat());
+                let due = Instant::now() + current.delay;
+                let ahead = current.ahead.iter().cloned().chain(as_response);
                 in_flight.extend(ahead.map(|datagram| (due, client, datagram)));
                 record.responses.push(answer.clone());
                 in_flight.push((due, client, answer));
--- a/tests/list_lease.rs
+++ b/tests/list_lease.rs
@@ -1,5 +1,5 @@
-//! What the directory reports of an engine holds for the time of the lease, and only in response to a query of this process:
-//! no attempt begins at an engine that may have drained.
+//! The endpoint list is valid for the duration of its lease, and only responses to queries of this process
+//! renew it: no attempt may start at an engine that may have drained in the meantime.
 
 mod daemon;
 mod faulty_directory;
@@ -65,35 +65,37 @@
         });
     }
 
-    /// Sends queries until the draining engine receives none and the other one serves all of so many in a row.
+    /// Sends queries until the other engine has served `IN_A_ROW` of them in a row, none of which reached the
+    /// draining engine.
     fn until_drained(&self) {
         const IN_A_ROW: u32 = 40;
-        let (mut had, mut row) = (self.drains.ids().len(), 0);
-        until("nothing begins at the engine that drains", || {
+        let (mut previous, mut consecutive) = (self.drains.ids().len(), 0);
+        until("no attempt starts at the draining engine", || {
             let served = self.request() == "200";
-            let has = self.drains.ids().len();
-            row = if served && has == had { row + 1 } else { 0 };
-            had = has;
+            let count = self.drains.ids().len();
+            consecutive = if served && count == previous { consecutive + 1 } else { 0 };
+            previous = count;
             std::thread::sleep(Duration::from_millis(20));
-            (row == IN_A_ROW).then_some(())
+            (consecutive == IN_A_ROW).then_some(())
         });
     }
 
     fn drain(&self) {
-        self.directory.change(|now| {
-            now.serial += 1;
-            now.list[DRAINS].drains = true;
+        self.directory.change(|behaviour| {
+            behaviour.serial += 1;
+            behaviour.list[DRAINS].drains = true;
         });
     }
 }
 
-/// The directory falls silent, and an engine drains meanwhile. After the lease requests are rejected and no attempt begins;
-/// with the directory's first response they are served again, and not by that engine.
+/// The directory stops responding, and an engine drains meanwhile. Once the lease has expired, requests are
+/// rejected and no attempt starts; after the directory's first response they are served again, but not by the
+/// draining engine.
 #[test]
 fn no_attempt_begins_after_the_lease_has_expired() {
     let site = Site::start();
     site.until_served_by_drains();
-    site.directory.change(|now| now.silent = true);
+    site.directory.change(|behaviour| behaviour.silent = true);
     site.drain();
     until("a request is refused", || (site.request() == "503").then_some(()));
     let before = site.drains.ids();
@@ -101,26 +103,28 @@
         assert_eq!(site.request(), "503", "the list is still too old");
     }
     assert_eq!(site.drains.ids(), before);
-    site.directory.change(|now| now.silent = false);
+    site.directory.change(|behaviour| behaviour.silent = false);
     until("it serves again", || (site.request() == "200").then_some(()));
     for _ in 0..50 {
         assert_eq!(site.request(), "200");
     }
-    assert_eq!(site.drains.ids(), before, "something began at an engine that drains");
-    assert!(site.stays.ids().len() >= 50, "the other one serves");
+    assert_eq!(site.drains.ids(), before, "an attempt started at the draining engine");
+    assert!(site.stays.ids().len() >= 50, "the other engine serves");
 }
 
-/// A coordinator is killed and started again; responses to its former incarnation arrive late, on the path of the new one and
-/// ahead of those to its own queries. They have higher numbers and an older list.
+/// A coordinator is killed and restarted; late responses to its former incarnation reach the new one, ahead
+/// of the responses to its own queries. They have higher numbers and an older list.
 #[test]
 fn responses_to_an_earlier_incarnation_do_not_freeze_the_list() {
     let mut site = Site::start();
-    site.directory.change(|now| now.serial = 9);
-    until("it has sent some queries", || (site.directory.responses().len() > 40).then_some(()));
+    site.directory.change(|behaviour| behaviour.serial = 9);
+    until("the directory has answered some queries", || {
+        (site.directory.responses().len() > 40).then_some(())
+    });
     let former = site.directory.responses();
-    site.directory.change(|now| {
-        now.serial = 1;
-        now.ahead = former;
+    site.directory.change(|behaviour| {
+        behaviour.serial = 1;
+        behaviour.ahead = former;
     });
     site.daemon = site.daemon.restart();
     site.until_served_by_drains();
@@ -128,90 +132,92 @@
     site.until_drained();
 }
 
-/// A directory that restarts numbers its lists from the beginning.
+/// The directory restarts and numbers its lists from the start again.
 #[test]
 fn restarted_numbering_does_not_freeze_the_list() {
     let site = Site::start();
-    site.directory.change(|now| now.serial = 9);
+    site.directory.change(|behaviour| behaviour.serial = 9);
     site.until_served_by_drains();
     let received = site.directory.responses().len();
     until("the high number was received", || (site.directory.responses().len() > received + 3).then_some(()));
-    site.directory.change(|now| now.serial = 1);
+    site.directory.change(|behaviour| behaviour.serial = 1);
     site.drain();
     site.until_drained();
 }
 
-/// The same where the directory itself answers the queries of the new incarnation with an old list, under the number that the
-/// list had for the one before: it is accepted for a moment, until the true responses outvote it.
+/// After a restart of the coordinator, the directory itself answers queries of the new incarnation with an
+/// old list under its former, higher number: the list is accepted briefly, until the correct responses
+/// outvote it.
 #[test]
 fn response_with_a_false_number_is_outvoted() {
     let mut site = Site::start();
-    site.directory.change(|now| now.serial = 9);
-    until("a list of number 9 went out", || (site.directory.responses().len() > 5).then_some(()));
-    let high = site.directory.responses().pop().expect("some went out");
-    site.directory.change(|now| {
-        now.serial = 1;
-        now.ahead_as_response = vec![high];
+    site.directory.change(|behaviour| behaviour.serial = 9);
+    until("a list with number 9 was sent", || (site.directory.responses().len() > 5).then_some(()));
+    let high = site.directory.responses().pop().expect("a response was sent");
+    site.directory.change(|behaviour| {
+        behaviour.serial = 1;
+        behaviour.ahead_as_response = vec![high];
     });
     site.daemon = site.daemon.restart();
     site.until_served_by_drains();
-    site.directory.change(|now| now.ahead_as_response.clear());
+    site.directory.change(|behaviour| behaviour.ahead_as_response.clear());
     site.drain();
     site.until_drained();
 }
 
-/// A response that is marked as truncated reports nothing, and does not renew the lease either.
+/// A response that is marked as truncated is not used, and does not renew the lease either.
 #[test]
 fn truncated_responses_do_not_renew_the_lease() {
     let site = Site::start();
     site.until_served_by_drains();
-    site.directory.change(|now| now.truncated = true);
+    site.directory.change(|behaviour| behaviour.truncated = true);
     site.drain();
     until("a request is refused", || (site.request() == "503").then_some(()));
     let before = site.drains.ids();
-    site.directory.change(|now| now.truncated = false);
+    site.directory.change(|behaviour| behaviour.truncated = false);
     until("it serves again", || (site.request() == "200").then_some(()));
-    assert_eq!(site.drains.ids(), before, "something began at an engine that drains");
+    assert_eq!(site.drains.ids(), before, "an attempt started at the draining engine");
 }
 
-/// Something on the path has forgotten the port that queries come from: another one is tried.
+/// The network path stops passing packets from the current port: the coordinator queries from another port.
 #[test]
 fn unresponsive_directory_is_queried_from_another_port() {
     let site = Site::start();
     site.until_served_by_drains();
-    site.directory.change(|now| now.ignores_first_socket = true);
+    site.directory.change(|behaviour| behaviour.ignores_first_socket = true);
     site.drain();
     until("it queries from another port", || (site.directory.clients().len() > 1).then_some(()));
     site.until_drained();
 }
 
 impl Site {
-    /// A further directory that lists the same engines, of which one drains, under a low number, and a configuration that
-    /// names it.
+    /// Starts another directory, which lists the same engines, one of them draining, under a low number. Also
+    /// returns a configuration that names it.
     fn next_directory(&self) -> (FaultyDirectory, String) {
         let known = [("stays", self.stays.list[0].1), ("drains", self.drains.list[0].1)];
         let list = known.iter().map(|(id, address)| Self::listed(id, *address)).collect();
         let next = FaultyDirectory::start(Behaviour { serial: 1, list, ..Behaviour::default() });
-        next.change(|now| now.list[DRAINS].drains = true);
+        next.change(|behaviour| behaviour.list[DRAINS].drains = true);
         let config = config(&known, next.address);
         (next, config)
     }
 }
 
-/// SIGHUP moves to a directory whose numbers begin again, and the old one is silent.
+/// After SIGHUP the coordinator queries another directory, whose list numbers are lower; the old one is
+/// silent.
 #[test]
-fn moved_directory_is_followed_whatever_its_numbers() {
+fn moved_directory_is_followed_despite_lower_list_numbers() {
     let site = Site::start();
-    site.directory.change(|now| now.serial = 9);
+    site.directory.change(|behaviour| behaviour.serial = 9);
     site.until_served_by_drains();
     let (_next, config) = site.next_directory();
     site.daemon.configure(&config);
-    site.directory.change(|now| now.silent = true);
+    site.directory.change(|behaviour| behaviour.silent = true);
     site.daemon.signal("HUP");
     site.until_drained();
 }
 
-/// The configuration is half written when SIGHUP arrives: it is read again, without another signal.
+/// The configuration file is half written when SIGHUP arrives: it is read again without another signal.
 #[test]
 fn half_written_configuration_is_read_again() {
     let site = Site::start();
@@ -220,29 +226,30 @@
     site.daemon.configure(&config[..config.len() / 2]);
     site.daemon.signal("HUP");
     site.daemon.line("the old configuration stays");
-    site.directory.change(|now| now.silent = true);
+    site.directory.change(|behaviour| behaviour.silent = true);
     site.daemon.configure(&config);
     site.until_drained();
 }
 
-/// No descriptor is free when SIGHUP arrives: the move is retried until done, and the latest one counts.
+/// No descriptor is free when SIGHUP arrives: the reload is retried until it succeeds, with the latest
+/// configuration.
 #[test]
 fn directory_move_without_descriptors_is_retried() {
     let site = Site::start();
     site.until_served_by_drains();
-    let (former, spent) = site.next_directory();
+    let (former, superseded) = site.next_directory();
     let (_next, config) = site.next_directory();
     let pid = Pid::from_raw(site.daemon.child.id() as i32);
-    // Its standard streams are open: no number below the limit comes free.
+    // The standard streams stay open, so no descriptor number below the limit becomes free.
     const STREAMS: u64 = 3;
     let none = Rlimit { current: Some(STREAMS), ..getrlimit(Resource::Nofile) };
     let usual = prlimit(pid, Resource::Nofile, none).expect("fewer");
-    site.daemon.configure(&spent);
+    site.daemon.configure(&superseded);
     site.daemon.signal("HUP");
     site.daemon.line("the old configuration stays");
     site.daemon.configure(&config);
-    former.change(|now| now.silent = true);
-    site.directory.change(|now| now.silent = true);
+    former.change(|behaviour| behaviour.silent = true);
+    site.directory.change(|behaviour| behaviour.silent = true);
     site.daemon.signal("HUP");
     prlimit(pid, Resource::Nofile, usual).expect("as before");
     site.until_drained();
--- a/tests/payload.rs
+++ b/tests/payload.rs
@@ -1,4 +1,4 @@
-//! How a payload is cut into packets.
+//! Splitting of payloads into packets.
 
 #[path = "../src/mysql/packet.rs"]
 #[allow(dead_code)]
@@ -9,7 +9,8 @@
 use packet::MAX_PACKET_PAYLOAD;
 use payload::Payload;
 
-/// The payloads as a peer reads them: packets until one is not full.
+/// Reads a payload as a peer does: packets up to the first that is not full. Returns it and the last sequence
+/// number.
 fn payload(mut bytes: &[u8]) -> (Vec<u8>, u8) {
     let mut out = Vec::new();
     for sequence in 0.. {
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn payloads_are_cut_where_packets_end() {
+fn payloads_are_split_at_the_maximum_packet_size() {
     for (length, packets) in [
         (1, 1),
         (MAX_PACKET_PAYLOAD - 1, 1),
@@ -34,12 +35,12 @@
         (MAX_PACKET_PAYLOAD + 1, 2),
         (2 * MAX_PACKET_PAYLOAD, 3),
     ] {
-        let whole: Vec<u8> = (0..length).map(|n| (n % 251) as u8).collect();
+        let data: Vec<u8> = (0..length).map(|n| (n % 251) as u8).collect();
         let mut out = Vec::new();
         let mut open = Payload::open(length, &mut out);
-        whole.chunks(60_000).for_each(|piece| open.put(piece, &mut out));
+        data.chunks(60_000).for_each(|chunk| open.put(chunk, &mut out));
         let (got, last) = payload(&out);
-        assert!(got == whole, "{length} bytes");
+        assert!(got == data, "{length} bytes");
         assert_eq!(usize::from(last) + 1, packets);
     }
 }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Restarts under load, with a directory that says nothing: each comes up and serves. The campaign, which prints how
-//! long that takes:
+//! Restarts under load: each time the daemon must come up and answer health checks, although its engine does
+//! not respond. The long run, which prints how long that takes:
 //!
 //!     cargo test --release --locked --test restarts -- --ignored --nocapture
 
@@ -11,59 +11,60 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Asks, and whether there was an answer of that kind.
-fn ask(door: SocketAddr, call: &str, answer: &[u8]) -> bool {
-    let Ok(mut stream) = TcpStream::connect(door) else { return false };
+/// Sends a request; whether a response with this prefix was received.
+fn request_succeeds(http_address: SocketAddr, call: &str, expected_prefix: &[u8]) -> bool {
+    let Ok(mut stream) = TcpStream::connect(http_address) else { return false };
     stream.set_read_timeout(Some(Duration::from_secs(3))).expect("set");
     let mut got = [0; 256];
     stream.write_all(call.as_bytes()).is_ok()
-        && stream.read(&mut got).is_ok_and(|count| got[..count].starts_with(answer))
+        && stream.read(&mut got).is_ok_and(|count| got[..count].starts_with(expected_prefix))
 }
 
-/// Kills and starts the program so often while clients come without pause. From each start to its first yes.
+/// Kills and restarts the daemon `times` times while clients send requests without pause. Returns the time
+/// from each start to the first successful health check.
 fn measure_restarts(times: usize, clients: u64) -> Vec<Duration> {
     let engine = EngineSocket::new("e1");
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+    let listen_address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let config = config_with_directory(&[("e1", engine.address())]);
-    let config = config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{free}\""));
+    let config = config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{listen_address}\""));
     let mut daemon = Daemon::start(&config, &[], None);
-    let (stop, number) = (AtomicBool::new(false), AtomicU64::new(0));
+    let (stop, next_id) = (AtomicBool::new(false), AtomicU64::new(0));
     std::thread::scope(|scope| {
         for _ in 0..clients {
             scope.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
-                    let id = number.fetch_add(1, Ordering::Relaxed);
-                    // Its engine hangs: only refusals and the client's own patience end it.
+                    let id = next_id.fetch_add(1, Ordering::Relaxed);
+                    // The engine hangs: requests end only when they are rejected or their client times out.
                     let call = format!(
                         "POST /invoke/lookup HTTP/1.1\r\nX-Job-Id: {id:016x}\r\nX-Allow-Ms: 60\r\nContent-Length: 8\r\n\r\nSELECT 1"
                     );
-                    ask(free, &call, b"HTTP/1.1 503");
+                    request_succeeds(listen_address, &call, b"HTTP/1.1 503");
                 }
             });
         }
-        let mut took = Vec::new();
+        let mut durations = Vec::new();
         for _ in 0..times {
-            let begun = Instant::now();
+            let started = Instant::now();
             daemon = daemon.restart();
-            while !ask(free, "GET /_health HTTP/1.1\r\n\r\n", b"HTTP/1.1 200") {
-                assert!(begun.elapsed() < PATIENCE, "it does not come up");
+            while !request_succeeds(listen_address, "GET /_health HTTP/1.1\r\n\r\n", b"HTTP/1.1 200") {
+                assert!(started.elapsed() < PATIENCE, "the daemon does not come up");
             }
-            took.push(begun.elapsed());
+            durations.push(started.elapsed());
         }
         stop.store(true, Ordering::Relaxed);
-        took
+        durations
     })
 }
 
 #[test]
-fn it_comes_up_under_load_with_the_directory_silent() {
+fn daemon_comes_up_after_restarts_under_load() {
     assert_eq!(measure_restarts(5, 20).len(), 5);
 }
 
 #[test]
-#[ignore = "a campaign: it measures times"]
-fn how_long_a_restart_takes() {
-    let mut took = measure_restarts(100, 100);
-    took.sort();
-    println!("100 restarts: p50 {:?}, p90 {:?}, max {:?}", took[49], took[89], took[99]);
+#[ignore = "a long run that measures times"]
+fn restart_times_under_load_are_printed() {
+    let mut durations = measure_restarts(100, 100);
+    durations.sort();
+    println!("100 restarts: p50 {:?}, p90 {:?}, max {:?}", durations[49], durations[89], durations[99]);
 }
