--- a/src/net/acceptor.rs
+++ b/src/net/acceptor.rs
@@ -1,4 +1,4 @@
-//! A listening socket that accepts connections only while there is capacity.
+//! A listening socket that accepts connections only while there is capacity for them.
 
 use super::poller::{poll_now, Interest};
 use super::{BufferedStream, Poller, Token};
@@ -9,42 +9,43 @@
 use std::os::fd::RawFd;
 use std::rc::Rc;
 
-/// The listening socket that this process has inherited under that descriptor number. A copy is asked of the kernel by way of
-/// the process itself: a number alone proves no ownership.
+/// Returns the listening socket that this process inherited as descriptor `number`. The descriptor is
+/// duplicated with `pidfd_getfd` on this process itself, because a bare number does not prove ownership of
+/// the descriptor.
 ///
 /// # Errors
-/// Where the number is no descriptor, or its socket does not listen.
+/// If `number` is not an open descriptor or its socket is not listening.
 pub fn inherited_listener(number: RawFd) -> io::Result<TcpListener> {
     let own_process = pidfd_open(getpid(), PidfdFlags::empty())?;
     let socket = TcpListener::from(pidfd_getfd(own_process, number, PidfdGetfdFlags::empty())?);
     if rustix::net::sockopt::socket_acceptconn(&socket)? {
         Ok(socket)
     } else {
-        Err(io::Error::new(io::ErrorKind::InvalidInput, "it does not listen"))
+        Err(io::Error::new(io::ErrorKind::InvalidInput, "the inherited descriptor is not a listening socket"))
     }
 }
 
-/// Connections that may wait in the kernel's queue to be accepted. The standard library's own backlog is short: a burst would
-/// fill it, and who connects then waits a second and more.
+/// Length of the kernel's accept queue. The standard library's default is too short: a burst would fill it,
+/// and clients that connect then wait for a second or more.
 const BACKLOG: i32 = 4096;
 
-/// A listening socket that the poller watches.
+/// A listening socket registered with the poller.
 pub struct Acceptor {
     socket: TcpListener,
     token: Token,
     poller: Rc<Poller>,
-    /// Whether the poller reports connections that wait.
+    /// Whether the poller reports pending connections.
     is_accepting: bool,
 }
 
 impl Acceptor {
-    /// The slot in a listening socket's token, which no connection has.
+    /// The slot number in a listening socket's token; no connection uses it.
     pub const SLOT: u32 = u32::MAX;
 
-    /// Accepts on a socket, whose token names the event handler `owner`.
+    /// Starts listening on `socket`; its token names the event handler `owner`.
     ///
     /// # Errors
-    /// Where the system refuses to listen, or to watch the socket.
+    /// If the system refuses to listen or the poller cannot watch the socket.
     pub fn new(owner: u8, socket: TcpListener, poller: Rc<Poller>) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         rustix::net::listen(&socket, BACKLOG)?;
@@ -53,38 +54,39 @@
         Ok(Self { socket, token, poller, is_accepting: true })
     }
 
-    /// Where it listens.
+    /// The local address of the socket.
     ///
     /// # Errors
-    /// Where the system refuses to name it.
+    /// If the system cannot report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next connection that waits, if there is one.
+    /// Accepts the next pending connection, if there is one.
     ///
     /// # Errors
-    /// Where one waits and the system has no descriptor or memory for it: it waits on.
+    /// If a connection is pending but the system has no descriptor or memory for it; it stays in the queue.
     pub fn accept(&self) -> io::Result<Option<BufferedStream>> {
         loop {
             match self.socket.accept() {
                 Ok((stream, _)) => {
-                    // One that broke before it was accepted is passed over.
+                    // A connection that broke before it was accepted is skipped.
                     if let Ok(stream) = BufferedStream::accepted(stream) {
                         return Ok(Some(stream));
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                // The kernel looks for a descriptor before it looks whether a connection waits.
-                Err(_) if !self.has_waiting() => return Ok(None),
+                // The kernel allocates a descriptor before it checks for a pending connection, so this error
+                // may occur with an empty queue.
+                Err(_) if !self.has_pending_connection() => return Ok(None),
                 Err(error) => return Err(error),
             }
         }
     }
 
-    /// Whether a connection waits in the kernel's queue.
-    fn has_waiting(&self) -> bool {
+    /// Whether a connection is pending in the kernel's queue.
+    fn has_pending_connection(&self) -> bool {
         poll_now(&self.socket, PollFlags::IN).intersects(PollFlags::IN)
     }
 
@@ -93,13 +95,14 @@
         self.token
     }
 
-    /// Whether the poller reports connections that wait.
+    /// Whether the poller reports pending connections.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting
     }
 
-    /// Sets whether connections are accepted. While there is no capacity they wait in the kernel's queue, and the poller does
-    /// not report them. A change that the kernel refuses is not made; the caller asks again in the loop's next iteration.
+    /// Sets whether connections are accepted. While they are not, connections wait in the kernel's queue and
+    /// the poller does not report them. If the kernel rejects the change, the state stays as it was and the
+    /// caller retries in the next iteration of the event loop.
     pub fn set_accepting(&mut self, accepting: bool) {
         if accepting == self.is_accepting {
             return;
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -1,10 +1,10 @@
-//! Exponential backoff: delays between tries, each twice as long as the one before, up to a bound.
+//! Exponential backoff: each delay between retries is twice the previous one, up to a maximum.
 
 use super::Time;
 
 const GROWTH: f64 = 2.0;
 
-/// The delays of one thing that is tried again and again (s).
+/// The retry delays of one operation (s).
 pub struct Backoff {
     first: Time,
     next: Time,
@@ -12,17 +12,17 @@
 }
 
 impl Backoff {
-    /// Starts with the delay `first` and never exceeds `max` (s).
+    /// The first delay is `first`; no delay exceeds `max` (s).
     pub fn new(first: Time, max: Time) -> Self {
         Self { first, next: first, max }
     }
 
-    /// Whether there was no delay yet.
+    /// Whether no delay has been returned yet.
     pub fn is_first(&self) -> bool {
         self.next <= self.first
     }
 
-    /// The delay before the next try (s).
+    /// Returns the delay before the next retry (s).
     pub fn next_delay(&mut self) -> Time {
         let delay = self.next;
         self.next = (GROWTH * delay).min(self.max);
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,12 +1,12 @@
-//! The one clock: Unix time that never goes back.
+//! The daemon's clock: Unix time that never runs backwards.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix seconds. Deadlines are such times, never durations.
+/// Unix time in seconds. Deadlines are points in time, never durations.
 pub type Time = f64;
 
-/// The system's Unix clock as read at the start, carried on by the monotonic one: decisions must not see time go back when
-/// somebody sets the clock.
+/// The system's Unix time as read at startup, advanced by the monotonic clock: time must not run backwards
+/// for the daemon's decisions when the system clock is set.
 pub struct Clock {
     unix_at_start: Time,
     start: Instant,
@@ -19,7 +19,7 @@
         Self { unix_at_start: since_epoch.map_or(0.0, |since| since.as_secs_f64()), start: Instant::now() }
     }
 
-    /// Now (Unix seconds).
+    /// The current time (Unix seconds).
     pub fn now(&self) -> Time {
         self.unix_at_start + self.start.elapsed().as_secs_f64()
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,60 +1,63 @@
-//! What a connection does when its socket is ready.
+//! The callbacks of a connection when its socket is ready.
 
 use super::{BufferedStream, Time};
 
-/// What becomes of a connection after a callback.
+/// What happens to a connection after a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// It goes on.
+    /// It stays open.
     Open,
-    /// It is closed at once.
+    /// It is closed immediately.
     Close,
-    /// What is queued goes out; what still comes in is passed over.
+    /// Queued output is still written and further input is discarded.
     Finish,
 }
 
-/// A connection in a [`ConnectionSlab`](super::ConnectionSlab), which alone calls this. None of it may block.
+/// A connection in a [`ConnectionSlab`](super::ConnectionSlab), the only caller of these methods. None of
+/// them may block.
 ///
-/// For a descriptor that is ready the order is: `readable`, if bytes were read; `before_write`, if something is queued and the
-/// socket takes bytes; `writable`. After each of the slab's calls what was queued meanwhile is written, with `before_write`
-/// ahead of it. `closed` comes last, once.
+/// When a descriptor is ready, the callbacks run in this order: `readable`, if bytes were read;
+/// `before_write`, if output is queued and the socket is writable; `writable`. After each call of a slab
+/// method, newly queued output is written, preceded by `before_write`. `closed` is called last, once.
 pub trait Connection {
-    /// What all connections of one slab have in common. The owner of the slab hands it in with each call.
+    /// State shared by all connections of one slab. The owner of the slab passes it to each call.
     type Shared;
 
-    /// Whether the peer answers, as a server does: what it has sent is read even after a write has failed. What a client sent
-    /// before it went away is not.
-    const PEER_ANSWERS: bool = false;
+    /// Whether input is still read after a write has failed. True where the peer is a server, whose answer
+    /// may already have arrived; false where it is a client that has disconnected and no longer expects an
+    /// answer.
+    const READ_AFTER_WRITE_ERROR: bool = false;
 
-    /// Its socket and buffers.
+    /// The socket and its buffers.
     fn channel(&mut self) -> &mut BufferedStream;
 
-    /// New bytes are in the stream's input. Called after each read that has brought some, unless the connection finishes. What
-    /// it has dealt with it removes from the input.
+    /// New bytes are in the stream's input. Called after each read that returned bytes, unless the connection
+    /// is finishing. The implementation removes the bytes that it has processed from the input.
     fn readable(&mut self, now: Time, shared: &mut Self::Shared) -> Flow;
 
-    /// The connection came up, or the socket takes bytes and what was queued has been written. Called when the poller reports
-    /// the socket as writable.
+    /// The connection has been established, or the socket is writable and the queued output has been written.
+    /// Called when the poller reports the socket as writable.
     fn writable(&mut self, now: Time, shared: &mut Self::Shared) -> Flow;
 
-    /// The socket may take bytes, and what is queued is about to be written: the place to withdraw what must not go out any
-    /// more. Called before each write.
+    /// Queued output is about to be written: the implementation withdraws here what must no longer be sent.
+    /// Called before each write.
     fn before_write(&mut self, _: Time, _: &mut Self::Shared) -> Flow {
         Flow::Open
     }
 
-    /// Whether nothing is read for now, for lack of capacity. Asked before each read, and after each callback to tell the
-    /// poller.
+    /// Whether reading is paused for lack of capacity. Checked before each read, and after each callback to
+    /// update the poller.
     fn is_paused(&self) -> bool {
         false
     }
 
-    /// Whether it has something to write that is not queued yet: `writable` is called as soon as the socket takes it. Asked
-    /// after each callback.
+    /// Whether there is output that is not queued yet: `writable` is then called as soon as the socket is
+    /// writable. Checked after each callback.
     fn has_unqueued_output(&self) -> bool {
         false
     }
 
-    /// The connection is over, whoever ended it. Called once, when it has left its slab; the socket is closed afterwards.
+    /// The connection has ended, whichever side ended it. Called once, after it has been removed from its
+    /// slab; the socket is closed afterwards.
     fn closed(&mut self, now: Time, shared: &mut Self::Shared);
 }
--- a/src/net/event_handler.rs
+++ b/src/net/event_handler.rs
@@ -1,18 +1,19 @@
-//! What the event loop asks of each part of the daemon.
+//! The interface between the event loop and the daemon's components.
 
 use super::{Ready, Time};
 
-/// A part of the daemon with descriptors, timers, or both. The event loop calls all of it; nothing here may block. What a
-/// handler has received is fetched from it by the daemon after each call.
+/// A component of the daemon with descriptors, timers or both. The event loop calls all methods; none may
+/// block. After each call the daemon fetches the events that the handler has produced.
 pub trait EventHandler {
-    /// The earliest time at which it has something to do that no descriptor tells of; `None` for never. Called before each
-    /// wait of the loop.
+    /// The earliest time at which the handler has work that no descriptor will signal; `None` if there is
+    /// none. Called before each wait of the event loop.
     fn next_deadline(&mut self) -> Option<Time>;
 
-    /// Does what is due by now. Called once in each iteration of the loop, also when nothing is due.
+    /// Handles everything that is due. Called once in each iteration of the event loop, even if nothing is
+    /// due.
     fn on_timer(&mut self, now: Time);
 
-    /// One of its descriptors is ready. Called for each event of the poller whose token names this handler as its owner; the
-    /// descriptor may have been closed meanwhile.
+    /// One of the handler's descriptors is ready. Called for each poller event whose token names this handler
+    /// as its owner; the descriptor may have been closed in the meantime.
     fn on_ready(&mut self, now: Time, ready: Ready);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,13 @@
-//! The event loop's building blocks. There is one thread and one epoll instance; nothing here blocks but [`Poller::wait`].
+//! Building blocks of the event loop. There is one thread and one epoll instance; only [`Poller::wait`]
+//! blocks.
 //!
-//! - `poller`: epoll, and the tokens that name descriptors
-//! - `event_handler`: what the loop calls on each part of the daemon
-//! - `connection`, `slab`, `open_connection`: connections as objects with callbacks, kept by index
-//! - `stream`, `output`: a non-blocking socket with its buffers
+//! - `poller`: epoll, and the tokens that identify descriptors
+//! - `event_handler`: the interface that the event loop calls on each component of the daemon
+//! - `connection`, `slab`, `open_connection`: connections as objects with callbacks, stored by index
+//! - `stream`, `output`: non-blocking sockets with their buffers
 //! - `acceptor`: listening sockets
-//! - `timers`, `clock`, `backoff`, `suspend`: time
-//! - `resp`: the framing that engines and the store's members have in common
+//! - `timers`, `clock`, `backoff`, `suspend`: timers, time, retry delays and detection of suspensions
+//! - `resp`: the framing shared by the engine protocol and the store's members
 
 mod acceptor;
 mod backoff;
--- a/src/net/open_connection.rs
+++ b/src/net/open_connection.rs
@@ -1,40 +1,41 @@
-//! A connection in its slot, and the order in which its callbacks are called.
+//! A connection in its slot of the slab, and the order in which its callbacks run.
 
 use super::poller::Interest;
 use super::stream::ReadStatus;
 use super::{Connection, Flow, Ready, Time};
 
-/// Reads after which a peer that takes no bytes any more is read no further.
+/// Maximum number of reads from a peer after a write to it has failed.
 const MAX_FINAL_READS: usize = 64;
 
-/// A connection in its slot.
+/// A connection in its slot of the slab.
 pub struct OpenConnection<C> {
     /// The connection.
     pub connection: C,
-    /// What the poller reports of it.
+    /// The events that the poller reports for it.
     pub interest: Interest,
-    /// It ends as soon as its output has gone out and the peer has ended its side.
+    /// The connection closes once its output has been written and the peer has closed its side.
     pub is_finishing: bool,
-    /// Our side of the socket is shut down.
+    /// The write side of the socket has been shut down.
     is_shut_down: bool,
 }
 
 impl<C: Connection> OpenConnection<C> {
-    /// A connection that the poller watches with this interest.
+    /// Wraps a connection that the poller watches with this interest.
     pub fn new(connection: C, interest: Interest) -> Self {
         Self { connection, interest, is_finishing: false, is_shut_down: false }
     }
 
-    /// What the poller is to report from now on. A connection with bytes unwritten and a full input is read on: a close must
-    /// be seen. What is read is bounded by the connection's own limits. Of one that is paused the end is seen all the same.
+    /// The events that the poller should report from now on. A connection with unwritten output and a full
+    /// input is still read, because a close by the peer must be noticed; the connection's own limits bound
+    /// the input. The poller reports the peer's close even while reading is paused.
     pub fn wanted_interest(&mut self) -> Interest {
         let stream = self.connection.channel();
         let is_writing = stream.is_connecting() || stream.queued() > 0;
-        let has_more = self.connection.has_unqueued_output() && !self.is_finishing;
-        Interest { readable: self.is_read(), writable: is_writing || has_more }
+        let has_unqueued = self.connection.has_unqueued_output() && !self.is_finishing;
+        Interest { readable: self.is_reading(), writable: is_writing || has_unqueued }
     }
 
-    /// Runs the callbacks that a ready descriptor calls for.
+    /// Runs the callbacks for a ready descriptor.
     pub fn handle_ready(&mut self, now: Time, ready: Ready, shared: &mut C::Shared) -> Flow {
         let stream = self.connection.channel();
         if stream.is_connecting() {
@@ -45,10 +46,12 @@
                 return Flow::Close;
             }
         }
-        // What the peer sent counts before what becomes of a write: one that has answered and gone takes no bytes.
-        let mut flow = match self.is_read() {
+        // Input is handled before any write error: a peer that has answered and closed the connection accepts
+        // no more bytes.
+        let mut flow = match self.is_reading() {
             true if ready.readable => self.read(now, shared),
-            // What it still had to say is not read, and nobody is there for an answer.
+            // Reading is paused and the peer has closed: its unread input is dropped, as it would not receive
+            // an answer.
             false if ready.ended => Flow::Close,
             _ => Flow::Open,
         };
@@ -61,11 +64,11 @@
         flow
     }
 
-    fn is_read(&self) -> bool {
+    fn is_reading(&self) -> bool {
         self.is_finishing || !self.connection.is_paused()
     }
 
-    /// Reads once.
+    /// Reads once and passes new bytes to the connection.
     fn read(&mut self, now: Time, shared: &mut C::Shared) -> Flow {
         let stream = self.connection.channel();
         match stream.read_once() {
@@ -77,20 +80,21 @@
         Flow::Open
     }
 
-    /// The peer takes no bytes any more: reads what it sent before.
-    fn read_rest(&mut self, now: Time, shared: &mut C::Shared) {
-        if !C::PEER_ANSWERS {
+    /// A write has failed: reads what the peer sent before.
+    fn read_remaining(&mut self, now: Time, shared: &mut C::Shared) {
+        if !C::READ_AFTER_WRITE_ERROR {
             return;
         }
         for _ in 0..MAX_FINAL_READS {
-            let before = self.connection.channel().received;
-            if self.read(now, shared) != Flow::Open || self.connection.channel().received == before {
+            let received_before = self.connection.channel().received;
+            if self.read(now, shared) != Flow::Open || self.connection.channel().received == received_before {
                 break;
             }
         }
     }
 
-    /// Writes what is queued and may still go out. Once a finishing connection has written all, its side is shut down.
+    /// Writes the queued output that may still be sent. Shuts down the write side once a finishing connection
+    /// has written everything.
     pub fn write(&mut self, now: Time, shared: &mut C::Shared) -> Flow {
         let stream = self.connection.channel();
         let has_output = !stream.is_connecting() && stream.queued() > 0;
@@ -99,7 +103,7 @@
         }
         let stream = self.connection.channel();
         if stream.flush().is_err() {
-            self.read_rest(now, shared);
+            self.read_remaining(now, shared);
             return Flow::Close;
         }
         if self.is_finishing && !self.is_shut_down && stream.queued() == 0 {
--- a/src/net/output.rs
+++ b/src/net/output.rs
@@ -1,14 +1,15 @@
-//! Output that waits for its socket, kept in whole messages: one of which no byte has gone out can still be withdrawn.
+//! Output queued for a socket as whole messages: a message of which no byte has been written can be
+//! withdrawn.
 
 use std::collections::VecDeque;
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// Bytes of a message.
+/// The bytes of a message.
 pub enum MessageBytes {
-    /// This message's own.
+    /// Owned by the message.
     Owned(Vec<u8>),
-    /// Kept by others as well: not copied.
+    /// Shared with other owners to avoid a copy.
     Shared(Arc<Vec<u8>>),
 }
 
@@ -29,21 +30,21 @@
     bytes: MessageBytes,
 }
 
-/// Messages that wait for their socket, the oldest first.
+/// Messages waiting to be written, oldest first.
 #[derive(Default)]
 pub struct OutputQueue {
     messages: VecDeque<Message>,
-    /// Bytes of the first message that have gone out.
+    /// Bytes of the first message that have been written.
     written: usize,
-    /// Bytes of all messages, with those that have gone out of the first.
+    /// Bytes of all messages, including the written ones of the first message.
     total: usize,
     last_tag: u64,
-    /// Counted messages that have gone out complete.
+    /// Counted messages that have been written completely.
     counted_sent: u64,
 }
 
 impl OutputQueue {
-    /// Adds a message. Returns the tag by which it can be withdrawn.
+    /// Adds a message and returns the tag by which it can be withdrawn.
     pub fn push(&mut self, bytes: MessageBytes, is_counted: bool) -> u64 {
         self.last_tag += 1;
         self.total += bytes.len();
@@ -51,17 +52,17 @@
         self.last_tag
     }
 
-    /// Bytes that have not gone out.
+    /// Bytes that have not been written.
     pub fn queued(&self) -> usize {
         self.total - self.written
     }
 
-    /// Counted messages that have gone out complete.
+    /// Counted messages that have been written completely.
     pub fn counted_sent(&self) -> u64 {
         self.counted_sent
     }
 
-    /// Removes a message, if none of its bytes has gone out. Returns whether it was removed.
+    /// Removes a message if none of its bytes has been written. Returns whether it was removed.
     pub fn withdraw(&mut self, tag: u64) -> bool {
         let Ok(position) = self.messages.binary_search_by_key(&tag, |message| message.tag) else {
             return false;
@@ -72,12 +73,12 @@
         self.messages.remove(position).map(|message| self.total -= message.bytes.len()).is_some()
     }
 
-    /// What is to be written next: the rest of the first message, which may be empty.
+    /// The bytes to write next: the rest of the first message, which may be empty.
     pub fn next_bytes(&self) -> Option<&[u8]> {
         self.messages.front().map(|message| &message.bytes[self.written..])
     }
 
-    /// So many of the next bytes have gone out.
+    /// Records that the next `count` bytes have been written.
     pub fn advance(&mut self, count: usize) {
         self.written += count;
         if self.messages.front().is_some_and(|message| self.written == message.bytes.len()) {
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -1,4 +1,4 @@
-//! Readiness of descriptors: epoll, by `rustix`.
+//! Readiness of descriptors, by epoll through `rustix`.
 
 use super::Time;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -11,20 +11,20 @@
 pub struct Token {
     /// The event handler that owns the descriptor.
     pub owner: u8,
-    /// The descriptor's slot at its owner.
+    /// The descriptor's slot within its owner.
     pub slot: u32,
-    /// How often the slot was used before: an event for an earlier use is stale.
+    /// How often the slot has been reused: an event of an earlier generation is stale.
     pub generation: u32,
 }
 
-/// In the kernel's 64 bits a token is its owner (8), its generation (24) and its slot (32).
+/// Layout of a token in epoll's 64 bits of user data: owner (8), generation (24), slot (32).
 const GENERATION_BITS: u32 = 24;
 const GENERATION_MASK: u32 = (1 << GENERATION_BITS) - 1;
 const GENERATION_SHIFT: u32 = u32::BITS;
 const OWNER_SHIFT: u32 = GENERATION_SHIFT + GENERATION_BITS;
 
 impl Token {
-    /// The token of a descriptor. Generations wrap around.
+    /// Builds the token of a descriptor. Generations wrap around.
     pub fn new(owner: u8, slot: u32, generation: u32) -> Self {
         Self { owner, slot, generation: generation & GENERATION_MASK }
     }
@@ -41,12 +41,12 @@
     }
 }
 
-/// What the poller is to report of a descriptor. The peer's end is reported in any case.
+/// The events that the poller reports for a descriptor. A close by the peer is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// That there is something to read.
+    /// There is something to read.
     pub readable: bool,
-    /// That the descriptor takes bytes.
+    /// The descriptor accepts bytes.
     pub writable: bool,
 }
 
@@ -59,16 +59,17 @@
     }
 }
 
-/// What a descriptor is ready for. An error or a hang-up shows as all three.
+/// What a descriptor is ready for. An error or a hang-up sets all three flags.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
     /// The descriptor.
     pub token: Token,
-    /// A read brings bytes, the peer's end or an error.
+    /// A read returns bytes, end of stream or an error.
     pub readable: bool,
-    /// A write takes bytes or brings an error.
+    /// A write accepts bytes or returns an error.
     pub writable: bool,
-    /// The peer has ended its side, or is gone; bytes of it may be unread.
+    /// The peer has closed its side or the connection is broken; some of the peer's bytes may still be
+    /// unread.
     pub ended: bool,
 }
 
@@ -86,7 +87,8 @@
     }
 }
 
-/// Which of these flags a descriptor has at this moment, besides errors and hang-ups. None, if the kernel does not tell.
+/// The flags out of `flags` that are set for a descriptor right now, along with errors and hang-ups. Empty if
+/// the kernel cannot report them.
 pub fn poll_now(fd: &impl AsFd, flags: PollFlags) -> PollFlags {
     let mut fds = [PollFd::new(fd, flags)];
     match poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })) {
@@ -95,9 +97,9 @@
     }
 }
 
-/// Events that one wait may report; the others are reported by the next.
+/// Maximum number of events that one wait reports; the next wait reports the others.
 const MAX_EVENTS: usize = 256;
-/// The longest that one wait takes (s).
+/// Maximum duration of one wait (s).
 const MAX_WAIT: f64 = 3600.0;
 const NS_PER_S: f64 = 1e9;
 
@@ -107,35 +109,36 @@
 }
 
 impl Poller {
-    /// A poller that watches nothing.
+    /// Creates a poller that watches no descriptor.
     ///
     /// # Errors
-    /// Where the system refuses a descriptor.
+    /// If the system refuses a descriptor.
     pub fn new() -> io::Result<Self> {
         Ok(Self { epoll: epoll::create(CreateFlags::CLOEXEC)? })
     }
 
-    /// Watches a descriptor for reads, and for writes too if `writable`. It is watched until it is closed.
+    /// Watches a descriptor for reads, and also for writes if `writable`, until it is closed.
     ///
     /// # Errors
-    /// Where the system refuses, or the descriptor is watched already.
+    /// If the system refuses or the descriptor is already watched.
     pub fn add(&self, fd: impl AsFd, token: Token, writable: bool) -> io::Result<()> {
         let interest = Interest { readable: true, writable };
         Ok(epoll::add(&self.epoll, fd, token.pack(), interest.flags())?)
     }
 
-    /// Changes what is reported of a descriptor that is watched.
+    /// Changes the events that are reported for a watched descriptor.
     ///
     /// # Errors
-    /// Where the system refuses, or the descriptor is not watched.
+    /// If the system refuses or the descriptor is not watched.
     pub fn modify(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, fd, token.pack(), interest.flags())?)
     }
 
-    /// Waits until something is ready or `until` has come, and replaces the content of `ready`. A signal ends the wait too.
+    /// Waits until a descriptor is ready or the time is `until`, and replaces the contents of `ready`. A
+    /// signal ends the wait too.
     ///
     /// # Errors
-    /// Where the system refuses to wait.
+    /// If the system refuses to wait.
     pub fn wait(&self, now: Time, until: Time, ready: &mut Vec<Ready>) -> io::Result<()> {
         ready.clear();
         let mut events = Vec::with_capacity(MAX_EVENTS);
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -1,14 +1,14 @@
-//! RESP arrays of bulk strings, as engines and the store's members speak them.
+//! Encoding and decoding of RESP arrays of bulk strings, used by the engine protocol and the store's members.
 
-/// The bytes are no array of bulk strings, or one that is too large.
+/// The input is not an array of bulk strings, or the array is too large.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Bytes of a type, a length and their line end; a longer prefix holds no length.
+/// Maximum length of a prefix: a type byte, a length and the line end. A longer one is malformed.
 const MAX_PREFIX_BYTES: usize = 16;
 const CRLF: &[u8] = b"\r\n";
 
-/// An array, encoded.
+/// Encodes an array.
 pub fn array(values: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", values.len()).into_bytes();
     for value in values {
@@ -17,7 +17,8 @@
     out
 }
 
-/// The beginning of an array whose last value, of that length (bytes), is still to come; a line end goes behind it.
+/// Encodes the start of an array up to its last value, which is `length` bytes long. The caller sends that
+/// value and a line end after it.
 pub fn array_head(values: &[&[u8]], length: u64) -> Vec<u8> {
     let mut out = format!("*{}\r\n", values.len() + 1).into_bytes();
     for value in values {
@@ -34,27 +35,27 @@
     out.extend_from_slice(CRLF);
 }
 
-/// Bounds of an array that is read.
+/// Limits of a decoded array.
 #[derive(Clone, Copy)]
 pub struct ArrayLimits {
-    /// Values of the array.
+    /// Maximum number of values in the array.
     pub values: usize,
-    /// Bytes of one value.
+    /// Maximum size of one value (bytes).
     pub bytes: usize,
 }
 
-/// The values of an array, and the bytes it took.
+/// The values of an array, and its encoded length in bytes.
 pub type Array<'a> = (Vec<&'a [u8]>, usize);
 
-/// The array at the start of the input and the bytes it took, once all of it is here.
+/// Decodes the array at the start of the input; `None` if it is still incomplete.
 ///
 /// # Errors
-/// Where the input begins with no array of bulk strings, or with one beyond the bounds.
-pub fn decode_array(input: &[u8], bounds: ArrayLimits) -> Result<Option<Array<'_>>, Malformed> {
+/// If the input does not start with an array of bulk strings, or the array exceeds the limits.
+pub fn decode_array(input: &[u8], limits: ArrayLimits) -> Result<Option<Array<'_>>, Malformed> {
     let Some(LengthPrefix { number: count, end: mut at }) = read_length(input, 0, b'*')? else {
         return Ok(None);
     };
-    if count == 0 || count > bounds.values {
+    if count == 0 || count > limits.values {
         return Err(Malformed);
     }
     let mut values = Vec::with_capacity(count);
@@ -62,7 +63,7 @@
         let Some(LengthPrefix { number: length, end: start }) = read_length(input, at, b'$')? else {
             return Ok(None);
         };
-        if length > bounds.bytes {
+        if length > limits.bytes {
             return Err(Malformed);
         }
         let end = start + length;
@@ -77,14 +78,14 @@
     Ok(Some((values, at)))
 }
 
-/// A type and a length, which go ahead of what they announce.
+/// The length in a prefix of a type and a length.
 struct LengthPrefix {
     number: usize,
-    /// Where what it announces starts.
+    /// Offset of the first byte after the prefix.
     end: usize,
 }
 
-/// The prefix of that type (`*` or `$`) at `start`, once all of it is here.
+/// Reads the prefix of type `kind` (`*` or `$`) at `start`; `None` if it is still incomplete.
 fn read_length(input: &[u8], start: usize, kind: u8) -> Result<Option<LengthPrefix>, Malformed> {
     let rest = &input[start.min(input.len())..];
     let Some(first) = rest.first() else { return Ok(None) };
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -1,4 +1,4 @@
-//! The connections of one owner, by index.
+//! The connections of one owner, stored by index.
 
 use super::open_connection::OpenConnection;
 use super::poller::Interest;
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 
 struct Slot<C> {
-    /// How often the slot was used before.
+    /// How often the slot has been reused.
     generation: u32,
     open: Option<OpenConnection<C>>,
 }
 
-/// The connections of one event handler, by token. Slots are used again, with another generation.
+/// The connections of one event handler, by token. Slots are reused with a new generation.
 pub struct ConnectionSlab<C> {
     owner: u8,
     poller: Rc<Poller>,
@@ -21,20 +21,21 @@
 }
 
 impl<C: Connection> ConnectionSlab<C> {
-    /// An empty slab. The tokens of its connections name the event handler `owner`.
+    /// Creates an empty slab. The tokens of its connections name the event handler `owner`.
     pub fn new(owner: u8, poller: Rc<Poller>) -> Self {
         Self { owner, poller, slots: Vec::new(), free_slots: Vec::new() }
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free_slots.len()
     }
 
-    /// Adds the connection that `make` builds around its own token, if it does, and has the poller watch it.
+    /// Adds the connection that `make` builds for the given token, if it builds one, and registers it with
+    /// the poller.
     ///
     /// # Errors
-    /// Where the poller refuses it; the connection is dropped then, without a call of [`Connection::closed`].
+    /// If the poller refuses it; the connection is then dropped without a call of [`Connection::closed`].
     pub fn add(&mut self, make: impl FnOnce(Token) -> Option<C>) -> io::Result<Option<Token>> {
         let index = self.free_slots.last().copied().unwrap_or(self.slots.len() as u32);
         let generation = self.slots.get(index as usize).map_or(0, |slot| slot.generation);
@@ -56,7 +57,7 @@
         slot.open.as_mut().filter(|_| is_current)
     }
 
-    /// The connection of that token; `None` where it has ended.
+    /// The connection with this token; `None` if it has ended.
     pub fn get(&mut self, token: Token) -> Option<&mut C> {
         self.open(token).map(|open| &mut open.connection)
     }
@@ -72,33 +73,33 @@
         open.map(|(index, slot)| Token::new(self.owner, index as u32, slot.generation)).collect()
     }
 
-    /// The connection with the least rank, among those that have one; the first of several.
+    /// The connection with the lowest rank among those that have a rank; the first one in case of a tie.
     pub fn min_by_rank<R: PartialOrd>(&self, rank: impl Fn(&C) -> Option<R>) -> Option<Token> {
-        let mut least: Option<(R, Token)> = None;
+        let mut lowest: Option<(R, Token)> = None;
         for (index, slot) in self.slots.iter().enumerate() {
             let Some(rank) = slot.open.as_ref().and_then(|open| rank(&open.connection)) else { continue };
-            if least.as_ref().is_none_or(|(least_rank, _)| rank < *least_rank) {
-                least = Some((rank, Token::new(self.owner, index as u32, slot.generation)));
+            if lowest.as_ref().is_none_or(|(lowest_rank, _)| rank < *lowest_rank) {
+                lowest = Some((rank, Token::new(self.owner, index as u32, slot.generation)));
             }
         }
-        least.map(|(_, token)| token)
+        lowest.map(|(_, token)| token)
     }
 
-    /// Whether all that was queued has gone out.
+    /// Whether all queued output has been written.
     pub fn is_flushed(&mut self) -> bool {
         let mut open = self.slots.iter_mut().filter_map(|slot| slot.open.as_mut());
         open.all(|open| open.connection.channel().queued() == 0)
     }
 
-    /// Runs the callbacks that a ready descriptor calls for. A stale event is passed over.
+    /// Runs the callbacks for a ready descriptor. Stale events are ignored.
     pub fn on_ready(&mut self, now: Time, ready: Ready, shared: &mut C::Shared) {
         let Some(open) = self.open(ready.token) else { return };
         let flow = open.handle_ready(now, ready, shared);
         self.settle(now, ready.token, flow, shared);
     }
 
-    /// Writes what a connection has queued since, and does what `flow` says. To be called after each change of a connection
-    /// that was not made by one of its callbacks.
+    /// Writes a connection's queued output and applies `flow`. Must be called after each change of a
+    /// connection that was not made by one of its callbacks.
     pub fn settle(&mut self, now: Time, token: Token, flow: Flow, shared: &mut C::Shared) {
         let Some(open) = self.open(token) else { return };
         open.is_finishing |= flow == Flow::Finish;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Changes what the poller reports of a connection, where that has changed.
+    /// Updates the events that the poller reports for a connection, if they have changed.
     fn update_interest(&mut self, token: Token) -> io::Result<()> {
         let poller = self.poller.clone();
         let Some(open) = self.open(token) else { return Ok(()) };
@@ -122,7 +123,7 @@
         poller.modify(&open.connection.channel().stream, token, interest)
     }
 
-    /// Ends a connection and calls its [`Connection::closed`].
+    /// Removes a connection and calls its [`Connection::closed`].
     pub fn close(&mut self, now: Time, token: Token, shared: &mut C::Shared) {
         if self.open(token).is_none() {
             return;
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -9,63 +9,63 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// Bytes asked of the kernel in one read.
+/// Buffer size of one read (bytes).
 const READ_BYTES: usize = 16 << 10;
 
-/// What a read has brought.
+/// The result of a read.
 pub enum ReadStatus {
-    /// Bytes, now in the input.
+    /// Bytes were read and appended to the input.
     Bytes,
-    /// None are here yet.
+    /// No bytes are available yet.
     WouldBlock,
-    /// The peer has ended its side.
+    /// The peer has closed its side.
     Ended,
 }
 
-/// How far a socket has come with connecting.
+/// The progress of a connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectState {
-    /// It is not decided yet; nothing is written.
+    /// The connect is in progress; nothing is written.
     Connecting,
-    /// It is connected.
+    /// The socket is connected.
     Connected,
-    /// Nobody listens where it was to connect to.
+    /// The connection was refused: nothing listens at the address.
     Refused,
-    /// It was reset while it connected: the peer's machine had accepted it.
+    /// The connection was reset during the connect: the peer's host had already accepted it.
     Reset,
-    /// It failed in another way.
+    /// The connect failed in another way.
     Failed,
 }
 
-/// A non-blocking TCP connection. Nothing that is queued goes out before [`flush`](Self::flush).
+/// A non-blocking TCP connection. Queued output is only written by [`flush`](Self::flush).
 pub struct BufferedStream {
     /// The socket.
     pub stream: TcpStream,
-    /// What has been read and not dealt with.
+    /// Bytes that have been read but not yet processed.
     pub input: Vec<u8>,
     output: OutputQueue,
-    /// Whether it is connected, or how that failed.
+    /// Whether the socket is connected, or how the connect failed.
     connect_state: ConnectState,
-    /// Bytes that have been read since it was opened.
+    /// Total bytes read since the connection was opened.
     pub received: u64,
 }
 
 impl BufferedStream {
-    /// Around a socket that was accepted.
+    /// Wraps an accepted socket.
     ///
     /// # Errors
-    /// Where the system refuses its options: it has ended already.
+    /// If the system refuses the socket options because the connection has already ended.
     pub fn accepted(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         Ok(Self::new(stream, ConnectState::Connected))
     }
 
-    /// Begins to connect. The socket becomes writable once that is decided; then [`finish_connect`](Self::finish_connect)
-    /// tells how.
+    /// Starts connecting. The socket becomes writable when the connect has succeeded or failed;
+    /// [`finish_connect`](Self::finish_connect) then returns the result.
     ///
     /// # Errors
-    /// Where there is no descriptor, port or memory for it, or the system knows at once that it cannot connect.
+    /// If there is no descriptor, port or memory for the socket, or the connect fails immediately.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -83,12 +83,12 @@
         Self { stream, input: Vec::new(), output: OutputQueue::default(), connect_state, received: 0 }
     }
 
-    /// Whether it is connected, or how that failed.
+    /// Whether the socket is connected, or how the connect failed.
     pub fn connect_state(&self) -> ConnectState {
         self.connect_state
     }
 
-    /// Whether it is not connected, also where that failed: nothing is written.
+    /// Whether the socket is not connected, which includes a failed connect: nothing is written.
     pub fn is_connecting(&self) -> bool {
         self.connect_state != ConnectState::Connected
     }
@@ -98,35 +98,36 @@
         self.output.push(MessageBytes::Owned(bytes), false)
     }
 
-    /// The same for a message that [`counted_sent`](Self::counted_sent) counts.
+    /// Like [`push`](Self::push), for a message that [`counted_sent`](Self::counted_sent) counts.
     pub fn push_counted(&mut self, bytes: Vec<u8>) -> u64 {
         self.output.push(MessageBytes::Owned(bytes), true)
     }
 
-    /// The same for bytes that others keep as well.
+    /// Like [`push`](Self::push), for bytes that have other owners too.
     pub fn push_shared(&mut self, bytes: Arc<Vec<u8>>) -> u64 {
         self.output.push(MessageBytes::Shared(bytes), false)
     }
 
-    /// Bytes that have not gone out.
+    /// Queued bytes that have not been written.
     pub fn queued(&self) -> usize {
         self.output.queued()
     }
 
-    /// Counted messages that have gone out complete.
+    /// Counted messages that have been written completely.
     pub fn counted_sent(&self) -> u64 {
         self.output.counted_sent()
     }
 
-    /// Removes a message from the output, if none of its bytes has gone out. Returns whether it was removed.
+    /// Removes a message from the output if none of its bytes has been written. Returns whether it was
+    /// removed.
     pub fn withdraw(&mut self, tag: u64) -> bool {
         self.output.withdraw(tag)
     }
 
-    /// Writes what the socket takes.
+    /// Writes queued output until the socket would block.
     ///
     /// # Errors
-    /// Where the socket takes no bytes any more.
+    /// If the socket accepts no more bytes.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.is_connecting() {
             return Ok(());
@@ -142,23 +143,25 @@
         Ok(())
     }
 
-    /// Whether something has come that was not read yet.
+    /// Whether the socket has bytes that have not been read.
     pub fn has_input(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Ok(1..))
     }
 
-    /// Whether the peer has ended its side or is gone, whatever bytes of it are still unread.
+    /// Whether the peer has closed its side or the connection is broken, regardless of bytes that are still
+    /// unread.
     pub fn has_ended(&self) -> bool {
         poll_now(&self.stream, PollFlags::RDHUP)
             .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
     }
 
-    /// Reads once, and appends what has come to the input.
+    /// Reads once and appends the bytes to the input.
     ///
     /// # Errors
-    /// Where the connection is broken.
+    /// If the connection is broken.
     pub fn read_once(&mut self) -> io::Result<ReadStatus> {
-        // Read elsewhere first: a connection holds no more memory than what has come.
+        // Read into a stack buffer first, so that a connection's input only allocates memory for bytes that
+        // have arrived.
         let mut buffer = [0; READ_BYTES];
         match self.stream.read(&mut buffer) {
             Ok(0) => Ok(ReadStatus::Ended),
@@ -174,10 +177,10 @@
         }
     }
 
-    /// The socket became writable while it connected: it is connected, or it failed.
+    /// The socket became writable during the connect, which has now succeeded or failed.
     ///
     /// # Errors
-    /// How it failed.
+    /// If the connect failed.
     pub fn finish_connect(&mut self) -> io::Result<()> {
         let error = rustix::net::sockopt::socket_error(&self.stream)?;
         self.connect_state = match error {
@@ -189,9 +192,9 @@
         Ok(error?)
     }
 
-    /// Ends our side: nothing more will be written.
+    /// Shuts down the write side: nothing more will be written.
     pub fn shutdown_write(&self) {
-        // The peer may have gone already; the descriptor is closed in any case.
+        // The peer may already have closed the connection; the descriptor is closed in any case.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/src/net/timers.rs
+++ b/src/net/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: a heap of points in time.
+//! Timers, as a heap ordered by due time.
 
 use super::Time;
 use std::cmp::{Ordering, Reverse};
@@ -28,8 +28,8 @@
     }
 }
 
-/// Events by the time at which they are due; those of one time in the order in which they were set. A timer cannot be
-/// cancelled: its owner checks whether it still matters when it is due.
+/// Events ordered by due time; events with equal times are ordered as they were set. A timer cannot be
+/// cancelled: when it is due, its owner checks whether it still applies.
 pub struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
     last_sequence: u64,
@@ -42,18 +42,18 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Makes an event due at that time.
+    /// Schedules an event for the time `at`.
     pub fn set(&mut self, at: Time, event: T) {
         self.last_sequence += 1;
         self.heap.push(Reverse(Timer { at, sequence: self.last_sequence, event }));
     }
 
-    /// When the next event is due; `None` for never.
+    /// The time at which the next event is due; `None` if there is none.
     pub fn next_deadline(&self) -> Option<Time> {
         self.heap.peek().map(|timer| timer.0.at)
     }
 
-    /// Removes the next event, if it is due by now.
+    /// Removes and returns the next event if it is due.
     pub fn pop_due(&mut self, now: Time) -> Option<T> {
         self.next_deadline().filter(|at| *at <= now)?;
         self.heap.pop().map(|timer| timer.0.event)
--- a/src/upstream/mysql/connection.rs
+++ b/src/upstream/mysql/connection.rs
@@ -238,7 +238,7 @@
 impl Connection for MysqlConnection {
     type Shared = Shared;
 
-    const PEER_ANSWERS: bool = true;
+    const READ_AFTER_WRITE_ERROR: bool = true;
 
     fn channel(&mut self) -> &mut BufferedStream {
         &mut self.stream
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -156,7 +156,7 @@
 impl Connection for RespConnection {
     type Shared = Shared;
 
-    const PEER_ANSWERS: bool = true;
+    const READ_AFTER_WRITE_ERROR: bool = true;
 
     fn channel(&mut self) -> &mut BufferedStream {
         &mut self.stream
