--- a/src/net/event_handler.rs
+++ b/src/net/event_handler.rs
@@ -3,7 +3,7 @@
 use super::{Ready, Time};
 
 /// A component of the daemon with descriptors, timers or both. The event loop calls all methods; none may
-/// block. After each call the daemon fetches the events that the handler has produced.
+/// block. After each call the daemon collects what the handler has received.
 pub trait EventHandler {
     /// The earliest time at which the handler has work that no descriptor will signal; `None` if there is
     /// none. Called before each wait of the event loop.
--- a/src/upstream/engines.rs
+++ b/src/upstream/engines.rs
@@ -1,22 +1,22 @@
-//! The engines that an upstream may send to, and until when.
+//! The engines that an upstream may send to, and their drain deadlines.
 
 use crate::net::{Time, Token};
 use dahliaspoke::policy::{EngineId, Lifecycle};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// An engine as an upstream knows it.
+/// The upstream's record of an engine.
 pub struct Engine {
-    /// Where new connections go.
+    /// The address for new connections.
     pub address: SocketAddr,
-    /// No attempt may begin to be sent there from then on; `None` while the engine is ready.
+    /// The time from which no attempt may start to be sent to the engine; `None` while the engine is ready.
     drain_deadline: Option<Time>,
-    /// Its connections. They belong to the engine's id, never to the address: addresses are used again.
+    /// Its connections. They belong to the engine's id, never to its address, because addresses are reused.
     pub connections: Vec<Token>,
 }
 
 impl Engine {
-    /// Whether nothing may be sent to it any more.
+    /// Whether the drain deadline has passed, so that nothing new may be sent to the engine.
     pub fn is_closed(&self, now: Time) -> bool {
         self.drain_deadline.is_some_and(|deadline| deadline <= now)
     }
@@ -27,8 +27,8 @@
 pub struct Engines(HashMap<EngineId, Engine>);
 
 impl Engines {
-    /// Applies what the endpoint set says of an engine. Returns the drain deadline where this call has set it. `address` is
-    /// absent where the endpoint set does not name one.
+    /// Applies an engine's lifecycle and address from the endpoint set. Returns the drain deadline if this
+    /// call has set it. `address` is `None` if the endpoint set does not name one.
     pub fn update(
         &mut self,
         id: &EngineId,
@@ -50,13 +50,13 @@
         engine.drain_deadline.filter(|_| is_new)
     }
 
-    /// Other engines that are still known by that address.
+    /// Other engines that are still recorded under that address.
     pub fn others_at(&self, id: &EngineId, address: SocketAddr) -> Vec<EngineId> {
         let others = self.0.iter().filter(|(other, engine)| *other != id && engine.address == address);
         others.map(|(other, _)| other.clone()).collect()
     }
 
-    /// Lets nothing begin to be sent to that engine from now on.
+    /// Forbids new sends to that engine from now on.
     pub fn close(&mut self, now: Time, id: &EngineId) {
         if let Some(engine) = self.0.get_mut(id) {
             engine.drain_deadline = Some(engine.drain_deadline.map_or(now, |deadline| deadline.min(now)));
@@ -78,12 +78,12 @@
         self.0.get(id).filter(|engine| !engine.is_closed(now))
     }
 
-    /// From when on nothing may begin to be sent to that engine; infinity where it does not drain.
+    /// The time from which nothing new may be sent to that engine; infinity if it is not draining.
     pub fn drain_deadline(&self, id: &EngineId) -> Time {
         self.0.get(id).and_then(|engine| engine.drain_deadline).unwrap_or(Time::INFINITY)
     }
 
-    /// Removes an engine that is closed and has no connection left. Returns whether it has.
+    /// Removes an engine if it is closed and has no connections left. Returns whether it was removed.
     pub fn remove_closed(&mut self, now: Time, id: &EngineId) -> bool {
         let is_over = |engine: &Engine| engine.is_closed(now) && engine.connections.is_empty();
         self.0.get(id).is_some_and(is_over) && self.0.remove(id).is_some()
--- a/src/upstream/events.rs
+++ b/src/upstream/events.rs
@@ -1,4 +1,4 @@
-//! Events that wait for the core.
+//! Events queued for the core.
 
 use crate::core::{AttemptOutcome, AttemptReport, UpstreamEvent};
 use crate::net::{BufferedStream, ConnectState};
@@ -10,45 +10,45 @@
 pub struct AttemptKey {
     /// The request.
     pub id: RequestId,
-    /// The number of the attempt, from 0.
+    /// The attempt's number, from 0.
     pub number: u32,
 }
 
 impl AttemptKey {
-    /// The key of that attempt.
+    /// Builds the key of an attempt.
     pub fn new(id: &RequestId, number: u32) -> Self {
         Self { id: id.clone(), number }
     }
 }
 
-/// Events that wait for the core, the oldest first.
+/// Events queued for the core, oldest first.
 #[derive(Default)]
 pub struct EventQueue(VecDeque<UpstreamEvent>);
 
 impl EventQueue {
-    /// Reports the end of an attempt of which the engine reported nothing.
+    /// Reports the end of an attempt without a report from the engine.
     pub fn attempt_ended(&mut self, id: &RequestId, number: u32, outcome: AttemptOutcome) {
         self.0.push_back(UpstreamEvent::ended(id, number, outcome));
     }
 
-    /// Reports the end of an attempt, and what the engine reported with it.
+    /// Reports the end of an attempt with the engine's report.
     pub fn attempt_reported(&mut self, key: AttemptKey, outcome: AttemptOutcome, report: AttemptReport) {
         let AttemptKey { id, number } = key;
         self.0.push_back(UpstreamEvent::AttemptEnd { id, attempt: number, outcome, report });
     }
 
-    /// Passes on what a running attempt reported of itself.
+    /// Passes on a progress report of a running attempt.
     pub fn progress(&mut self, key: AttemptKey, progress: Progress) {
         self.0.push_back(UpstreamEvent::Progress { id: key.id, attempt: key.number, progress });
     }
 
-    /// Removes the oldest event.
+    /// Removes and returns the oldest event.
     pub fn pop(&mut self) -> Option<UpstreamEvent> {
         self.0.pop_front()
     }
 }
 
-/// How an attempt ends with its connection; `unsent` where no byte of it went out.
+/// The outcome of an attempt whose connection is closed; `unsent` if no byte of the attempt was written.
 pub fn outcome_of_close(stream: &BufferedStream, unsent: bool) -> AttemptOutcome {
     match unsent {
         true if stream.connect_state() == ConnectState::Refused => AttemptOutcome::ConnectionRefused,
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,9 +1,11 @@
-//! Upstreams: connections to engines, on which attempts run. Each reports to the core how its attempts end.
+//! Upstreams: the connections to engines on which attempts run. Each upstream reports the outcomes of its
+//! attempts to the core.
 //!
-//! What the upstreams of all protocols have in common stands here: the engines and their drain deadlines (`engines`), the
-//! pool of connections (`pool`), the events that wait for the core (`events`) and the readers of large request bodies
-//! (`body_readers`). What a protocol decides for itself stands in its module: `RESP` runs many attempts on a connection and
-//! moves those that were not sent, `MySQL` runs one and ends the connection with it.
+//! This module contains what all protocols share: the engines and their drain deadlines (`engines`), the
+//! connection pool (`pool`), the events queued for the core (`events`) and the readers of large request
+//! bodies (`body_readers`). Each protocol has a module with its own rules: `RESP` runs many attempts on a
+//! connection and moves the unsent ones when it ends; `MySQL` runs one at a time and closes the connection to
+//! abandon it.
 
 mod body_readers;
 mod engines;
--- a/src/upstream/mysql/command.rs
+++ b/src/upstream/mysql/command.rs
@@ -2,12 +2,12 @@
 
 use crate::mysql::packet::command;
 
-/// Flags of an execution: no cursor.
+/// Cursor flags of an execution: no cursor.
 const NO_CURSOR: u8 = 0;
-/// The iteration count of an execution; the protocol knows no other.
-const ITERATIONS: u32 = 1;
+/// The iteration count of an execution; the protocol allows only 1.
+const ITERATION_COUNT: u32 = 1;
 
-/// Runs a text.
+/// Runs a statement in the text protocol.
 pub fn query(statement: &[u8]) -> Vec<u8> {
     [&[command::QUERY], statement].concat()
 }
@@ -17,13 +17,19 @@
     [&[command::PREPARE], statement].concat()
 }
 
-/// Runs a prepared statement, by its number at the engine. `arguments` are encoded as the client sent them.
+/// Runs a prepared statement, by its id at the engine. `arguments` are encoded as the client sent them.
 pub fn execute(statement: u32, arguments: &[u8]) -> Vec<u8> {
-    [&[command::EXECUTE][..], &statement.to_le_bytes(), &[NO_CURSOR], &ITERATIONS.to_le_bytes(), arguments]
-        .concat()
+    [
+        &[command::EXECUTE][..],
+        &statement.to_le_bytes(),
+        &[NO_CURSOR],
+        &ITERATION_COUNT.to_le_bytes(),
+        arguments,
+    ]
+    .concat()
 }
 
-/// Has the engine forget a prepared statement.
+/// Closes a prepared statement at the engine.
 pub fn close(statement: u32) -> Vec<u8> {
     [&[command::CLOSE][..], &statement.to_le_bytes()].concat()
 }
--- a/src/upstream/mysql/connection.rs
+++ b/src/upstream/mysql/connection.rs
@@ -12,13 +12,13 @@
 use crate::upstream::events::{outcome_of_close, AttemptKey};
 use crate::upstream::pool::EngineConnection;
 
-/// What a connection waits for.
+/// What a connection is waiting for.
 pub enum ConnectionState {
-    /// To be connected, or the engine's greeting.
+    /// The connect to complete, or the engine's greeting.
     AwaitingGreeting,
-    /// What the engine says of our account.
+    /// The engine's reply to our authentication.
     Authenticating,
-    /// Nothing: no attempt is out.
+    /// Nothing: no attempt is in flight.
     Idle,
     /// The answer to a PREPARE.
     Preparing(Preparation),
@@ -30,11 +30,11 @@
 pub struct RunningAttempt {
     /// Which attempt it is.
     pub key: AttemptKey,
-    /// When it must have begun to go out.
+    /// The time by which its first byte must have been written.
     pub send_deadline: Time,
-    /// What the engine is to run.
+    /// The query that the engine runs.
     pub payload: QueryPayload,
-    /// By which the command that runs it can be withdrawn from the output; `None` while it is not queued.
+    /// The tag by which its command can be withdrawn from the output; `None` while the command is not queued.
     pub message_tag: Option<u64>,
 }
 
@@ -44,20 +44,20 @@
     pub stream: BufferedStream,
     /// Its own token.
     pub token: Token,
-    /// What it waits for.
+    /// What it is waiting for.
     pub state: ConnectionState,
-    /// The attempt that is out here.
+    /// The attempt in flight on this connection.
     pub running: Option<RunningAttempt>,
-    /// Statements that are prepared here.
+    /// The statements that are prepared on this connection.
     pub prepared: PreparedStatements,
-    /// When it must be ready, or has been idle too long.
+    /// The time by which it must be ready or, later, from which it has been idle too long.
     pub idle_deadline: Time,
-    /// The command that does not go out at once.
+    /// A command that is sent in parts.
     large_command: Option<LargeCommand>,
 }
 
 impl MysqlConnection {
-    /// A connection that was opened now and must be ready by `ready_deadline`.
+    /// Wraps a connection that has just been opened and must be ready by `ready_deadline`.
     pub fn new(token: Token, stream: BufferedStream, ready_deadline: Time) -> Self {
         Self {
             stream,
@@ -75,15 +75,16 @@
         !matches!(self.state, ConnectionState::AwaitingGreeting | ConnectionState::Authenticating)
     }
 
-    /// Withdraws the command that runs the attempt, if there is an attempt of which no byte has gone out. Returns whether
-    /// there is. A PREPARE runs nothing.
+    /// Withdraws the command that runs the attempt if no byte of it has been written. Returns whether there
+    /// is an attempt and its command is unsent; a PREPARE does not count, because it runs nothing.
     pub fn withdraw(&mut self) -> bool {
         let Some(running) = &self.running else { return false };
         running.message_tag.is_none_or(|tag| self.stream.withdraw(tag))
     }
 
-    /// Queues what runs the attempt, or first what prepares its statement.
-    pub fn begin_attempt(&mut self, limits: &MysqlLimits) {
+    /// Queues the command that runs the attempt or, if its statement is not prepared yet, the one that
+    /// prepares it.
+    pub fn start_attempt(&mut self, limits: &MysqlLimits) {
         let Some(running) = &self.running else { return };
         let (statement, arguments) = (running.payload.statement.clone(), running.payload.arguments.clone());
         let prepared = arguments.as_ref().and_then(|_| self.prepared.find(&statement));
@@ -113,26 +114,26 @@
         }
     }
 
-    /// Queues a command that runs an attempt. Returns its message tag.
+    /// Queues a command that runs an attempt, and returns its message tag.
     fn push_execution(&mut self, payload: &[u8]) -> u64 {
         self.stream.push_counted(packet::encode(0, payload))
     }
 
     fn push_preparation(&mut self, statement: &[u8], limits: &MysqlLimits) {
-        if let Some(oldest) = self.prepared.remove_surplus(limits.max_statements) {
+        if let Some(oldest) = self.prepared.evict_oldest(limits.max_statements) {
             self.stream.push(packet::encode(0, &command::close(oldest)));
         }
         self.stream.push(packet::encode(0, &command::prepare(statement)));
     }
 
-    /// Forgets the command that did not go out at once.
+    /// Ends the sending of a command in parts, complete or not.
     fn end_large_command(&mut self, shared: &mut Shared) {
         if self.large_command.take().is_some() {
             shared.bodies.remove_connection(self.token);
         }
     }
 
-    /// Applies one packet of the engine.
+    /// Handles one packet from the engine.
     fn handle_packet(
         &mut self,
         now: Time,
@@ -160,15 +161,15 @@
         }
     }
 
-    /// The attempt's statement is prepared: runs it.
+    /// The attempt's statement is prepared: runs the attempt.
     fn end_preparation(&mut self, number: u32, limits: &MysqlLimits) {
         if let Some(running) = &self.running {
             self.prepared.add(running.payload.statement.clone(), number);
         }
-        self.begin_attempt(limits);
+        self.start_attempt(limits);
     }
 
-    /// The attempt has its result, and the connection is idle.
+    /// The attempt has its result, and the connection becomes idle.
     fn end_attempt(&mut self, now: Time, packets: ResultParts, shared: &mut Shared) -> Result<(), Malformed> {
         self.state = ConnectionState::Idle;
         self.idle_deadline = now + shared.limits.engines.idle_timeout;
@@ -178,10 +179,10 @@
         Ok(())
     }
 
-    /// Reads one packet off the input, if it is complete, and applies it. Returns whether it was.
+    /// Removes one packet from the input and handles it. Returns false if the packet is still incomplete.
     ///
     /// # Errors
-    /// Where the connection is of no more use.
+    /// If the connection is unusable.
     fn read_packet(&mut self, now: Time, shared: &mut Shared) -> Result<bool, Malformed> {
         let max_bytes = shared.limits.mysql.max_result_bytes;
         let Some((sequence, payload, length)) = packet::read(&self.stream.input, max_bytes)? else {
@@ -189,7 +190,7 @@
         };
         let payload = payload.to_vec();
         self.stream.input.drain(..length);
-        // With half a command on it a connection is of no more use, whatever the answer was.
+        // A connection on which a command was sent only in part is unusable, whatever the answer was.
         let sends_command = self.large_command.is_some();
         self.handle_packet(now, sequence, payload, shared)?;
         if sends_command {
@@ -229,7 +230,7 @@
                 self.end_large_command(shared);
                 Flow::Open
             }
-            // The engine must not take a part for the whole.
+            // The engine must not mistake a partial body for the complete one.
             SendStatus::Lost => Flow::Close,
         }
     }
@@ -261,7 +262,8 @@
         self.continue_body(now, shared)
     }
 
-    /// An attempt whose time to begin is over is not begun: the process may have been suspended since it was queued.
+    /// An attempt whose send deadline has passed is not sent, and its connection is closed: the process may
+    /// have been suspended since it was queued.
     fn before_write(&mut self, now: Time, _: &mut Shared) -> Flow {
         let is_late = self.running.as_ref().is_some_and(|running| running.send_deadline <= now);
         if is_late && self.withdraw() {
@@ -275,7 +277,7 @@
         self.large_command.as_ref().is_some_and(|command| !command.waits_for_bytes)
     }
 
-    /// What was not begun never ran; the rest may have.
+    /// An unsent attempt never ran; one that was sent in whole or in part may have.
     fn closed(&mut self, _: Time, shared: &mut Shared) {
         shared.sent_attempts += self.stream.counted_sent();
         let is_unsent = self.withdraw();
--- a/src/upstream/mysql/handshake.rs
+++ b/src/upstream/mysql/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake: the engine's greeting, our answer, and what the engine says of it.
+//! The handshake: the engine's greeting, our response, and the engine's verdict on it.
 
 use super::connection::{ConnectionState, MysqlConnection};
 use super::shared::Shared;
@@ -7,23 +7,23 @@
 use crate::mysql::packet::{self, capability, Malformed, Reader};
 use crate::net::Time;
 
-/// The version of the protocol, which the greeting begins with.
+/// The protocol version, at the start of the greeting.
 const PROTOCOL_VERSION: u64 = 10;
-/// Bytes of the engine's number for the connection.
-const CONNECTION_ID: usize = 4;
-/// Bytes of the challenge's first part.
-const CHALLENGE_START: usize = 8;
-/// Bytes between the challenge's parts: a filler, capabilities, character set, status, capabilities again, the challenge's
-/// length and reserved ones.
-const BETWEEN_CHALLENGE_PARTS: usize = 1 + 2 + 1 + 2 + 2 + 1 + 10;
-/// Reserved bytes in our answer.
+/// Length of the engine's connection id (bytes).
+const CONNECTION_ID_BYTES: usize = 4;
+/// Length of the first part of the challenge (bytes).
+const FIRST_CHALLENGE_PART_BYTES: usize = 8;
+/// Bytes between the two parts of the challenge: filler (1), capabilities (2), character set (1), status (2),
+/// capabilities (2), challenge length (1) and reserved bytes (10).
+const BYTES_BETWEEN_CHALLENGE_PARTS: usize = 1 + 2 + 1 + 2 + 2 + 1 + 10;
+/// The reserved bytes in our response.
 const RESERVED: [u8; 23] = [0; 23];
-/// The sequence number of our answer.
-const ANSWER_SEQUENCE: u8 = 1;
-/// The engine knows the password already; its OK follows.
+/// The packet sequence number of our response.
+const RESPONSE_SEQUENCE: u8 = 1;
+/// The engine has cached the password and accepts the response; its OK follows.
 const FAST_AUTH_OK: u8 = 3;
 
-/// What the engine asks us to prove the password with.
+/// The engine's authentication request: how to prove that we know the password.
 pub struct Authentication {
     plugin: String,
     challenge: Vec<u8>,
@@ -37,11 +37,11 @@
             return Err(Malformed); // an error such as "too many connections", or another protocol
         }
         reader.text()?; // the engine's version
-        reader.read_bytes(CONNECTION_ID)?;
-        let mut challenge = reader.read_bytes(CHALLENGE_START)?.to_vec();
-        reader.read_bytes(BETWEEN_CHALLENGE_PARTS)?;
-        challenge.extend_from_slice(reader.read_bytes(auth::CHALLENGE_BYTES - CHALLENGE_START)?);
-        reader.read_bytes(1)?; // the end of the challenge
+        reader.read_bytes(CONNECTION_ID_BYTES)?;
+        let mut challenge = reader.read_bytes(FIRST_CHALLENGE_PART_BYTES)?.to_vec();
+        reader.read_bytes(BYTES_BETWEEN_CHALLENGE_PARTS)?;
+        challenge.extend_from_slice(reader.read_bytes(auth::CHALLENGE_BYTES - FIRST_CHALLENGE_PART_BYTES)?);
+        reader.read_bytes(1)?; // the terminator of the challenge
         let plugin = reader.text().unwrap_or(auth::NATIVE).to_string();
         Ok(Self { plugin, challenge })
     }
@@ -53,50 +53,51 @@
         Ok(Self { plugin, challenge: reader.0.to_vec() })
     }
 
-    fn answer(&self, engine: &Engine) -> Option<Vec<u8>> {
+    fn response(&self, engine: &Engine) -> Option<Vec<u8>> {
         auth::respond(&self.plugin, &engine.password, &self.challenge)
     }
 }
 
-/// The payload that names our account.
-fn login(engine: &Engine, plugin: &str, answer: &[u8]) -> Vec<u8> {
+/// The payload of the handshake response, with our account.
+fn handshake_response(engine: &Engine, plugin: &str, response: &[u8]) -> Vec<u8> {
     let mut out = capability::OURS.to_le_bytes().to_vec();
     out.extend_from_slice(&(packet::MAX_PACKET_PAYLOAD as u32).to_le_bytes());
     out.push(packet::CHARSET);
     out.extend_from_slice(&RESERVED);
     out.extend_from_slice(engine.user.as_bytes());
-    out.extend_from_slice(&[0, answer.len() as u8]);
-    out.extend_from_slice(answer);
+    out.extend_from_slice(&[0, response.len() as u8]);
+    out.extend_from_slice(response);
     out.extend_from_slice(plugin.as_bytes());
     out.push(0);
     out
 }
 
 impl MysqlConnection {
-    /// Answers the engine's greeting.
+    /// Responds to the engine's greeting.
     ///
     /// # Errors
-    /// Where the engine rejects the connection or speaks another protocol.
+    /// If the engine rejects the connection or speaks another protocol.
     pub(super) fn handle_greeting(&mut self, payload: &[u8], shared: &Shared) -> Result<(), Malformed> {
         let mut authentication = Authentication::from_greeting(payload)?;
         let engine = &shared.config.engine;
-        let answer = if let Some(answer) = authentication.answer(engine) {
-            answer
+        let response = if let Some(response) = authentication.response(engine) {
+            response
         } else {
-            // A plugin that is not spoken here: the engine asks to switch then.
+            // The plugin is not supported: an empty response for `caching_sha2_password` makes the engine ask
+            // to switch to it.
             authentication.plugin = auth::CACHING_SHA2.to_string();
             Vec::new()
         };
-        let login = login(engine, &authentication.plugin, &answer);
-        self.stream.push(packet::encode(ANSWER_SEQUENCE, &login));
+        let handshake_response = handshake_response(engine, &authentication.plugin, &response);
+        self.stream.push(packet::encode(RESPONSE_SEQUENCE, &handshake_response));
         self.state = ConnectionState::Authenticating;
         Ok(())
     }
 
-    /// Applies what the engine says of our answer.
+    /// Handles the engine's reply to our response.
     ///
     /// # Errors
-    /// Where it denies the account, or wants the password as it is, which needs TLS.
+    /// If the engine denies access, or asks for the password in clear text, which needs TLS.
     pub(super) fn handle_authentication(
         &mut self,
         now: Time,
@@ -108,14 +109,14 @@
             [packet::OK, ..] => {
                 self.state = ConnectionState::Idle;
                 self.idle_deadline = now + shared.limits.engines.idle_timeout;
-                self.begin_attempt(&shared.limits.mysql);
+                self.start_attempt(&shared.limits.mysql);
                 Ok(())
             }
             [packet::MORE, FAST_AUTH_OK] => Ok(()),
             [packet::EOF, switch @ ..] => {
                 let authentication = Authentication::from_switch(switch)?;
-                let answer = authentication.answer(&shared.config.engine).ok_or(Malformed)?;
-                self.stream.push(packet::encode(sequence.wrapping_add(1), &answer));
+                let response = authentication.response(&shared.config.engine).ok_or(Malformed)?;
+                self.stream.push(packet::encode(sequence.wrapping_add(1), &response));
                 Ok(())
             }
             _ => Err(Malformed),
--- a/src/upstream/mysql/large_command.rs
+++ b/src/upstream/mysql/large_command.rs
@@ -1,5 +1,6 @@
-//! A command whose statement or arguments do not go out at once: long parameters before it, each chunk a command of its own,
-//! then the command itself with what the body store holds of it, cut into packets.
+//! A command whose statement or arguments are sent in parts: first the long parameters, each chunk in a
+//! command of its own, then the command itself with the part of it that is in the body store, split into
+//! packets.
 
 use super::command;
 use crate::body_store;
@@ -11,72 +12,75 @@
 use dahliaspoke_body_store::{Body, Bytes, ReadOutcome, Reader};
 use std::collections::VecDeque;
 
-/// What still goes out.
+/// A part that is still to be sent.
 enum CommandPart {
-    /// Chunks of a parameter, each in a command.
-    LongParameter { position: u16, value: ParameterValue, begun: bool },
-    /// The command that runs the attempt; `body` is the rest of it.
+    /// The chunks of a long parameter, each in its own command.
+    LongParameter { position: u16, value: ParameterValue, started: bool },
+    /// The command that runs the attempt: `head`, followed by the stored `body`.
     Execution { head: Vec<u8>, body: Option<Body> },
 }
 
-/// A command on its way to an engine.
+/// A command that is sent to an engine in parts.
 pub struct LargeCommand {
-    /// What still goes out, in order.
+    /// The parts that are still to be queued, in order.
     parts: VecDeque<CommandPart>,
-    /// The statement's number at the engine.
+    /// The prepared statement's id at the engine.
     statement: u32,
-    /// Reads the body of the first part.
+    /// The reader of the first part's body.
     reader: Option<Reader>,
-    /// The packets of the execution, once it has begun.
+    /// The packets of the execution, once they have been started.
     payload: Option<Payload>,
-    /// By which the execution can be withdrawn from the output, once it is queued.
+    /// The tag by which the execution can be withdrawn from the output, once it is queued.
     pub message_tag: Option<u64>,
-    /// None of its bytes is here now; the body store reports when there are some.
+    /// Whether no bytes are available now; the body store reports when there are some.
     pub waits_for_bytes: bool,
 }
 
-/// Where a command is queued.
+/// The destination of a command's parts.
 pub struct CommandOutput<'a> {
     /// The connection's socket.
     pub stream: &'a mut BufferedStream,
-    /// Its upstream's readers, and the store that they read.
+    /// The upstream's readers of bodies, and their store.
     pub bodies: &'a mut BodyReaders,
-    /// The connection.
+    /// The connection's token.
     pub connection: Token,
-    /// Nothing is added while so much is queued (bytes).
+    /// Nothing is added while this much or more is queued (bytes).
     pub max_queued_bytes: usize,
 }
 
-/// How far a command has come.
+/// The progress of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendStatus {
-    /// More of it is to be queued.
+    /// More of it has to be queued.
     Partial,
     /// All of it is queued.
     Complete,
-    /// The rest cannot be had.
+    /// The rest is no longer available.
     Lost,
 }
 
-/// What one step has done.
+/// The result of one step.
 enum Step {
-    /// Something was queued, or a part has ended.
+    /// Bytes were queued, or a part was completed.
     Queued,
-    /// The next bytes are not here yet.
-    Waits,
-    /// The next bytes cannot be had.
+    /// The next bytes are not available yet.
+    Blocked,
+    /// The next bytes are no longer available.
     Lost,
 }
 
 impl LargeCommand {
-    /// The command that runs this payload. `statement` is its number at the engine, which a text does not need. `None` where
-    /// it goes out at once.
+    /// The command that runs this query, if it has to be sent in parts. `statement` is the prepared
+    /// statement's id at the engine; it is unused for a text query.
     pub fn new(query: &QueryPayload, statement: u32) -> Option<Self> {
         if query.body.is_none() && query.long_parameters.is_empty() {
             return None;
         }
-        let long_parameter =
-            |LongParameter { position, value }| CommandPart::LongParameter { position, value, begun: false };
+        let long_parameter = |LongParameter { position, value }| CommandPart::LongParameter {
+            position,
+            value,
+            started: false,
+        };
         let mut parts: VecDeque<_> = query.long_parameters.iter().cloned().map(long_parameter).collect();
         let head = match &query.arguments {
             None => command::query(&[]),
@@ -93,13 +97,13 @@
         })
     }
 
-    /// Queues more of it, while little is queued.
+    /// Queues parts until `max_queued_bytes` are queued.
     pub fn send(&mut self, now: Time, output: &mut CommandOutput) -> SendStatus {
         self.waits_for_bytes = false;
         while output.stream.queued() < output.max_queued_bytes && !self.parts.is_empty() {
             match self.send_step(now, output) {
                 Step::Queued => {}
-                Step::Waits => {
+                Step::Blocked => {
                     self.waits_for_bytes = true;
                     return SendStatus::Partial;
                 }
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Queues a chunk of the first part, or ends it.
+    /// Queues a chunk of the first part, or completes that part.
     fn send_step(&mut self, now: Time, output: &mut CommandOutput) -> Step {
         let body = match self.parts.front() {
             Some(CommandPart::LongParameter { position, value: ParameterValue::Inline(bytes), .. }) => {
@@ -125,12 +129,12 @@
             }
             Some(CommandPart::Execution { head, body }) => {
                 if self.payload.is_none() {
-                    let begun = begin_execution(head, body.as_ref(), output.bodies.store());
-                    self.payload = Some(begun.payload);
-                    self.message_tag = Some(output.stream.push(begun.first_bytes));
+                    let started = start_execution(head, body.as_ref(), output.bodies.store());
+                    self.payload = Some(started.payload);
+                    self.message_tag = Some(output.stream.push(started.first_bytes));
                 }
                 if body.is_none() {
-                    output.stream.push_counted(Vec::new()); // it is out with what came before
+                    output.stream.push_counted(Vec::new()); // counted as sent after its command
                 }
                 body.clone()
             }
@@ -140,16 +144,16 @@
             self.parts.pop_front();
             return Step::Queued;
         };
-        match self.pull(now, &body, output) {
+        match self.read_next(now, &body, output) {
             ReadOutcome::Bytes(bytes) => self.push_bytes(bytes, output.stream),
-            ReadOutcome::NotReady => Step::Waits,
+            ReadOutcome::NotReady => Step::Blocked,
             ReadOutcome::End => self.end_part(output.stream),
             ReadOutcome::Lost => Step::Lost,
         }
     }
 
-    /// The next bytes of the first part's body.
-    fn pull(&mut self, now: Time, body: &Body, output: &mut CommandOutput) -> ReadOutcome {
+    /// Reads the next bytes of the first part's body.
+    fn read_next(&mut self, now: Time, body: &Body, output: &mut CommandOutput) -> ReadOutcome {
         let Some(store) = output.bodies.store().cloned() else { return ReadOutcome::Lost };
         let reader = if let Some(reader) = &self.reader {
             reader
@@ -158,15 +162,15 @@
             output.bodies.insert(reader.id, output.connection);
             self.reader.insert(reader)
         };
-        let pulled = store.borrow_mut().read(now, reader);
-        pulled
+        let read_outcome = store.borrow_mut().read(now, reader);
+        read_outcome
     }
 
     /// Queues bytes of the first part's body.
     fn push_bytes(&mut self, bytes: Bytes, stream: &mut BufferedStream) -> Step {
         match (self.parts.front_mut(), &mut self.payload) {
-            (Some(CommandPart::LongParameter { position, begun, .. }), _) => {
-                *begun = true;
+            (Some(CommandPart::LongParameter { position, started, .. }), _) => {
+                *started = true;
                 stream.push(long_data_packet(self.statement, *position, &bytes));
             }
             (Some(CommandPart::Execution { .. }), Some(payload)) if bytes.len() < payload.packet => {
@@ -183,11 +187,11 @@
         Step::Queued
     }
 
-    /// All of the first part's body is queued.
+    /// Completes the first part, all of whose body is queued.
     fn end_part(&mut self, stream: &mut BufferedStream) -> Step {
         match self.parts.pop_front() {
-            // An empty parameter is sent as well.
-            Some(CommandPart::LongParameter { position, begun: false, .. }) => {
+            // An empty parameter needs a command too.
+            Some(CommandPart::LongParameter { position, started: false, .. }) => {
                 stream.push(long_data_packet(self.statement, position, &[]));
             }
             Some(CommandPart::Execution { .. }) => {
@@ -204,22 +208,22 @@
     packet::encode(0, &command::long_data(statement, parameter, bytes))
 }
 
-/// The begun packets of an execution.
-struct BegunExecution {
+/// The first packets of an execution.
+struct StartedExecution {
     payload: Payload,
     first_bytes: Vec<u8>,
 }
 
-/// Begins the packets of an execution, of which all of the body is in the store.
-fn begin_execution(
+/// Starts the packets of an execution whose body is completely stored.
+fn start_execution(
     head: &[u8],
     body: Option<&Body>,
     store: Option<&body_store::SharedBodyStore>,
-) -> BegunExecution {
+) -> StartedExecution {
     let stored_bytes =
         |body: &Body| store.map_or(0, |store| store.borrow().received_bytes(body.id()) as usize);
     let mut first_bytes = Vec::new();
     let mut payload = Payload::open(head.len() + body.map_or(0, stored_bytes), &mut first_bytes);
     payload.put(head, &mut first_bytes);
-    BegunExecution { payload, first_bytes }
+    StartedExecution { payload, first_bytes }
 }
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -1,11 +1,11 @@
-//! Attempts over `MySQL`: one at a time on a connection. A statement is prepared on each connection when it first runs there,
-//! so an execution can go to any engine.
+//! Attempts over `MySQL`: one at a time on a connection. A statement is prepared on each connection when it
+//! first runs there, so an execution can be sent to any engine.
 //!
-//! - `handshake`: how a connection becomes ready
+//! - `handshake`: authentication of a new connection
 //! - `connection`: one connection and its attempt
 //! - `prepared`: statements that are prepared on a connection
-//! - `command`, `large_command`: what runs an attempt, at once or bit by bit
-//! - `query_result`: a result, and what it says of the attempt
+//! - `command`, `large_command`: the commands that run an attempt, sent whole or in parts
+//! - `query_result`: a result, and the outcome of the attempt
 
 mod command;
 mod connection;
@@ -28,14 +28,14 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// The connections to all engines.
+/// The `MySQL` connections to all engines.
 pub struct MysqlUpstream {
     pool: ConnectionPool<MysqlConnection>,
     shared: Shared,
 }
 
 impl MysqlUpstream {
-    /// An upstream without engines, whose descriptors the poller reports to the event handler `owner`.
+    /// Creates an upstream without engines. The poller reports its descriptors to the event handler `owner`.
     pub fn new(
         owner: u8,
         config: Rc<Mysql>,
@@ -46,24 +46,25 @@
         Self { pool: ConnectionPool::new(owner, poller), shared: Shared::new(config, body_store, limits) }
     }
 
-    /// Removes the oldest event that the core has not received. The daemon calls this until there is none.
+    /// Removes and returns the oldest event that the core has not received. The daemon calls this until it
+    /// returns `None`.
     pub fn next_event(&mut self) -> Option<UpstreamEvent> {
         self.pool.next_event(&mut self.shared.events)
     }
 
-    /// Continues a body whose reader may find something now. Called when the body store reports it.
+    /// Continues a body whose reader may have new bytes. Called when the body store reports it.
     pub fn continue_body(&mut self, now: Time, reader: u64) {
         let Some(token) = self.shared.bodies.connection(reader) else { return };
         self.pool.continue_body(now, token, &mut self.shared);
     }
 
-    /// Sets the end of the endpoint set's lease: nothing begins to be sent from then on.
+    /// Sets the end of the endpoint set's lease: no send may start from then on.
     pub fn set_lease_end(&mut self, until: Time) {
         self.pool.lease_end = until;
     }
 
-    /// Applies what the endpoint set says of an engine; `notified` is since when this counts as known. `address` is absent
-    /// where the endpoint set does not name one.
+    /// Applies an engine's lifecycle and address from the endpoint set. The drain grace is counted from
+    /// `notified`. `address` is `None` if the endpoint set does not name one.
     pub fn update_engine(
         &mut self,
         notified: Time,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Closes a connection that is not ready in time, or has been idle too long.
+    /// Closes a connection that was not ready in time or has been idle too long.
     fn check_idle(&mut self, now: Time, token: Token) {
         let Some(connection) = self.pool.slab.get(token) else { return };
         let is_unused = connection.running.is_none() || !connection.is_ready();
@@ -86,11 +87,11 @@
             return self.pool.slab.close(now, token, &mut self.shared);
         }
         let next_check = connection.idle_deadline.max(now + self.shared.limits.engines.connection_wait);
-        self.shared.timers.set(next_check, TimerEvent::Connection(token));
+        self.shared.timers.set(next_check, TimerEvent::IdleDeadline(token));
     }
 
-    /// The drain grace of an engine has passed: what still waits for a connection must not begin there. Idle connections are
-    /// closed as well: sessions have moved on.
+    /// The drain grace of an engine has passed: attempts that still wait for a connection must not start
+    /// there. Idle connections are closed too, because sessions now use other engines.
     fn end_drain(&mut self, now: Time, id: &EngineId) {
         if self.pool.engines.get(id).is_none_or(|engine| !engine.is_closed(now)) {
             return;
@@ -108,7 +109,8 @@
         }
     }
 
-    /// An idle connection to the attempt's engine, if possible one that has the statement prepared, or a new one.
+    /// Returns an idle connection to the attempt's engine, if possible one on which the statement is
+    /// prepared, or opens a new one.
     fn connection_for(&mut self, now: Time, attempt: &Attempt) -> Option<Token> {
         self.pool.engines.get_open(now, &attempt.engine)?;
         self.pool.remove_ended(&attempt.engine);
@@ -129,7 +131,8 @@
         first_idle
     }
 
-    /// Opens a connection to the attempt's engine; `None` where the pool has no capacity for it.
+    /// Opens a connection to the attempt's engine; `None` if the pool has no capacity or the connection
+    /// cannot be started.
     fn connect(&mut self, now: Time, attempt: &Attempt) -> Option<Token> {
         let limits = &self.shared.limits.engines;
         let pool_limits =
@@ -141,7 +144,7 @@
         let ready_deadline = (now + limits.connection_wait).min(attempt.send_deadline);
         let connection = |token| MysqlConnection::new(token, stream, ready_deadline);
         let token = self.pool.add(&attempt.engine, connection)?;
-        self.shared.timers.set(ready_deadline, TimerEvent::Connection(token));
+        self.shared.timers.set(ready_deadline, TimerEvent::IdleDeadline(token));
         Some(token)
     }
 }
@@ -158,7 +161,7 @@
     fn on_timer(&mut self, now: Time) {
         while let Some(event) = self.shared.timers.pop_due(now) {
             match event {
-                TimerEvent::Connection(token) => self.check_idle(now, token),
+                TimerEvent::IdleDeadline(token) => self.check_idle(now, token),
                 TimerEvent::DrainDeadline(id) => self.end_drain(now, &id),
             }
         }
@@ -175,7 +178,7 @@
         }
         let token = self.connection_for(now, &attempt);
         let Some(connection) = token.and_then(|token| self.pool.slab.get(token)) else {
-            // The pool has no capacity for it, which says nothing of whether the engine can be reached.
+            // A full pool says nothing about whether the engine is reachable.
             return self.shared.events.attempt_ended(&key.id, key.number, AttemptOutcome::Full);
         };
         let token = connection.token;
@@ -187,14 +190,14 @@
         });
         let mut flow = Flow::Open;
         if matches!(connection.state, ConnectionState::Idle) {
-            connection.begin_attempt(&self.shared.limits.mysql);
+            connection.start_attempt(&self.shared.limits.mysql);
             flow = connection.continue_body(now, &mut self.shared);
         }
         self.pool.attempts.insert(key, token);
         self.pool.slab.settle(now, token, flow, &mut self.shared);
     }
 
-    /// `MySQL` has no way to call a statement off on its own connection: the connection ends with it.
+    /// `MySQL` cannot cancel a statement on its own connection, so the connection is closed.
     fn abandon(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
         let key = AttemptKey::new(id, attempt);
         let Some(token) = self.pool.attempts.remove(&key) else { return false };
--- a/src/upstream/mysql/prepared.rs
+++ b/src/upstream/mysql/prepared.rs
@@ -1,4 +1,4 @@
-//! Statements that are prepared on a connection.
+//! The statements that are prepared on a connection.
 
 use crate::mysql::packet::{self, Malformed, Reader};
 use std::collections::VecDeque;
@@ -7,16 +7,16 @@
 /// A statement that is prepared on a connection.
 struct PreparedStatement {
     text: Arc<[u8]>,
-    /// Its number at the engine, on this connection.
+    /// Its id at the engine, on this connection.
     number: u32,
 }
 
-/// The statements that are prepared on a connection, the latest last.
+/// The statements that are prepared on a connection, oldest first.
 #[derive(Default)]
 pub struct PreparedStatements(VecDeque<PreparedStatement>);
 
 impl PreparedStatements {
-    /// The number of a statement.
+    /// The id of a prepared statement.
     pub fn find(&self, text: &Arc<[u8]>) -> Option<u32> {
         self.0.iter().find(|known| known.text == *text).map(|known| known.number)
     }
@@ -26,8 +26,9 @@
         self.0.push_back(PreparedStatement { text, number });
     }
 
-    /// Removes the oldest statement where there are `max` or more, so that one can be added. Returns its number.
-    pub fn remove_surplus(&mut self, max: usize) -> Option<u32> {
+    /// If there are `max` statements or more, removes the oldest one to leave capacity for another. Returns
+    /// its id.
+    pub fn evict_oldest(&mut self, max: usize) -> Option<u32> {
         if self.0.len() < max {
             return None;
         }
@@ -35,25 +36,27 @@
     }
 }
 
-/// The answer to a PREPARE as far as it has come: one packet, then those that define parameters and columns.
+/// The part of the answer to a PREPARE that has arrived: one packet, then the definitions of parameters and
+/// columns.
 #[derive(Default)]
 pub struct Preparation {
-    /// The statement's number, once the first packet is here.
+    /// The statement's id, once the first packet has arrived.
     number: Option<u32>,
-    /// Packets that still define parameters and columns.
+    /// Definition packets of parameters and columns that are still to come.
     missing: usize,
 }
 
 impl Preparation {
-    /// Whether the first packet is not here yet.
+    /// Whether the first packet has not arrived yet.
     pub fn is_unanswered(&self) -> bool {
         self.number.is_none()
     }
 
-    /// Adds a packet's payload, which is no error. Returns the statement's number once the answer is complete.
+    /// Adds the payload of a packet other than an error. Returns the statement's id once the answer is
+    /// complete.
     ///
     /// # Errors
-    /// Where the first packet is no answer to a PREPARE.
+    /// If the first packet is not an answer to a PREPARE.
     pub fn add(&mut self, payload: &[u8]) -> Result<Option<u32>, Malformed> {
         if self.number.is_some() {
             self.missing = self.missing.checked_sub(1).ok_or(Malformed)?;
@@ -70,7 +73,7 @@
     }
 }
 
-/// Packets that define so many columns or parameters: an EOF packet ends them.
+/// Number of packets that define `count` columns or parameters, including the EOF packet that ends them.
 fn definition_packets(count: usize) -> usize {
     if count > 0 {
         count + 1
--- a/src/upstream/mysql/query_result.rs
+++ b/src/upstream/mysql/query_result.rs
@@ -1,18 +1,20 @@
-//! A result as an engine sends it, and what it says of the attempt.
+//! A result as the engine sends it, and the outcome of the attempt.
 
 use crate::core::{AttemptOutcome, ResultParts};
 use crate::limits::MysqlLimits;
 use crate::mysql::packet::{self, Malformed, Reader};
 
-/// EOF packets of a result set: one ends the columns, the next the rows.
+/// Number of EOF packets in a result set: one after the columns, one after the rows.
 const RESULT_SET_EOFS: u8 = 2;
-/// Errors with which an engine rejects a statement unseen: too many connections, of one user too; shutting down.
+/// Errors with which an engine rejects a statement without running it: too many connections (in total or of
+/// one user), shutting down.
 const REJECT_ERRORS: [u16; 4] = [1040, 1053, 1203, 1226];
-/// Errors of one engine at one time: locks, kills, limits of time and space, a statement that was forgotten.
+/// Errors that depend on the engine's state at the time: locks, kills, limits of time and space, an unknown
+/// prepared statement.
 const ENGINE_ERRORS: [u16; 13] =
     [1021, 1037, 1041, 1105, 1114, 1180, 1205, 1213, 1243, 1290, 1317, 1836, 3024];
 
-/// A result as far as it has come.
+/// The packets of a result that have arrived so far.
 #[derive(Default)]
 pub struct QueryResult {
     packets: ResultParts,
@@ -25,13 +27,14 @@
     /// Adds a packet's payload. Returns the packets of the result once it is complete.
     ///
     /// # Errors
-    /// Where the packet is empty, the result too large, or another result would follow: none was asked for.
+    /// If the packet is empty, the result is too large, or another result would follow, which was not
+    /// requested.
     pub fn add(&mut self, payload: Vec<u8>, limits: &MysqlLimits) -> Result<Option<ResultParts>, Malformed> {
         self.size += payload.len();
         self.eof_packets += u8::from(packet::is_eof(&payload));
         let kind = payload.first().copied().ok_or(Malformed)?;
         let is_first = self.packets.is_empty();
-        // An OK alone, or the end of the rows, ends it; so does an error at any place.
+        // A result ends with a single OK packet, with the EOF after the rows, or with an error at any point.
         let is_complete =
             kind == packet::ERR || is_first && kind == packet::OK || self.eof_packets == RESULT_SET_EOFS;
         if is_complete && more_follows(&payload) {
@@ -45,10 +48,11 @@
     }
 }
 
-/// How an attempt ends with these packets. Errors of the statement itself are its result: another engine would say the same.
+/// The outcome of an attempt with these packets. Errors in the statement itself are its result, because
+/// another engine would return the same.
 ///
 /// # Errors
-/// Where there is no packet, or the error in it has no number.
+/// If there is no packet, or the error has no number.
 pub fn outcome_of_result(packets: ResultParts) -> Result<AttemptOutcome, Malformed> {
     let last = packets.last().ok_or(Malformed)?;
     if last.first() != Some(&packet::ERR) {
--- a/src/upstream/mysql/shared.rs
+++ b/src/upstream/mysql/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of this upstream have in common.
+//! State shared by all connections of this upstream.
 
 use crate::body_store;
 use crate::limits::Limits;
@@ -9,32 +9,32 @@
 use dahliaspoke::policy::EngineId;
 use std::rc::Rc;
 
-/// What becomes due at a point in time.
+/// The events that timers trigger.
 pub enum TimerEvent {
-    /// A connection must be ready by now, or has been idle.
-    Connection(Token),
-    /// Nothing may begin to go to this engine any more.
+    /// The time for a connection to become ready is over, or the connection may have been idle too long.
+    IdleDeadline(Token),
+    /// No send to this engine may start any more.
     DrainDeadline(EngineId),
 }
 
-/// What all connections of this upstream have in common.
+/// State shared by all connections of this upstream.
 pub struct Shared {
-    /// Sizes and times.
+    /// Size and time limits.
     pub limits: Rc<Limits>,
-    /// Account and port at the engines.
+    /// The account and port at the engines.
     pub config: Rc<Mysql>,
-    /// Events that wait for the core.
+    /// Events queued for the core.
     pub events: EventQueue,
     /// Deadlines of connections and engines.
     pub timers: TimerQueue<TimerEvent>,
-    /// Attempts that went out complete on connections that have ended.
+    /// Attempts that were written completely on connections that have ended.
     pub sent_attempts: u64,
     /// Readers of large bodies.
     pub bodies: BodyReaders,
 }
 
 impl Shared {
-    /// At the start: no event, timer or connection.
+    /// Creates the state of an upstream without events, timers and connections.
     pub fn new(
         config: Rc<Mysql>,
         body_store: Option<body_store::SharedBodyStore>,
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -9,19 +9,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection to an engine, as its pool handles it.
+/// The interface of a connection to an engine that the pool uses.
 pub trait EngineConnection: Connection {
-    /// Attempts that have gone out complete here.
+    /// Attempts that have been written completely on this connection.
     fn sent_attempts(&self) -> u64;
 
-    /// Lets no attempt here begin to go out at `deadline` or later. Called when the engine begins to drain.
+    /// Lowers the send deadlines of the connection's attempts to `deadline` at most. Called when the engine
+    /// starts to drain.
     fn limit_send_deadlines(&mut self, deadline: Time);
 
-    /// Queues more of the body that goes out here. Called when its reader may have found something.
+    /// Queues more of the body that is being sent. Called when its reader may have new bytes.
     fn continue_body(&mut self, now: Time, shared: &mut Self::Shared) -> Flow;
 }
 
-/// How many connections there may be.
+/// Limits on the number of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// Connections to one engine.
@@ -30,20 +31,20 @@
     pub total: usize,
 }
 
-/// The connections of one upstream, the engines that they belong to, and the attempts that are out on them.
+/// The connections of one upstream, the engines that they belong to, and the attempts in flight on them.
 pub struct ConnectionPool<C> {
     /// The connections.
     pub slab: ConnectionSlab<C>,
     /// The engines.
     pub engines: Engines,
-    /// The connection of every attempt that is out.
+    /// The connection of each attempt in flight.
     pub attempts: HashMap<AttemptKey, Token>,
-    /// The end of the endpoint set's lease: nothing begins to be sent from then on.
+    /// The end of the endpoint set's lease: no send may start from then on.
     pub lease_end: Time,
 }
 
 impl<C: EngineConnection> ConnectionPool<C> {
-    /// An empty pool, whose descriptors the poller reports to the event handler `owner`.
+    /// Creates an empty pool. The poller reports its descriptors to the event handler `owner`.
     pub fn new(owner: u8, poller: Rc<Poller>) -> Self {
         Self {
             slab: ConnectionSlab::new(owner, poller),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Removes the oldest event. An attempt that it reports as ended is out no more.
+    /// Removes and returns the oldest event. An attempt that it reports as ended is no longer in flight.
     pub fn next_event(&mut self, events: &mut EventQueue) -> Option<UpstreamEvent> {
         let event = events.pop()?;
         if let UpstreamEvent::AttemptEnd { id, attempt, .. } = &event {
@@ -62,8 +63,9 @@
         Some(event)
     }
 
-    /// Applies what the endpoint set says of an engine, see [`Engines::update`]. Where the engine begins to drain, its
-    /// attempts may not begin to go out after the deadline, which is returned.
+    /// Applies an engine's lifecycle and address from the endpoint set, see [`Engines::update`]. If the
+    /// engine starts to drain, lowers the send deadlines of its attempts to the drain deadline, which is
+    /// returned.
     pub fn update_engine(
         &mut self,
         id: &EngineId,
@@ -85,7 +87,7 @@
         self.engines.get(id).map(|engine| engine.connections.clone()).unwrap_or_default()
     }
 
-    /// Removes connections that have ended from those of their engine.
+    /// Removes the connections that have ended from their engine's list.
     pub fn remove_ended(&mut self, id: &EngineId) {
         let slab = &mut self.slab;
         if let Some(engine) = self.engines.get_mut(id) {
@@ -93,13 +95,13 @@
         }
     }
 
-    /// Whether a further connection to an engine may be opened.
+    /// Whether another connection to an engine may be opened.
     pub fn has_capacity(&self, id: &EngineId, limits: PoolLimits) -> bool {
         let connections = self.engines.get(id).map_or(0, |engine| engine.connections.len());
         connections < limits.per_engine && self.slab.len() < limits.total
     }
 
-    /// Adds the connection that `make` builds around its own token. `None` where the system refuses to watch it.
+    /// Adds the connection that `make` builds for the given token. `None` if the system refuses to watch it.
     pub fn add(&mut self, id: &EngineId, make: impl FnOnce(Token) -> C) -> Option<Token> {
         let token = self.slab.add(|token| Some(make(token))).ok().flatten()?;
         if let Some(engine) = self.engines.get_mut(id) {
@@ -108,19 +110,19 @@
         Some(token)
     }
 
-    /// Sends on what a connection has queued, and closes it where it has to.
+    /// Writes a connection's queued output, and closes the connection if that fails or it must end.
     pub fn settle(&mut self, now: Time, token: Token, shared: &mut C::Shared) {
         self.slab.settle(now, token, Flow::Open, shared);
     }
 
-    /// Sends more of the body that goes out on a connection.
+    /// Sends more of the body that a connection is sending.
     pub fn continue_body(&mut self, now: Time, token: Token, shared: &mut C::Shared) {
         let Some(connection) = self.slab.get(token) else { return };
         let flow = connection.continue_body(now, shared);
         self.slab.settle(now, token, flow, shared);
     }
 
-    /// Attempts that have gone out complete on connections that are still open.
+    /// Attempts that have been written completely on connections that are still open.
     pub fn sent_attempts(&self) -> u64 {
         self.slab.iter().map(EngineConnection::sent_attempts).sum()
     }
--- a/src/upstream/resp/answers.rs
+++ b/src/upstream/resp/answers.rs
@@ -1,4 +1,4 @@
-//! What a connection does with an engine's answers.
+//! How a connection handles an engine's replies.
 
 use super::attempt::ResultState;
 use super::command;
@@ -13,10 +13,10 @@
 use dahliaspoke::policy::RequestId;
 
 impl RespConnection {
-    /// Applies one answer. Late answers to attempts that are not here any more are passed over.
+    /// Handles one reply. Late replies to attempts that are no longer on this connection are ignored.
     ///
     /// # Errors
-    /// Where the connection is of no more use: the answer cannot be one, or half a body is on it.
+    /// If the connection is unusable: the reply is invalid, or a body has been sent only in part.
     pub fn handle_reply(&mut self, now: Time, reply: Reply, shared: &mut Shared) -> Result<(), Malformed> {
         let Some((id, running)) = self.attempts.get_key_value(reply.id.as_str()) else { return Ok(()) };
         let key = AttemptKey::new(id, running.number());
@@ -30,7 +30,7 @@
                 shared.events.progress(key, progress);
                 return Ok(());
             }
-            // It cannot have run what it does not have yet.
+            // The engine cannot have run an attempt whose body it has not fully received.
             ReplyKind::Data { .. } | ReplyKind::Page { .. } if sends_body => return Err(Malformed),
             ReplyKind::Health => return Err(Malformed),
             ReplyKind::Data { .. } | ReplyKind::Page { .. } => {
@@ -54,14 +54,15 @@
     ) -> Result<(), Malformed> {
         let index = match reply.kind {
             ReplyKind::Page { index } => index,
-            // A second copy of the first page harms nothing.
+            // A duplicate of the first page is harmless.
             ReplyKind::Data { total } if self.begin_result(id, total, reply.report, shared)? => 0,
             _ => return Ok(()),
         };
         self.add_page(now, id, index, reply.body, shared)
     }
 
-    /// The result is ready: asks for all further pages at once. Returns false where it had begun already.
+    /// The result is ready: requests all further pages at once. Returns false if the result had already
+    /// started.
     fn begin_result(
         &mut self,
         id: &RequestId,
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    /// Reports an attempt's end; the connection may have become idle with it.
+    /// Reports the end of an attempt. If it was the last one, the connection becomes idle.
     fn end_attempt(
         &mut self,
         now: Time,
@@ -113,7 +114,7 @@
     ) {
         let Some(running) = self.attempts.remove(id) else { return };
         if !matches!(outcome, AttemptOutcome::Served(_)) {
-            // A second copy of this end must not be taken for one of the next attempt.
+            // A duplicate of this reply must not be attributed to the next attempt of the request.
             self.bar_id(now, id, &shared.limits.engines);
         }
         shared.events.attempt_reported(AttemptKey::new(id, running.number()), outcome, report);
--- a/src/upstream/resp/attempt.rs
+++ b/src/upstream/resp/attempt.rs
@@ -6,54 +6,54 @@
 use dahliaspoke::policy::RequestId;
 use dahliaspoke_body_store::Reader;
 
-/// An attempt that is to be put on a connection.
+/// An attempt that is to be queued on a connection.
 pub struct PendingAttempt {
     /// The attempt.
     pub attempt: Attempt,
-    /// When it must have begun to go out.
+    /// The time by which its first byte must have been written.
     pub send_deadline: Time,
-    /// Connections that ended before it went out.
+    /// How often it has been moved because its connection ended before it was sent.
     pub moves: usize,
 }
 
-/// What has come of an attempt's result.
+/// The state of an attempt's result.
 pub enum ResultState {
-    /// Nothing: it has not been sent, waits, or runs.
+    /// No page has arrived: the attempt is unsent, queued at the engine or running.
     Awaited,
-    /// Its first page, at least; the others have been asked for.
+    /// The first page has arrived and the others have been requested.
     Receiving(ResultPages),
 }
 
 /// An attempt on its connection.
 pub struct RunningAttempt {
-    /// The attempt, its deadline for sending and its moves.
+    /// The attempt, its send deadline and its number of moves.
     pub pending: PendingAttempt,
-    /// When it was put on its connection.
+    /// When it was queued on its connection.
     pub queued_at: Time,
-    /// By which its command can be withdrawn from the output.
+    /// The tag by which its command can be withdrawn from the output.
     pub message_tag: u64,
-    /// What has come of its result.
+    /// The state of its result.
     pub result: ResultState,
 }
 
 impl RunningAttempt {
-    /// The number of the attempt.
+    /// The attempt's number.
     pub fn number(&self) -> u32 {
         self.pending.attempt.attempt
     }
 
-    /// Whether its result has begun to come; further pages follow.
+    /// Whether the first page of its result has arrived; further pages follow.
     pub fn is_receiving(&self) -> bool {
         matches!(self.result, ResultState::Receiving(_))
     }
 }
 
-/// A body that goes out on a connection. Nothing else goes out there until it is complete.
+/// A body that is being sent on a connection. Nothing else is sent there until it is complete.
 pub struct OutgoingBody {
     /// The request that it belongs to.
     pub id: RequestId,
-    /// Where its bytes come from.
+    /// The source of its bytes.
     pub reader: Reader,
-    /// None of its bytes is here now; the body store reports when there are some.
+    /// Whether no bytes are available now; the body store reports when there are some.
     pub waits_for_bytes: bool,
 }
--- a/src/upstream/resp/command.rs
+++ b/src/upstream/resp/command.rs
@@ -1,4 +1,4 @@
-//! Commands to engines, encoded.
+//! Encoding of commands to engines.
 
 use crate::core::Attempt;
 use crate::net::resp::{array, array_head};
@@ -7,7 +7,8 @@
 
 const MS_PER_S: f64 = 1000.0;
 
-/// Starts an attempt. Where the statement is a large body, this is all that goes before it; [`BODY_END`] goes behind it.
+/// The command that starts an attempt. If the statement is a large body, this is only the part before the
+/// body; [`BODY_END`] follows the body.
 ///
 /// Its fields on the wire: `sort` is the class, `patience` the time until the deadline (ms, at least 1), `op` the idempotency
 /// key, `pool` the memory granted (MB) and `band` the priority.
@@ -31,17 +32,17 @@
 /// The end of a command whose last value is a large body.
 pub const BODY_END: &[u8] = b"\r\n";
 
-/// Asks for a page of a result, by its index from 0.
+/// Requests a page of a result, by its index from 0.
 pub fn page(id: &RequestId, index: usize) -> Vec<u8> {
     array(&[b"PAGE", id.as_bytes(), index.to_string().as_bytes()])
 }
 
-/// Gives up the pages of a result that are kept for us.
+/// Releases the pages of a result that the engine has stored for us.
 pub fn close(id: &RequestId) -> Vec<u8> {
     array(&[b"CLOSE", id.as_bytes()])
 }
 
-/// Gives up an attempt that has no result yet.
+/// Abandons an attempt that has no result yet.
 pub fn abandon(id: &RequestId) -> Vec<u8> {
     array(&[b"DROP", id.as_bytes()])
 }
--- a/src/upstream/resp/connect.rs
+++ b/src/upstream/resp/connect.rs
@@ -1,4 +1,4 @@
-//! Which connection an attempt uses, and when new ones are opened.
+//! Chooses the connection for an attempt, and opens new ones.
 
 use super::connection::RespConnection;
 use super::shared::TimerEvent;
@@ -11,7 +11,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How much a connection has to do. Those that are up come before those that connect.
+/// The load of a connection. Established connections are ordered before connecting ones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionLoad {
     is_connecting: bool,
@@ -28,22 +28,23 @@
     token: Token,
 }
 
-/// How an attempt ends whose connection the system refuses to open.
+/// The outcome of an attempt whose connection the system refuses to open.
 fn connect_error_outcome(error: &io::Error) -> AttemptOutcome {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => AttemptOutcome::ConnectionRefused,
         io::ErrorKind::HostUnreachable | io::ErrorKind::NetworkUnreachable => AttemptOutcome::Unsent,
-        // No descriptor, port or memory for it here: that says nothing of the engine.
+        // A local shortage of descriptors, ports or memory, which says nothing about the engine.
         _ => AttemptOutcome::Full,
     }
 }
 
 impl RespUpstream {
-    /// A connection for the attempt: an idle one, or a new one, or the one that has least to do. Whatever ends a
-    /// connection ends all attempts on it, so each has one of its own while there are enough.
+    /// Chooses a connection for the attempt: an idle one, a new one, or else the least loaded one. Whatever
+    /// ends a connection ends all attempts on it, so each attempt has its own connection while there is
+    /// capacity.
     ///
     /// # Errors
-    /// How the attempt ends without one.
+    /// The outcome of the attempt if there is no connection for it.
     pub(super) fn connection_for(&mut self, now: Time, attempt: &Attempt) -> Result<Token, AttemptOutcome> {
         let engine = self.pool.engines.get_open(now, &attempt.engine).ok_or(AttemptOutcome::Unsent)?;
         let address = engine.address;
@@ -53,13 +54,13 @@
             return Ok(idle.token);
         }
         match (self.connect(now, &attempt.engine), best) {
-            // Without a place or a descriptor for one of its own it shares one.
+            // Without capacity or a descriptor for a new connection, the attempt shares one.
             (Err(AttemptOutcome::Full), Some(best)) => Ok(best.token),
             (connected, _) => connected,
         }
     }
 
-    /// The connection to the attempt's engine that has least to do, of those that accept the attempt.
+    /// The least loaded connection to the attempt's engine, among those that accept the attempt.
     fn least_loaded(&mut self, now: Time, attempt: &Attempt, address: SocketAddr) -> Option<Candidate> {
         let limits = &self.shared.limits.engines;
         let has_body = attempt.payload.body.is_some();
@@ -84,14 +85,15 @@
     /// Opens a connection to an engine.
     ///
     /// # Errors
-    /// How an attempt ends that needs it: `Unsent` where the engine is closed, `Full` where the pool has no capacity.
+    /// The outcome of an attempt that needs the connection: `Unsent` if the engine is closed, `Full` if the
+    /// pool has no capacity.
     fn connect(&mut self, now: Time, id: &EngineId) -> Result<Token, AttemptOutcome> {
         let limits = &self.shared.limits.engines;
         let engine = self.pool.engines.get_open(now, id).ok_or(AttemptOutcome::Unsent)?;
         let address = engine.address;
         let pool_limits =
             PoolLimits { per_engine: limits.max_connections_per_engine, total: limits.max_connections };
-        // That the pool has no capacity for it says nothing of whether the engine can be reached.
+        // A full pool says nothing about whether the engine is reachable.
         if !self.pool.has_capacity(id, pool_limits) {
             return Err(AttemptOutcome::Full);
         }
@@ -103,23 +105,24 @@
             connection
         };
         let token = self.pool.add(id, connection).ok_or(AttemptOutcome::Full)?;
-        self.shared.timers.set(connect_deadline, TimerEvent::Connection(token));
+        self.shared.timers.set(connect_deadline, TimerEvent::IdleDeadline(token));
         Ok(token)
     }
 
-    /// An attempt has waited for its connection for longer than those take that are not late: a second one races the
-    /// first, and both stay for later attempts.
+    /// Opens a second connection for an attempt that has waited longer for its connection than an ordinary
+    /// connect takes. The two connects race, and both connections stay open for later attempts.
     pub(super) fn connect_second(&mut self, now: Time, key: &AttemptKey) {
         let Some(token) = self.pool.attempts.get(key).copied() else { return };
         let is_connecting = |connection: &&mut RespConnection| connection.stream.is_connecting();
         let Some(connection) = self.pool.slab.get(token).filter(is_connecting) else { return };
         let engine = connection.engine.clone();
-        // One that cannot be begun is as one that never comes up.
+        // A connect that cannot be started is treated like one that never completes.
         let _ = self.connect(now, &engine);
     }
 
-    /// Of the connections to an engine that are still not up and that no attempt waits for, a few are kept: those begun
-    /// last. `token` is a connection to that engine.
+    /// Closes surplus connects to an engine. Of its connections that are still connecting and have no attempt
+    /// waiting, the `max_spare_connects` most recent ones stay open. `token` is any connection to that
+    /// engine.
     pub(super) fn close_spare_connects(&mut self, now: Time, token: Token) {
         let Some(id) = self.pool.slab.get(token).map(|connection| connection.engine.clone()) else { return };
         let ConnectionPool { slab, engines, .. } = &mut self.pool;
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -15,13 +15,13 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// An id that no attempt may use on a connection: an answer to an earlier attempt may still come.
+/// An id that no attempt may use on a connection, because a reply to an earlier attempt may still arrive.
 struct BarredId {
     id: RequestId,
     until: Time,
 }
 
-/// A connection to an engine; it belongs to the engine's id, never to the address.
+/// A connection to an engine. It belongs to the engine's id, never to its address.
 pub struct RespConnection {
     /// The socket.
     pub stream: BufferedStream,
@@ -29,25 +29,28 @@
     pub token: Token,
     /// The engine.
     pub engine: EngineId,
-    /// Where the engine was when this was opened.
+    /// The engine's address when the connection was opened.
     pub address: SocketAddr,
-    /// The attempts that are out here.
+    /// The attempts in flight on this connection.
     pub attempts: HashMap<RequestId, RunningAttempt>,
     barred_ids: Vec<BarredId>,
-    /// While it connects, when it is given up; later, when it has been idle too long.
+    /// While connecting, the time at which the connect is given up; later, the time from which the connection
+    /// has been idle too long.
     pub idle_deadline: Time,
-    /// When an answer that has begun must be complete; infinity while none has.
-    pub answer_deadline: Time,
-    /// When bytes last came.
+    /// The time by which the next reply must be complete, while a reply or a result is incomplete; infinity
+    /// otherwise.
+    pub reply_deadline: Time,
+    /// The time at which bytes were last received.
     pub last_received: Time,
-    /// An attempt that was sent here found no answer: nothing more is sent.
+    /// An attempt was abandoned here after no reply or only part of one: nothing more is sent on this
+    /// connection.
     pub is_suspect: bool,
-    /// The large body that goes out here: nothing else can until it is out.
+    /// The large body that is being sent; nothing else can be sent until it is complete.
     pub outgoing_body: Option<OutgoingBody>,
 }
 
 impl RespConnection {
-    /// A connection that was opened now; the caller sets `idle_deadline` to when it must be up.
+    /// Wraps a connection that has just been opened; the caller sets `idle_deadline` to the connect deadline.
     pub fn new(
         now: Time,
         token: Token,
@@ -63,30 +66,30 @@
             attempts: HashMap::new(),
             barred_ids: Vec::new(),
             idle_deadline: now,
-            answer_deadline: Time::INFINITY,
+            reply_deadline: Time::INFINITY,
             last_received: now,
             is_suspect: false,
             outgoing_body: None,
         }
     }
 
-    /// Whether the body of that request goes out here and is not complete.
+    /// Whether the body of that request is being sent here and is incomplete.
     pub fn sends_body_of(&self, id: &RequestId) -> bool {
         self.outgoing_body.as_ref().is_some_and(|body| body.id == *id)
     }
 
-    /// Lets no attempt use that id here until late answers to this one cannot come any more.
+    /// Bars that id on this connection until no late reply to the current attempt can arrive any more.
     pub fn bar_id(&mut self, now: Time, id: &RequestId, limits: &EngineLimits) {
         self.barred_ids.push(BarredId { id: id.clone(), until: now + limits.late_answer_window });
     }
 
-    /// Whether a late answer to an earlier attempt of that id may still come.
+    /// Whether a late reply to an earlier attempt of that id may still arrive.
     pub fn is_barred(&self, now: Time, id: &RequestId) -> bool {
         self.barred_ids.iter().any(|barred| barred.until > now && barred.id == *id)
     }
 
-    /// Whether a further attempt of that id may go out here; `has_body` where its statement is a large
-    /// body, which has the connection to itself.
+    /// Whether another attempt, with that id, may be queued here; `has_body` if its statement is a large
+    /// body, which needs the connection to itself.
     pub fn accepts(&mut self, now: Time, id: &RequestId, has_body: bool, limits: &EngineLimits) -> bool {
         self.barred_ids.retain(|barred| barred.until > now);
         let has_capacity = self.attempts.len() < limits.max_streams
@@ -96,21 +99,21 @@
         has_capacity && is_usable && !self.attempts.contains_key(id) && !self.is_barred(now, id)
     }
 
-    /// Forgets the body that went out here.
+    /// Ends the sending of the body, complete or not.
     fn end_body(&mut self, shared: &mut Shared) {
         if let Some(body) = self.outgoing_body.take() {
             shared.bodies.remove(body.reader.id);
         }
     }
 
-    /// Sets until when an answer that has begun must go on.
-    fn update_answer_deadline(&mut self, now: Time, read: usize, shared: &mut Shared) {
+    /// Updates the time by which the next reply must be complete.
+    fn update_reply_deadline(&mut self, now: Time, read: usize, shared: &mut Shared) {
         let is_receiving = self.attempts.values().any(RunningAttempt::is_receiving);
         if self.stream.input.is_empty() && !is_receiving {
-            self.answer_deadline = Time::INFINITY;
-        } else if read > 0 || self.answer_deadline == Time::INFINITY {
-            self.answer_deadline = now + shared.limits.results.stall_timeout;
-            shared.timers.set(self.answer_deadline, TimerEvent::Answer(self.token));
+            self.reply_deadline = Time::INFINITY;
+        } else if read > 0 || self.reply_deadline == Time::INFINITY {
+            self.reply_deadline = now + shared.limits.results.stall_timeout;
+            shared.timers.set(self.reply_deadline, TimerEvent::ReplyDeadline(self.token));
         }
     }
 }
@@ -132,8 +135,8 @@
         };
         let max_queued = shared.limits.engines.max_queued_body_bytes;
         while !self.stream.is_connecting() && self.stream.queued() < max_queued {
-            let pulled = store.borrow_mut().read(now, &body.reader);
-            match pulled {
+            let read_outcome = store.borrow_mut().read(now, &body.reader);
+            match read_outcome {
                 ReadOutcome::Bytes(bytes) => drop(self.stream.push_shared(bytes)),
                 ReadOutcome::NotReady => {
                     body.waits_for_bytes = true;
@@ -144,7 +147,7 @@
                     self.end_body(shared);
                     return Flow::Open;
                 }
-                // The engine must not take a part for the whole.
+                // The engine must not mistake a partial body for the complete one.
                 ReadOutcome::Lost => return Flow::Close,
             }
         }
@@ -178,7 +181,7 @@
             }
         };
         self.stream.input.drain(..read);
-        self.update_answer_deadline(now, read, shared);
+        self.update_reply_deadline(now, read, shared);
         flow
     }
 
@@ -190,7 +193,8 @@
         self.continue_body(now, shared)
     }
 
-    /// Attempts whose time to begin is over stay here: the process may have been suspended since they were queued.
+    /// Withdraws attempts whose send deadline has passed: the process may have been suspended since they were
+    /// queued.
     fn before_write(&mut self, now: Time, shared: &mut Shared) -> Flow {
         let (stream, body) = (&mut self.stream, &self.outgoing_body);
         let mut flow = Flow::Open;
@@ -199,7 +203,7 @@
             if is_late {
                 shared.events.attempt_ended(id, running.number(), AttemptOutcome::Unsent);
                 if body.as_ref().is_some_and(|body| body.id == *id) {
-                    flow = Flow::Close; // what is queued of its body must not go out
+                    flow = Flow::Close; // the queued part of its body must not be sent
                 }
             }
             !is_late
@@ -211,7 +215,7 @@
         self.outgoing_body.as_ref().is_some_and(|body| !body.waits_for_bytes)
     }
 
-    /// What was still unsent never ran; the rest may have.
+    /// Unsent attempts never ran; the others may have.
     fn closed(&mut self, _: Time, shared: &mut Shared) {
         shared.sent_attempts += self.stream.counted_sent();
         self.end_body(shared);
--- a/src/upstream/resp/deadlines.rs
+++ b/src/upstream/resp/deadlines.rs
@@ -1,4 +1,4 @@
-//! What happens when a deadline of a connection, an attempt or an engine has passed.
+//! Handling of expired deadlines of connections, attempts and engines.
 
 use super::connection::RespConnection;
 use super::shared::TimerEvent;
@@ -9,18 +9,18 @@
 use dahliaspoke::policy::EngineId;
 
 impl RespUpstream {
-    /// Does what has become due.
+    /// Handles a timer that is due.
     pub(super) fn handle_timer(&mut self, now: Time, event: TimerEvent) {
         match event {
-            TimerEvent::Connection(token) => self.check_idle(now, token),
-            TimerEvent::Answer(token) => self.check_answer(now, token),
+            TimerEvent::IdleDeadline(token) => self.check_idle(now, token),
+            TimerEvent::ReplyDeadline(token) => self.check_reply_deadline(now, token),
             TimerEvent::SecondConnect(key) => self.connect_second(now, &key),
             TimerEvent::SendDeadline(key) => self.check_send_deadline(now, &key),
             TimerEvent::DrainDeadline(id) => self.end_drain(now, &id),
         }
     }
 
-    /// Closes a connection that is not up in time, or has been idle too long.
+    /// Closes a connection that was not established in time or has been idle too long.
     fn check_idle(&mut self, now: Time, token: Token) {
         let Some(connection) = self.pool.slab.get(token) else { return };
         let is_unused = connection.stream.is_connecting() || connection.attempts.is_empty();
@@ -30,17 +30,17 @@
         let next_check =
             if is_unused { connection.idle_deadline } else { now + self.shared.limits.engines.idle_timeout };
         connection.idle_deadline = connection.idle_deadline.max(next_check);
-        self.shared.timers.set(next_check, TimerEvent::Connection(token));
+        self.shared.timers.set(next_check, TimerEvent::IdleDeadline(token));
     }
 
-    /// Closes a connection on which an answer has stopped halfway: nothing behind it can be read.
-    fn check_answer(&mut self, now: Time, token: Token) {
-        if self.pool.slab.get(token).is_some_and(|connection| connection.answer_deadline <= now) {
+    /// Closes a connection on which a reply has stalled: nothing after it can be read.
+    fn check_reply_deadline(&mut self, now: Time, token: Token) {
+        if self.pool.slab.get(token).is_some_and(|connection| connection.reply_deadline <= now) {
             self.pool.slab.close(now, token, &mut self.shared);
         }
     }
 
-    /// Ends an attempt that has not begun to go out in time.
+    /// Ends an attempt of which no byte was written by its send deadline.
     fn check_send_deadline(&mut self, now: Time, key: &AttemptKey) {
         let Some(token) = self.pool.attempts.get(key).copied() else { return };
         let is_due = |connection: &mut RespConnection| {
@@ -52,15 +52,15 @@
         }
     }
 
-    /// The drain grace of an engine has passed. An attempt whose first byte is still here must not go out: a send counts
-    /// from its first byte. It never ran.
+    /// The drain grace of an engine has passed. An attempt counts as sent from its first byte: one of which
+    /// no byte has been written must not be sent any more, and ends as unsent.
     pub(super) fn end_drain(&mut self, now: Time, id: &EngineId) {
         if self.pool.engines.get(id).is_none_or(|engine| !engine.is_closed(now)) {
             return;
         }
         for token in self.pool.connections_of(id) {
             self.withdraw_all(now, token);
-            // A connection that comes up from now on is of no use.
+            // A connection that is established from now on cannot be used.
             if self.pool.slab.get(token).is_some_and(|connection| connection.stream.is_connecting()) {
                 self.pool.slab.close(now, token, &mut self.shared);
             }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Ends all attempts on a connection of which no byte has gone out.
+    /// Ends all attempts on a connection of which no byte has been written.
     fn withdraw_all(&mut self, now: Time, token: Token) {
         let Some(connection) = self.pool.slab.get(token) else { return };
         let ids: Vec<_> = connection.attempts.keys().cloned().collect();
--- a/src/upstream/resp/dispatch.rs
+++ b/src/upstream/resp/dispatch.rs
@@ -1,4 +1,4 @@
-//! Puts attempts on connections, and moves those of which no byte went out.
+//! Queues attempts on connections, and moves those of which no byte has been written.
 
 use super::attempt::{OutgoingBody, PendingAttempt, ResultState, RunningAttempt};
 use super::command;
@@ -12,7 +12,7 @@
 use dahliaspoke::policy::{EngineId, RequestId};
 use dahliaspoke_body_store::Reader;
 
-/// An attempt that waits for its connection to come up.
+/// An attempt that waits for its connection to be established.
 struct WaitingAttempt {
     id: RequestId,
     connection: Token,
@@ -20,11 +20,11 @@
 }
 
 impl RespUpstream {
-    /// Sends an attempt, or has it wait for its connection until its send deadline.
-    pub(super) fn begin(&mut self, now: Time, mut pending: PendingAttempt) {
+    /// Sends an attempt, or queues it on a connecting connection until its send deadline.
+    pub(super) fn send_or_queue(&mut self, now: Time, mut pending: PendingAttempt) {
         let attempt = &pending.attempt;
         let Ok(reader) = self.shared.bodies.open(now, attempt.payload.body.as_ref()) else {
-            // Its body is gone: it is not sent, and cannot be.
+            // Its body is no longer stored, so it cannot be sent.
             return self.shared.events.attempt_ended(&attempt.id, attempt.attempt, AttemptOutcome::Expired);
         };
         pending.send_deadline = pending.send_deadline.min(self.pool.lease_end);
@@ -34,7 +34,7 @@
             Err(AttemptOutcome::Unsent)
         };
         match found {
-            Ok(token) => self.put_on_connection(now, token, pending, reader),
+            Ok(token) => self.queue_on_connection(now, token, pending, reader),
             Err(outcome) => {
                 let attempt = &pending.attempt;
                 self.shared.events.attempt_ended(&attempt.id, attempt.attempt, outcome);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Queues an attempt on a connection, and sets its timers while it has not gone out.
-    fn put_on_connection(
+    /// Queues an attempt on a connection, and sets its timers if it was not written at once.
+    fn queue_on_connection(
         &mut self,
         now: Time,
         token: Token,
@@ -73,13 +73,14 @@
         }
     }
 
-    /// Lets attempts that wait go on. A connection that was up, and ended before an attempt went out, says nothing of the
-    /// engine: the attempt is moved to another. One that has become idle takes the attempt that has waited for longest.
+    /// Assigns waiting attempts to other connections. An attempt whose established connection ended before it
+    /// was sent is moved, because the end of a connection says nothing about the engine. A connection that
+    /// has become idle gets the attempt that has waited longest.
     pub(super) fn send_waiting(&mut self, now: Time) {
         loop {
             if let Some(mut pending) = self.shared.moved.pop() {
                 pending.moves += 1;
-                self.begin(now, pending);
+                self.send_or_queue(now, pending);
             } else if let Some(idle) = self.shared.idle.pop() {
                 self.move_to_idle(now, idle);
             } else {
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Moves the attempt that waits for longest for a connection to the engine of this one here, if it is idle.
+    /// Moves to this connection, if it is idle, the attempt that has waited longest for a connection to its
+    /// engine.
     fn move_to_idle(&mut self, now: Time, idle: Token) {
         let is_idle = |connection: &&mut RespConnection| {
             !connection.stream.is_connecting() && !connection.is_suspect && connection.attempts.is_empty()
@@ -104,13 +106,13 @@
             return;
         }
         if let Some(running) = self.withdraw(now, waiting.connection, &waiting.id) {
-            self.put_on_connection(now, idle, running.pending, None);
+            self.queue_on_connection(now, idle, running.pending, None);
             self.close_spare_connects(now, waiting.connection);
         }
     }
 
-    /// The attempt with the earliest send deadline, of those that wait for a connection to that engine to come up. One
-    /// with a large body stays where it is.
+    /// The attempt with the earliest send deadline among those that wait for a connection to that engine to
+    /// be established. An attempt with a large body is not moved.
     fn longest_waiting(&mut self, engine: &EngineId) -> Option<WaitingAttempt> {
         let ConnectionPool { slab, engines, .. } = &mut self.pool;
         let mut longest: Option<WaitingAttempt> = None;
@@ -130,7 +132,7 @@
         longest
     }
 
-    /// Removes an attempt from its connection, if no byte of it has gone out.
+    /// Removes an attempt from its connection if no byte of it has been written.
     pub(super) fn withdraw(&mut self, now: Time, token: Token, id: &RequestId) -> Option<RunningAttempt> {
         let connection = self.pool.slab.get(token)?;
         let message_tag = connection.attempts.get(id)?.message_tag;
@@ -139,7 +141,7 @@
         }
         let running = connection.attempts.remove(id);
         if connection.sends_body_of(id) {
-            // What is queued of its body must not go out.
+            // The queued part of its body must not be sent.
             self.pool.slab.close(now, token, &mut self.shared);
         }
         running
@@ -147,8 +149,8 @@
 }
 
 impl RespConnection {
-    /// Queues the command that starts an attempt. Its body, which `reader` brings, follows when the connection is asked to
-    /// continue it.
+    /// Queues the command that starts an attempt. Its body, read through `reader`, follows with calls of
+    /// `continue_body`.
     fn queue(&mut self, now: Time, pending: PendingAttempt, reader: Option<Reader>) {
         let command = command::start(now, &pending.attempt);
         let id = pending.attempt.id.clone();
@@ -156,7 +158,7 @@
             None => self.stream.push_counted(command),
             Some(reader) => {
                 self.outgoing_body = Some(OutgoingBody { id: id.clone(), reader, waits_for_bytes: false });
-                // It counts with the end of its body.
+                // It is counted as sent with the end of its body.
                 self.stream.push(command)
             }
         };
--- a/src/upstream/resp/fields.rs
+++ b/src/upstream/resp/fields.rs
@@ -1,13 +1,13 @@
-//! Fields of an engine's answer: progress, costs and the load report.
+//! The fields of an engine's reply: progress, costs and the load report.
 
 use crate::core::AttemptReport;
 use crate::net::resp::Malformed;
 use dahliaspoke::policy::{LoadReport, Progress};
 
-/// The value of a wait for the engine's load; any other is a wait for memory.
+/// Value of a wait report that means waiting for the engine's load; any other value means waiting for memory.
 const WAIT_FOR_LOAD: f64 = 2.0;
 
-/// `name=value,name=value`, or `-` for none.
+/// Encoded as `name=value,name=value`, or `-` if there are none.
 pub struct Fields<'a>(pub &'a str);
 
 impl<'a> Fields<'a> {
@@ -19,16 +19,16 @@
     /// A count or an index.
     ///
     /// # Errors
-    /// Where it is absent or no such number.
+    /// If it is absent or not such a number.
     pub fn count(&self, name: &str) -> Result<usize, Malformed> {
         self.get(name).and_then(|value| value.parse().ok()).ok_or(Malformed)
     }
 
-    /// What a running attempt reports of itself: field `n` is the kind (`p` progress, `s` spills, `w` waits), `datum` its value.
-    /// `None` for kinds that are not known here.
+    /// A running attempt's progress report: field `n` is the kind (`p` progress, `s` spills, `w` waits),
+    /// `datum` its value. `None` if the kind is absent or unknown.
     ///
     /// # Errors
-    /// Where its value is absent or no finite number.
+    /// If the value is absent or not a finite number.
     pub fn progress(&self) -> Result<Option<Progress>, Malformed> {
         let Some(kind) = self.get("n") else { return Ok(None) };
         let value = finite_number(self.get("datum").ok_or(Malformed)?)?;
@@ -41,31 +41,32 @@
         })
     }
 
-    /// What the engine reports with an attempt's end: field `elapsed` is the work (ms of one thread), `rss` the memory (MB).
+    /// The engine's report at the end of an attempt: field `elapsed` is the work (ms of one thread), `rss`
+    /// the memory (MB).
     ///
     /// # Errors
-    /// Where the load report cannot be read.
+    /// If the load report is malformed.
     pub fn attempt_report(&self) -> Result<AttemptReport, Malformed> {
-        // The result counts, whatever is said of its cost: a figure that cannot be one is as good as none.
+        // A malformed cost does not invalidate the result and is treated as absent.
         let cost =
             |name| self.get(name).and_then(|value| finite_number(value).ok()).filter(|cost| *cost >= 0.0);
         Ok(AttemptReport { work: cost("elapsed"), memory: cost("rss"), load: self.load_report()? })
     }
 
-    /// The engine's load: field `l`, which holds `name:value` pairs; unknown names are passed over.
+    /// The engine's load: field `l` with `name:value` pairs; unknown names are ignored.
     fn load_report(&self) -> Result<Option<LoadReport>, Malformed> {
         let Some(load) = self.get("l") else { return Ok(None) };
         let mut report = LoadReport::default();
         for item in load.split(';').filter(|item| !item.is_empty()) {
             let (name, value) = item.split_once(':').ok_or(Malformed)?;
-            let place = match name {
+            let figure = match name {
                 "util" | "busy" => &mut report.util,
                 "queue" | "q" => &mut report.queue,
                 "x0" => &mut report.memory,
                 "x1" => &mut report.disk,
                 _ => continue,
             };
-            *place = Some(finite_number(value)?);
+            *figure = Some(finite_number(value)?);
         }
         Ok(Some(report))
     }
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -1,11 +1,12 @@
-//! Attempts over the platform's engine protocol: many on a connection, answers in any order, results in pages.
+//! Attempts over the platform's engine protocol: many on a connection, with replies in any order and results
+//! in pages.
 //!
-//! - `attempt`, `result_pages`: an attempt and what has come of its result
+//! - `attempt`, `result_pages`: an attempt and the state of its result
 //! - `command`, `reply`, `fields`: the protocol's messages
-//! - `connection`, `answers`: one connection, and what it does with answers
-//! - `connect`: which connection an attempt uses
-//! - `dispatch`: puts attempts on connections and moves those that were not sent
-//! - `deadlines`: timers
+//! - `connection`, `answers`: one connection, and how it handles replies
+//! - `connect`: the choice of a connection for an attempt
+//! - `dispatch`: queues attempts on connections and moves unsent ones
+//! - `deadlines`: expired deadlines
 
 mod answers;
 mod attempt;
@@ -32,14 +33,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The connections to all engines.
+/// The connections to all engines that speak the platform's protocol.
 pub struct RespUpstream {
     pool: ConnectionPool<RespConnection>,
     shared: Shared,
 }
 
 impl RespUpstream {
-    /// An upstream without engines, whose descriptors the poller reports to the event handler `owner`.
+    /// Creates an upstream without engines. The poller reports its descriptors to the event handler `owner`.
     pub fn new(
         owner: u8,
         body_store: Option<body_store::SharedBodyStore>,
@@ -49,12 +50,13 @@
         Self { pool: ConnectionPool::new(owner, poller), shared: Shared::new(body_store, limits) }
     }
 
-    /// Removes the oldest event that the core has not received. The daemon calls this until there is none.
+    /// Removes and returns the oldest event that the core has not received. The daemon calls this until it
+    /// returns `None`.
     pub fn next_event(&mut self) -> Option<UpstreamEvent> {
         self.pool.next_event(&mut self.shared.events)
     }
 
-    /// Continues a body whose reader may find something now. Called when the body store reports it.
+    /// Continues a body whose reader may have new bytes. Called when the body store reports it.
     pub fn continue_body(&mut self, now: Time, reader: u64) {
         let Some(token) = self.shared.bodies.connection(reader) else { return };
         if self.pool.slab.get(token).is_none() {
@@ -64,13 +66,13 @@
         self.send_waiting(now);
     }
 
-    /// Sets the end of the endpoint set's lease: nothing begins to be sent from then on.
+    /// Sets the end of the endpoint set's lease: no send may start from then on.
     pub fn set_lease_end(&mut self, until: Time) {
         self.pool.lease_end = until;
     }
 
-    /// Applies what the endpoint set says of an engine; `notified` is since when this counts as known. `address` is
-    /// absent where the endpoint set does not name one.
+    /// Applies an engine's lifecycle and address from the endpoint set. The drain grace is counted from
+    /// `notified`. `address` is `None` if the endpoint set does not name one.
     pub fn update_engine(
         &mut self,
         now: Time,
@@ -89,7 +91,8 @@
         self.send_waiting(now);
     }
 
-    /// An address is this engine's now: what still waits for a connection to another engine there must not reach this one.
+    /// An address now belongs to this engine: attempts that still wait for a connection to another engine at
+    /// that address must not reach this one.
     fn close_former_engines(&mut self, now: Time, id: &EngineId, address: SocketAddr) {
         for former in self.pool.engines.others_at(id, address) {
             self.pool.engines.close(now, &former);
@@ -97,10 +100,10 @@
         }
     }
 
-    /// Removes an attempt from its connection. Has the engine abandon it where some of it has gone out; returns whether none
-    /// has.
+    /// Removes an attempt from its connection. If some of it has been written, tells the engine to abandon
+    /// it. Returns whether none of it has been written.
     fn remove_attempt(&mut self, now: Time, key: &AttemptKey) -> bool {
-        // Its end may be on its way to the core already; the core passes over what comes second.
+        // Its end may already be queued for the core, which ignores the second end of an attempt.
         let Some(token) = self.pool.attempts.remove(key) else { return false };
         let Some(connection) = self.pool.slab.get(token) else { return false };
         let Some(running) = connection.attempts.remove(&key.id) else { return false };
@@ -109,7 +112,8 @@
         }
         let is_unsent = connection.stream.withdraw(running.message_tag);
         if connection.sends_body_of(&key.id) {
-            // Half a body is on it: it is of no more use, and ends what runs there.
+            // The body was sent only in part: the connection is unusable, and closing it ends the attempts on
+            // it.
             self.pool.slab.close(now, token, &mut self.shared);
             return is_unsent;
         }
@@ -117,11 +121,11 @@
             self.close_spare_connects(now, token);
             return true;
         }
-        // Silent since, or stopped in the middle of an answer: it may be of no more use.
+        // No bytes since the attempt was queued, or an incomplete reply: the connection may be unusable.
         let is_silent = connection.last_received < running.queued_at;
         connection.is_suspect |= is_silent || !connection.stream.input.is_empty();
         if connection.is_suspect && connection.attempts.is_empty() {
-            self.pool.slab.close(now, token, &mut self.shared); // which gives the attempt up
+            self.pool.slab.close(now, token, &mut self.shared); // the engine abandons the attempt when its connection ends
             return false;
         }
         connection.bar_id(now, &key.id, &self.shared.limits.engines);
@@ -156,20 +160,21 @@
             .send_deadline
             .min(now + self.shared.limits.engines.connection_wait)
             .min(self.pool.engines.drain_deadline(&attempt.engine));
-        self.begin(now, PendingAttempt { attempt, send_deadline, moves: 0 });
+        self.send_or_queue(now, PendingAttempt { attempt, send_deadline, moves: 0 });
         self.send_waiting(now);
     }
 
     fn abandon(&mut self, now: Time, id: &RequestId, attempt: u32) -> bool {
         let is_unsent = self.remove_attempt(now, &AttemptKey::new(id, attempt));
-        // Its connection may have ended with it: what waited there is moved to another before anything else is done with it.
+        // The connection may have been closed with it: attempts that waited on it are moved before anything
+        // else happens to them.
         self.send_waiting(now);
         is_unsent
     }
 
     fn set_priority(&mut self, now: Time, id: &RequestId, attempt: u32, priority: u8) {
         let Some(token) = self.pool.attempts.get(&AttemptKey::new(id, attempt)).copied() else { return };
-        // In the middle of a body no other command can go out.
+        // No other command can be sent in the middle of a body.
         let is_sendable = |connection: &&mut RespConnection| {
             connection.attempts.contains_key(id) && connection.outgoing_body.is_none()
         };
--- a/src/upstream/resp/reply.rs
+++ b/src/upstream/resp/reply.rs
@@ -1,4 +1,4 @@
-//! An engine's answers, decoded.
+//! Decoding of an engine's replies.
 
 use super::fields::Fields;
 use crate::core::AttemptReport;
@@ -6,71 +6,72 @@
 use crate::net::resp::{self, ArrayLimits, Malformed};
 use dahliaspoke::policy::Progress;
 
-/// What an answer says.
+/// The kind of a reply.
 #[derive(Debug, PartialEq)]
 pub enum ReplyKind {
     /// The first page of a result.
     Data {
-        /// Pages of the result.
+        /// Number of pages of the result.
         total: usize,
     },
     /// The engine rejects the attempt.
     Full,
     /// The attempt failed.
     Failed,
-    /// The attempt's time was over before it could run.
+    /// The attempt's deadline had passed before it could run.
     Expired,
-    /// What the running attempt reports of itself; `None` for kinds that are not known here.
+    /// A progress report of the running attempt; `None` for unknown kinds of progress.
     Progress(Option<Progress>),
-    /// A further page of a result.
+    /// Another page of a result.
     Page {
         /// Its index, from 0.
         index: usize,
     },
-    /// The answer to a health probe.
+    /// The reply to a health probe.
     Health,
 }
 
-/// One answer of an engine.
+/// One reply of an engine.
 #[derive(Debug)]
 pub struct Reply {
     /// The request's id.
     pub id: String,
-    /// What it says.
+    /// The kind of the reply.
     pub kind: ReplyKind,
-    /// What the engine reports with it.
+    /// The costs and the load that the engine reports with it.
     pub report: AttemptReport,
-    /// Rows, where it is a page.
+    /// The rows, if it is a page.
     pub body: Vec<u8>,
 }
 
-/// An answer, and how much of the input it was.
+/// A decoded reply and its encoded length.
 #[derive(Debug)]
 pub struct DecodedReply {
-    /// The answer.
+    /// The reply.
     pub reply: Reply,
-    /// Its bytes in the input.
+    /// Its length in the input (bytes).
     pub length: usize,
 }
 
-/// Values in an answer: its id, its kind, its fields, its body.
-const VALUES: usize = 4;
-/// Columns of every row.
-const COLUMNS: usize = 3;
+/// Number of values in a reply: id, kind, fields and body.
+const REPLY_VALUES: usize = 4;
+/// Number of columns of each row.
+const ROW_COLUMNS: usize = 3;
 
-/// The answer at the start of the input, once all of it is here.
+/// Decodes the reply at the start of the input; `None` if it is still incomplete.
 ///
 /// # Errors
-/// Where the bytes are no answer, or a too large one.
+/// If the input is not a valid reply, or the reply is too large.
 pub fn decode(input: &[u8], limits: &Limits) -> Result<Option<DecodedReply>, Malformed> {
-    let bounds = ArrayLimits { values: VALUES, bytes: limits.results.max_frame_bytes };
+    let bounds = ArrayLimits { values: REPLY_VALUES, bytes: limits.results.max_frame_bytes };
     let Some((values, length)) = resp::decode_array(input, bounds)? else { return Ok(None) };
     let values = values.try_into().map_err(|_| Malformed)?;
     Ok(Some(DecodedReply { reply: decode_values(values)?, length }))
 }
 
-/// The kinds' names on the wire are those of the engine protocol: `moot` is an expired attempt, `news` its progress.
-fn decode_values([id, kind, fields, body]: [&[u8]; VALUES]) -> Result<Reply, Malformed> {
+/// Decodes the values of a reply. In the engine protocol, `moot` is an expired attempt and `news` is
+/// progress.
+fn decode_values([id, kind, fields, body]: [&[u8]; REPLY_VALUES]) -> Result<Reply, Malformed> {
     let text = |bytes| std::str::from_utf8(bytes).map_err(|_| Malformed);
     let fields = Fields(text(fields)?);
     let kind = match text(kind)? {
@@ -90,10 +91,10 @@
     Ok(Reply { id: text(id)?.into(), kind, report: fields.attempt_report()?, body: body.to_vec() })
 }
 
-/// Whether these are complete rows of the wire's three text columns: corrupt ones must not be passed on.
+/// Whether the body consists of complete rows of three text columns: corrupt rows must not be passed on.
 fn is_table(body: &str) -> bool {
     let is_complete = body.is_empty() || body.ends_with('\n');
-    let is_row = |row: &str| row.matches('\t').count() == COLUMNS - 1;
+    let is_row = |row: &str| row.matches('\t').count() == ROW_COLUMNS - 1;
     is_complete
         && body.split_terminator('\n').all(is_row)
         && !body.contains(['\r', '\0', char::REPLACEMENT_CHARACTER])
--- a/src/upstream/resp/shared.rs
+++ b/src/upstream/resp/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of this upstream have in common.
+//! State shared by all connections of this upstream.
 
 use super::attempt::PendingAttempt;
 use crate::body_store;
@@ -9,40 +9,42 @@
 use dahliaspoke::policy::EngineId;
 use std::rc::Rc;
 
-/// What becomes due at a point in time.
+/// The events that timers trigger.
 pub enum TimerEvent {
-    /// A connection must be up by now, or has been idle.
-    Connection(Token),
-    /// An answer that has begun there must be complete.
-    Answer(Token),
-    /// An attempt that waits for its connection opens a second one.
+    /// The time to establish a connection is over, or the connection may have been idle too long.
+    IdleDeadline(Token),
+    /// The next reply on this connection must be complete by now.
+    ReplyDeadline(Token),
+    /// The attempt has waited long enough for its connection that a second one is opened.
     SecondConnect(AttemptKey),
-    /// An attempt must have begun to go out by now.
+    /// The first byte of the attempt must have been written by now.
     SendDeadline(AttemptKey),
-    /// Nothing may begin to go to this engine any more.
+    /// No send to this engine may start any more.
     DrainDeadline(EngineId),
 }
 
-/// What all connections of this upstream have in common.
+/// State shared by all connections of this upstream.
 pub struct Shared {
-    /// Sizes and times.
+    /// Size and time limits.
     pub limits: Rc<Limits>,
-    /// Events that wait for the core.
+    /// Events queued for the core.
     pub events: EventQueue,
     /// Deadlines of connections, attempts and engines.
     pub timers: TimerQueue<TimerEvent>,
-    /// Attempts of which no byte went out before their connection ended; they are moved to another one.
+    /// Attempts of which no byte was written before their established connection ended; they are moved to
+    /// another.
     pub moved: Vec<PendingAttempt>,
-    /// Connections that have come up, or have become idle: attempts that still wait for theirs may go there.
+    /// Connections that have been established or have become idle: they can run attempts that wait for
+    /// another connection.
     pub idle: Vec<Token>,
-    /// Attempts that went out complete on connections that have ended.
+    /// Attempts that were written completely on connections that have ended.
     pub sent_attempts: u64,
     /// Readers of large bodies.
     pub bodies: BodyReaders,
 }
 
 impl Shared {
-    /// At the start: no event, timer or connection.
+    /// Creates the state of an upstream without events, timers and connections.
     pub fn new(body_store: Option<body_store::SharedBodyStore>, limits: Rc<Limits>) -> Self {
         Self {
             limits,
