--- a/src/upstream/resp/attempt.rs
+++ b/src/upstream/resp/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts before and while they are on a connection.
+//! Attempts that wait for a connection or run on one.
 
 use super::result_pages::ResultPages;
 use crate::core::Attempt;
--- a/src/upstream/resp/command.rs
+++ b/src/upstream/resp/command.rs
@@ -10,8 +10,8 @@
 /// The command that starts an attempt. If the statement is a large body, this is only the part before the
 /// body; [`BODY_END`] follows the body.
 ///
-/// Its fields on the wire: `sort` is the class, `patience` the time until the deadline (ms, at least 1), `op` the idempotency
-/// key, `pool` the memory granted (MB) and `band` the priority.
+/// Its fields on the wire: `sort` is the class, `patience` the time until the deadline (ms, at least 1), `op` the
+/// idempotency key, `pool` the memory granted (MB) and `band` the priority.
 pub fn start(now: Time, attempt: &Attempt) -> Vec<u8> {
     let patience = ((attempt.deadline - now) * MS_PER_S).ceil().max(1.0);
     let mut fields = format!("sort={},patience={patience}", attempt.payload.class_name);
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -125,7 +125,7 @@
         let is_silent = connection.last_received < running.queued_at;
         connection.is_suspect |= is_silent || !connection.stream.input.is_empty();
         if connection.is_suspect && connection.attempts.is_empty() {
-            self.pool.slab.close(now, token, &mut self.shared); // the engine abandons the attempt when its connection ends
+            self.pool.slab.close(now, token, &mut self.shared); // ends the attempt at the engine too
             return false;
         }
         connection.bar_id(now, &key.id, &self.shared.limits.engines);
