--- a/src/listener/mysql/login.rs
+++ b/src/listener/mysql/login.rs
@@ -14,7 +14,7 @@
 /// Bytes of the login between flags and account: packet size, character set, reserved.
 const LOGIN_SKIPPED: usize = 4 + 1 + 23;
 /// Says that the password was right, without a full authentication.
-const FAST_AUTHENTICATION: [u8; 2] = [packet::MORE, 3];
+const FAST_AUTHENTICATION: [u8; 2] = [packet::AUTH_MORE_DATA, 3];
 /// How some clients send an empty password.
 const EMPTY_PASSWORD: [u8; 1] = [0];
 
@@ -31,7 +31,7 @@
 
 /// The payload that greets a client.
 pub fn greeting(connection: u32, challenge: &[u8; auth::CHALLENGE_BYTES]) -> Vec<u8> {
-    let capabilities = capability::OURS | capability::CONNECT_WITH_DB | capability::PLUGIN_AUTH_LENENC;
+    let capabilities = capability::COMMON | capability::CONNECT_WITH_DB | capability::PLUGIN_AUTH_LENENC;
     let capabilities = capabilities.to_le_bytes();
     let mut out = vec![PROTOCOL_VERSION];
     out.extend_from_slice(SERVER_VERSION.as_bytes());
--- a/src/mysql/packet.rs
+++ b/src/mysql/packet.rs
@@ -27,7 +27,7 @@
     /// The response in the login has a length-encoded length.
     pub const PLUGIN_AUTH_LENENC: u32 = 1 << 21;
     /// Those that both sides here always name.
-    pub const OURS: u32 =
+    pub const COMMON: u32 =
         LONG_PASSWORD | LONG_FLAG | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH;
 }
 
@@ -62,7 +62,7 @@
 /// The first byte of an answer without rows.
 pub const OK: u8 = 0x00;
 /// The first byte of a further step of the authentication.
-pub const MORE: u8 = 0x01;
+pub const AUTH_MORE_DATA: u8 = 0x01;
 /// The first byte of what ends columns or rows, and of a request to switch the authentication plugin.
 pub const EOF: u8 = 0xfe;
 /// The first byte of an error.
--- a/src/upstream/mysql/handshake.rs
+++ b/src/upstream/mysql/handshake.rs
@@ -60,7 +60,7 @@
 
 /// The payload that names our account.
 fn login(engine: &Engine, plugin: &str, answer: &[u8]) -> Vec<u8> {
-    let mut out = capability::OURS.to_le_bytes().to_vec();
+    let mut out = capability::COMMON.to_le_bytes().to_vec();
     out.extend_from_slice(&(packet::MAX_PACKET_PAYLOAD as u32).to_le_bytes());
     out.push(packet::CHARSET);
     out.extend_from_slice(&RESERVED);
@@ -111,7 +111,7 @@
                 self.begin_attempt(&shared.limits.mysql);
                 Ok(())
             }
-            [packet::MORE, FAST_AUTH_OK] => Ok(()),
+            [packet::AUTH_MORE_DATA, FAST_AUTH_OK] => Ok(()),
             [packet::EOF, switch @ ..] => {
                 let authentication = Authentication::from_switch(switch)?;
                 let answer = authentication.answer(&shared.config.engine).ok_or(Malformed)?;
