--- a/src/listener/http/codec/decode.rs
+++ b/src/listener/http/codec/decode.rs
@@ -1,26 +1,26 @@
-//! Decodes calls.
+//! Decodes HTTP requests.
 
 use super::{status, HttpError};
 use crate::limits::Limits;
 
-/// What ends a head.
+/// The end of a request's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Bytes of a field's name that are neither letters nor digits (RFC 9110, `tchar`).
+/// Bytes other than letters and digits that a field name may contain (RFC 9110, `tchar`).
 const TOKEN_PUNCTUATION: &[u8] = b"!#$%&'*+-.^_`|~";
 
 const MALFORMED: HttpError = HttpError(status::BAD_REQUEST);
 
-/// A call that was decoded.
+/// A decoded HTTP request.
 #[derive(Debug)]
 pub struct HttpRequest {
-    /// Its method, in upper case.
+    /// The method, in upper case.
     pub method: String,
-    /// The path, with what follows a question mark.
+    /// The path, including the query.
     pub path: String,
     headers: Vec<HeaderField>,
-    /// The body; empty if it is too large to be held in memory.
+    /// The body; empty if it is too large for memory.
     pub body: Vec<u8>,
-    /// The connection stays open after the answer.
+    /// Whether the connection remains open after the response.
     pub keep_alive: bool,
 }
 
@@ -30,30 +30,30 @@
     value: String,
 }
 
-/// What stands at the start of the input.
+/// The result of decoding the start of the input.
 #[derive(Debug)]
 pub enum Decoded {
-    /// A part of a call.
+    /// An incomplete HTTP request.
     Partial {
-        /// The client waits for an interim answer before it sends the body.
+        /// The client waits for an interim response (100 Continue) before it sends the body.
         expects_continue: bool,
     },
-    /// A complete call.
+    /// A complete HTTP request.
     Complete {
-        /// The call.
+        /// The HTTP request.
         request: HttpRequest,
-        /// The bytes that it took.
+        /// Its length in the input (bytes).
         length: usize,
     },
-    /// The head of a call whose body is too large to be held in memory.
+    /// The head of an HTTP request whose body is too large for memory.
     LargeBody {
-        /// The call, without its body.
+        /// The HTTP request, without its body.
         request: HttpRequest,
-        /// The bytes that the head took.
+        /// Length of the head in the input (bytes).
         head_length: usize,
-        /// The bytes of the body.
+        /// Length of the body (bytes).
         body_length: usize,
-        /// The client waits for an interim answer before it sends the body.
+        /// The client waits for an interim response (100 Continue) before it sends the body.
         expects_continue: bool,
     },
 }
@@ -71,7 +71,7 @@
 }
 
 impl HttpRequest {
-    /// The path, without what follows a question mark.
+    /// The path without the query.
     pub fn path_without_query(&self) -> &str {
         self.path.split('?').next().unwrap_or_default()
     }
@@ -87,10 +87,10 @@
         self.header_values(name).next()
     }
 
-    /// The value of a header field that may be sent once at most.
+    /// The value of a header field that may be sent at most once.
     ///
     /// # Errors
-    /// [`status::BAD_REQUEST`] if it was sent twice: two readers could take two different values.
+    /// [`status::BAD_REQUEST`] if the field was sent more than once: two readers could use different values.
     pub fn unique_header(&self, name: &str) -> Result<Option<&str>, HttpError> {
         let mut values = self.header_values(name);
         match (values.next(), values.next()) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The length of the body (bytes), 0 without the field. Fields that disagree are an error, or two readers would see two
-    /// different calls.
+    /// The length of the body (bytes), 0 without the field. Fields that disagree are an error: two readers
+    /// would see two different requests.
     fn content_length(&self) -> Result<usize, HttpError> {
         let mut length = None;
         for value in self.header_values("Content-Length") {
@@ -120,7 +120,8 @@
         self.header("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
     }
 
-    /// Whether the connection stays open after the answer, by its version and the `Connection` field.
+    /// Whether the version and the `Connection` field ask for the connection to remain open after the
+    /// response.
     fn wants_keep_alive(&self, version: Version) -> bool {
         let Some(connection) = self.header("Connection") else { return version == Version::Http11 };
         let has_option =
@@ -132,10 +133,10 @@
     }
 }
 
-/// Decodes the call at the start of the input.
+/// Decodes the HTTP request at the start of the input.
 ///
 /// # Errors
-/// The status of the answer to a call that is malformed, not supported or too large.
+/// The status of the response if the HTTP request is malformed, not supported or too large.
 pub fn decode(input: &[u8], limits: &Limits) -> Result<Decoded, HttpError> {
     let Some(head_end) = find_head_end(input, limits)? else {
         return Ok(Decoded::Partial { expects_continue: false });
@@ -168,7 +169,7 @@
     Ok(Decoded::Complete { request, length })
 }
 
-/// Where the head ends, without the empty line; `None` if it is not complete.
+/// Position at which the head ends, excluding the empty line; `None` if the head is not complete.
 fn find_head_end(input: &[u8], limits: &Limits) -> Result<Option<usize>, HttpError> {
     let max_length = limits.http.max_head_bytes;
     let searched = &input[..input.len().min(max_length)];
--- a/src/listener/http/codec/mod.rs
+++ b/src/listener/http/codec/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1, as much of it as a server of short calls needs.
+//! The subset of HTTP/1.1 that a server of short requests needs.
 
 mod decode;
 mod response;
@@ -7,6 +7,6 @@
 pub use decode::{decode, Decoded, HttpRequest};
 pub use response::{json, text, Header, CONTINUE};
 
-/// Why a call is rejected: the status of the answer, one of [`status`].
+/// Why an HTTP request is rejected: the status of the response, one of [`status`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct HttpError(pub u16);
--- a/src/listener/http/codec/response.rs
+++ b/src/listener/http/codec/response.rs
@@ -1,14 +1,14 @@
-//! Encodes answers.
+//! Encodes HTTP responses.
 
 use super::status::reason;
 
-/// The interim answer to a client that waits for it before it sends its body.
+/// The interim response that a client awaits before it sends its body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 const JSON: &str = "application/json";
 const PLAIN_TEXT: &str = "text/plain";
 
-/// A header field of an answer.
+/// A header field of a response.
 pub struct Header {
     /// Its name.
     pub name: &'static str,
@@ -24,12 +24,12 @@
     keep_alive: bool,
 }
 
-/// An answer with a JSON body. `keep_alive`: the connection stays open after it.
+/// Encodes a response with a JSON body. `keep_alive`: the connection remains open after it.
 pub fn json(status: u16, header: Option<Header>, body: &[u8], keep_alive: bool) -> Vec<u8> {
     Response { status, content_type: JSON, header, body, keep_alive }.encode()
 }
 
-/// An answer in plain text; the connection is closed after it.
+/// Encodes a response in plain text; the connection is closed after it.
 pub fn text(status: u16, text: &str) -> Vec<u8> {
     let body = text.as_bytes();
     Response { status, content_type: PLAIN_TEXT, header: None, body, keep_alive: false }.encode()
--- a/src/listener/http/codec/status.rs
+++ b/src/listener/http/codec/status.rs
@@ -1,26 +1,26 @@
-//! The status codes of answers (RFC 9110).
+//! Status codes of responses (RFC 9110).
 
-/// The call was served.
+/// The request was served.
 pub const OK: u16 = 200;
-/// The call is malformed, or a value in it is not allowed.
+/// The request is malformed, or a value in it is not allowed.
 pub const BAD_REQUEST: u16 = 400;
-/// There is nothing at the path.
+/// The path does not exist.
 pub const NOT_FOUND: u16 = 404;
-/// The path does not have the method.
+/// The path does not support the method.
 pub const METHOD_NOT_ALLOWED: u16 = 405;
-/// The call was not complete in time.
+/// The request was not complete in time.
 pub const REQUEST_TIMEOUT: u16 = 408;
 /// The body is too large.
 pub const CONTENT_TOO_LARGE: u16 = 413;
 /// The head is too large.
 pub const REQUEST_HEADER_FIELDS_TOO_LARGE: u16 = 431;
-/// A transfer coding that this server does not have.
+/// The request uses a transfer coding that this server does not implement.
 pub const NOT_IMPLEMENTED: u16 = 501;
 /// The request failed; it may have run.
 pub const BAD_GATEWAY: u16 = 502;
 /// The request was rejected; nothing ran.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
-/// Neither HTTP/1.0 nor HTTP/1.1.
+/// The version is neither HTTP/1.0 nor HTTP/1.1.
 pub const HTTP_VERSION_NOT_SUPPORTED: u16 = 505;
 
 /// The reason phrase of a status.
--- a/src/listener/http/connection.rs
+++ b/src/listener/http/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: one request at a time.
+//! A client's connection, which handles one request at a time.
 
 use super::codec::{self, status, Decoded, HttpError, HttpRequest};
 use super::request::{RequestHead, INVOKE_PREFIX};
@@ -11,17 +11,17 @@
 use crate::net::{BufferedStream, Connection, Flow, Time, Token};
 use dahliaspoke::policy::RequestId;
 
-/// Answers whether the process is there, without a request.
+/// Liveness check, answered without submitting a request.
 const HEALTH_PATH: &str = "/_health";
 const HEALTH_BODY: &[u8] = b"{}";
 
-/// What a connection does.
+/// State of a connection.
 pub(super) enum State {
-    /// Nothing of a next call has arrived.
+    /// No byte of the next HTTP request has arrived.
     Idle,
-    /// A call is arriving, or, on a new connection, expected.
+    /// An HTTP request is arriving or, on a new connection, expected.
     Receiving {
-        /// The client was sent the interim answer that it waits for.
+        /// The interim response (100 Continue) has been sent.
         continue_sent: bool,
     },
     /// A large body is arriving.
@@ -35,12 +35,12 @@
     pub(super) stream: BufferedStream,
     pub(super) token: Token,
     pub(super) state: State,
-    /// It stays open after the next answer.
+    /// Whether the connection remains open after the next response.
     keep_alive: bool,
     has_sent_request: bool,
-    /// When it was accepted, or last was answered.
+    /// When the connection was accepted or last became idle.
     idle_since: Time,
-    /// By then the client must have sent what is due.
+    /// When the client must have sent the data that is expected of it.
     pub(super) deadline: Time,
 }
 
@@ -66,7 +66,7 @@
         (!client_waits).then_some(self.deadline)
     }
 
-    /// An idle connection is closed; a client that does not complete its call is answered first.
+    /// Closes an idle connection. A client that has not completed its HTTP request receives an error first.
     fn on_deadline(&mut self, now: Time, shared: &mut Shared) -> Flow {
         if self.stream.input.is_empty() && !self.is_uploading() {
             return Flow::Close;
@@ -74,7 +74,8 @@
         self.reject(now, status::REQUEST_TIMEOUT, shared)
     }
 
-    /// A connection with an answer that is not written completely stays: a request whose answer is cut is lost.
+    /// A connection whose response is not completely written must not be evicted: a truncated response loses
+    /// the request.
     fn eviction_rank(&self) -> Option<EvictionRank> {
         let has_request = matches!(self.state, State::Uploading(_) | State::AwaitingAnswer(_));
         if has_request || self.stream.queued() > 0 {
@@ -101,13 +102,13 @@
 
     fn readable(&mut self, now: Time, shared: &mut Shared) -> Flow {
         match self.state {
-            State::Idle | State::Receiving { .. } => self.next_call(now, shared),
+            State::Idle | State::Receiving { .. } => self.next_request(now, shared),
             State::Uploading(_) => self.receive_body(now, shared),
             State::AwaitingAnswer(_) => {
-                // Calls that are sent ahead wait here, but not without bound.
-                let max_call =
+                // Pipelined HTTP requests are buffered up to a limit.
+                let max_request_bytes =
                     shared.state.limits.http.max_head_bytes + shared.state.limits.http.max_body_bytes;
-                if self.stream.input.len() > max_call {
+                if self.stream.input.len() > max_request_bytes {
                     Flow::Close
                 } else {
                     Flow::Open
@@ -132,22 +133,23 @@
 impl HttpConnection {
     /// Sends the final answer to the open request.
     pub(super) fn answer(&mut self, now: Time, answer: Answer, shared: &mut Shared) -> Flow {
-        // What still arrives of its body is of no more use, and nothing behind it is read.
+        // If the body is still arriving, the rest of it is useless and nothing after it is read: the
+        // connection closes.
         let body_is_arriving = self.is_uploading();
         self.finish_upload(shared);
         self.become_idle(now, shared);
         self.keep_alive &= !body_is_arriving && !shared.state.shutting_down;
         self.stream.push(encode_answer(answer, self.keep_alive));
         if self.keep_alive {
-            self.next_call(now, shared)
+            self.next_request(now, shared)
         } else {
             self.finish(now, shared)
         }
     }
 
-    /// Handles calls until one needs the core, or no complete one is left.
-    fn next_call(&mut self, now: Time, shared: &mut Shared) -> Flow {
-        while self.is_ready_for_call() && !self.stream.input.is_empty() {
+    /// Handles HTTP requests until one needs the core or no complete one is left.
+    fn next_request(&mut self, now: Time, shared: &mut Shared) -> Flow {
+        while self.is_ready_for_request() && !self.stream.input.is_empty() {
             if self.stream.queued() > shared.state.limits.clients.max_unread_answer_bytes {
                 return Flow::Close;
             }
@@ -157,20 +159,20 @@
             };
             let flow = match decoded {
                 Decoded::Partial { expects_continue } => {
-                    self.await_rest_of_call(now, expects_continue, shared);
+                    self.await_rest_of_request(now, expects_continue, shared);
                     return Flow::Open;
                 }
                 Decoded::Complete { request, length } => {
-                    self.begin_call(&request, length, shared);
-                    self.handle_call(now, &request, shared)
+                    self.consume_request(&request, length, shared);
+                    self.handle_request(now, &request, shared)
                 }
                 Decoded::LargeBody { request, head_length, body_length, expects_continue } => {
-                    self.begin_call(&request, head_length, shared);
-                    let flow = self.handle_large_call(now, &request, body_length, shared);
+                    self.consume_request(&request, head_length, shared);
+                    let flow = self.handle_large_request(now, &request, body_length, shared);
                     if flow != Flow::Open {
                         return flow;
                     }
-                    // Only now is capacity reserved for the body.
+                    // The body store has reserved capacity for the body, so the client may send it.
                     if expects_continue {
                         self.stream.push(codec::CONTINUE.to_vec());
                     }
@@ -184,7 +186,7 @@
         Flow::Open
     }
 
-    fn is_ready_for_call(&self) -> bool {
+    fn is_ready_for_request(&self) -> bool {
         matches!(self.state, State::Idle | State::Receiving { .. })
     }
 
@@ -192,8 +194,8 @@
         matches!(self.state, State::Uploading(_))
     }
 
-    /// A part of a call has arrived. The rest has its own deadline: an incomplete call is no idle connection.
-    fn await_rest_of_call(&mut self, now: Time, expects_continue: bool, shared: &Shared) {
+    /// A part of an HTTP request has arrived. The rest has its own deadline, not that of an idle connection.
+    fn await_rest_of_request(&mut self, now: Time, expects_continue: bool, shared: &Shared) {
         let mut continue_sent = false;
         if let State::Receiving { continue_sent: sent } = self.state {
             continue_sent = sent;
@@ -206,55 +208,61 @@
         self.state = State::Receiving { continue_sent: continue_sent || expects_continue };
     }
 
-    /// Removes a call's bytes from the input.
-    fn begin_call(&mut self, call: &HttpRequest, length: usize, shared: &Shared) {
+    /// Removes the bytes of an HTTP request, or of its head, from the input.
+    fn consume_request(&mut self, http_request: &HttpRequest, length: usize, shared: &Shared) {
         self.stream.input.drain(..length);
-        self.keep_alive = call.keep_alive && !shared.state.shutting_down;
+        self.keep_alive = http_request.keep_alive && !shared.state.shutting_down;
         self.has_sent_request = true;
     }
 
-    /// Answers a complete call, or submits its request.
-    fn handle_call(&mut self, now: Time, call: &HttpRequest, shared: &mut Shared) -> Flow {
+    /// Answers a complete HTTP request, or submits it to the core.
+    fn handle_request(&mut self, now: Time, http_request: &HttpRequest, shared: &mut Shared) -> Flow {
         self.become_idle(now, shared);
-        if let Err(HttpError(status)) = self.dispatch(now, call, shared) {
+        if let Err(HttpError(status)) = self.dispatch(now, http_request, shared) {
             return self.reject(now, status, shared);
         }
-        if self.is_ready_for_call() && !self.keep_alive {
+        if self.is_ready_for_request() && !self.keep_alive {
             return self.finish(now, shared);
         }
         Flow::Open
     }
 
-    /// Begins to receive a large body.
-    fn handle_large_call(
+    /// Starts to receive a large body.
+    fn handle_large_request(
         &mut self,
         now: Time,
-        call: &HttpRequest,
+        http_request: &HttpRequest,
         body_length: usize,
         shared: &mut Shared,
     ) -> Flow {
-        match self.begin_upload(now, call, body_length, shared) {
+        match self.begin_upload(now, http_request, body_length, shared) {
             Ok(flow) => flow,
             Err(HttpError(status)) => self.reject(now, status, shared),
         }
     }
 
-    fn dispatch(&mut self, now: Time, call: &HttpRequest, shared: &mut Shared) -> Result<(), HttpError> {
-        let path = call.path_without_query();
+    fn dispatch(
+        &mut self,
+        now: Time,
+        http_request: &HttpRequest,
+        shared: &mut Shared,
+    ) -> Result<(), HttpError> {
+        let path = http_request.path_without_query();
         if path == HEALTH_PATH {
-            if call.method != "GET" {
+            if http_request.method != "GET" {
                 return Err(HttpError(status::METHOD_NOT_ALLOWED));
             }
             self.stream.push(codec::json(status::OK, None, HEALTH_BODY, self.keep_alive));
             return Ok(());
         }
         let Some(class_name) = path.strip_prefix(INVOKE_PREFIX) else {
-            // No request depends on it, so the connection stays.
+            // No request was opened, so the connection can remain open.
             self.stream.push(codec::json(status::NOT_FOUND, None, ERROR_BODY, self.keep_alive));
             return Ok(());
         };
-        let head = RequestHead::decode(call, class_name, shared)?;
-        let statement = std::str::from_utf8(&call.body).map_err(|_| HttpError(status::BAD_REQUEST))?;
+        let head = RequestHead::decode(http_request, class_name, shared)?;
+        let statement =
+            std::str::from_utf8(&http_request.body).map_err(|_| HttpError(status::BAD_REQUEST))?;
         let mut request = head.to_request(now, sql::table_group(statement), shared);
         request.payload.statement = statement.as_bytes().into();
         self.submit(request, shared);
@@ -266,8 +274,8 @@
         shared.state.submit(self.token, request);
     }
 
-    /// Answers a call that cannot be accepted, or not completely, and closes the connection. If a part of its body was
-    /// passed on, its request ends here as well.
+    /// Answers an HTTP request that cannot be accepted, or not completely, and closes the connection. If its
+    /// request was already submitted because the body is passed through, the request is abandoned.
     pub(super) fn reject(&mut self, now: Time, status: u16, shared: &mut Shared) -> Flow {
         shared.state.bad_requests += 1;
         self.abandon_request(shared);
@@ -275,7 +283,7 @@
         self.finish(now, shared)
     }
 
-    /// The client is owed no answer any more.
+    /// Stops receiving the body, and reports an open request's client as gone: it will not receive an answer.
     fn abandon_request(&mut self, shared: &mut Shared) {
         self.finish_upload(shared);
         if let State::AwaitingAnswer(id) = std::mem::replace(&mut self.state, State::Idle) {
@@ -283,14 +291,14 @@
         }
     }
 
-    /// No request is open: the connection may be idle for a while.
+    /// Sets the state to idle, and starts the idle timeout.
     fn become_idle(&mut self, now: Time, shared: &Shared) {
         self.state = State::Idle;
         self.idle_since = now;
         self.deadline = now + shared.state.limits.clients.idle_timeout;
     }
 
-    /// Closes the connection once all answers are written.
+    /// Closes the connection once all responses are written.
     pub(super) fn finish(&mut self, now: Time, shared: &mut Shared) -> Flow {
         self.stream.input = Vec::new();
         self.deadline = shared.state.begin_linger(now, self.token);
--- a/src/listener/http/mod.rs
+++ b/src/listener/http/mod.rs
@@ -1,12 +1,12 @@
-//! The platform's listener: HTTP/1.1 calls in, JSON answers out.
+//! The platform's listener: HTTP/1.1 requests in, JSON responses out.
 //!
-//! A connection carries one request at a time. A body that is too large to be held in memory goes through the body store,
-//! where the deployment has one: a request whose body is kept begins once all of it has arrived, one whose body is passed on
-//! begins with the first bytes.
+//! A connection carries one request at a time. A body that is too large for memory is received into the body
+//! store, if the deployment has one. A request whose body is stored is submitted once all of the body has
+//! arrived; one whose body is passed through to the engine is submitted after its first bytes.
 //!
-//! - [`codec`] decodes calls and encodes answers of the protocol;
-//! - `connection` is the state of a connection, `upload` what happens while a large body arrives;
-//! - `request` builds requests from calls, `response` encodes their final answers.
+//! - [`codec`] decodes HTTP requests and encodes HTTP responses;
+//! - `connection` is the state machine of a connection, `upload` the part of it that receives a large body;
+//! - `request` builds the core's requests from HTTP requests, `response` encodes their final answers.
 
 pub mod codec;
 mod connection;
@@ -28,33 +28,33 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The names that calls may use, by position in the settings.
+/// Names that clients may use, in the order of the settings.
 pub struct Names {
     /// The classes.
     pub classes: Vec<Arc<str>>,
-    /// The tenants; none where the deployment has none.
+    /// The tenants; empty if the deployment has none.
     pub tenants: Vec<Arc<str>>,
 }
 
-/// What an HTTP listener is opened with.
+/// Options of an HTTP listener.
 pub struct HttpListenerOptions {
-    /// The owner number in tokens.
+    /// Owner number of the listener's tokens.
     pub owner: u8,
-    /// The number of the route in requests.
+    /// Index of the listener's route, set in each request.
     pub route: usize,
     /// The listening socket.
     pub socket: TcpListener,
-    /// The names that calls may use.
+    /// Names that clients may use.
     pub names: Names,
-    /// Large bodies, where the deployment keeps them.
+    /// The store for large bodies, if the deployment has one.
     pub body_store: Option<body_store::SharedBodyStore>,
     /// The poller that watches the sockets.
     pub poller: Rc<Poller>,
-    /// The limits of the daemon.
+    /// The daemon's limits.
     pub limits: Rc<Limits>,
 }
 
-/// What all connections share.
+/// State shared by all connections of the listener.
 pub struct Shared {
     state: ListenerState,
     names: Names,
@@ -67,7 +67,7 @@
     /// Opens the listener.
     ///
     /// # Errors
-    /// Where the system refuses to have the socket watched.
+    /// The operating system refuses to watch the socket.
     pub fn open(options: HttpListenerOptions) -> io::Result<Self> {
         let HttpListenerOptions { owner, route, socket, names, body_store, poller, limits } = options;
         let state = ListenerState::new(route, limits).with_body_store(body_store);
--- a/src/listener/http/request.rs
+++ b/src/listener/http/request.rs
@@ -1,4 +1,4 @@
-//! Builds requests from calls.
+//! Builds the core's requests from HTTP requests.
 
 use super::codec::{status, HttpError, HttpRequest};
 use super::Shared;
@@ -7,7 +7,7 @@
 use dahliaspoke::policy::RequestId;
 use std::sync::Arc;
 
-/// Followed by the name of a class.
+/// Path prefix, followed by the name of a class.
 pub const INVOKE_PREFIX: &str = "/invoke/";
 
 /// The request's id: 16 hex digits.
@@ -18,7 +18,7 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "X-Unique";
 /// The name of the tenant.
 const TENANT_HEADER: &str = "X-Team";
-/// Requests of an ordered class run one at a time if this is the same.
+/// The order key: requests of an ordered class that have the same one run one at a time.
 const ORDER_KEY_HEADER: &str = "X-Item";
 /// Estimated work (ms of one thread).
 const ESTIMATED_WORK_HEADER: &str = "X-Size-Ms";
@@ -27,21 +27,21 @@
 
 /// Hex digits of a request's id.
 const ID_LENGTH: usize = 16;
-/// The longest order key (bytes).
+/// Maximum length of an order key (bytes).
 const MAX_ORDER_KEY_BYTES: usize = 128;
-/// Numbers in header fields are below this.
+/// Exclusive upper bound of numbers in header fields.
 const NUMBER_BOUND: f64 = 1e9;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
-/// The table group of a statement that names none.
+/// The table group of a statement that does not name one.
 const NO_TABLE_GROUP: i64 = -1;
 
 const MALFORMED: HttpError = HttpError(status::BAD_REQUEST);
 
-/// What the head of a call says of its request.
+/// The request's properties that the head of an HTTP request specifies.
 pub struct RequestHead {
-    /// Position of the class in the settings.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// The client's id.
+    /// The id that the client chose.
     pub id: RequestId,
     /// How long the client waits (s).
     pub timeout: f64,
@@ -53,21 +53,23 @@
 }
 
 impl RequestHead {
-    /// Reads the head of a call for a class.
+    /// Decodes the head of an HTTP request for a class.
     ///
     /// # Errors
-    /// The status of the answer, if the method, the class or a header field is wrong, or a request of this id is open.
-    pub fn decode(call: &HttpRequest, class_name: &str, shared: &Shared) -> Result<Self, HttpError> {
-        if call.method != "POST" {
+    /// The status of the response if the method, the class or a header field is invalid, or if a request with
+    /// this id is open.
+    pub fn decode(http_request: &HttpRequest, class_name: &str, shared: &Shared) -> Result<Self, HttpError> {
+        if http_request.method != "POST" {
             return Err(HttpError(status::METHOD_NOT_ALLOWED));
         }
         let class = shared.names.classes.iter().position(|class| **class == *class_name);
         let class = class.ok_or(HttpError(status::NOT_FOUND))?;
-        let id = decode_id(call)?;
-        let timeout = decode_number(call, TIMEOUT_HEADER)?.ok_or(MALFORMED)? / MILLISECONDS_PER_SECOND;
-        let idempotency_key = decode_idempotency_key(call)?;
-        let tenant = decode_tenant(call, &shared.names.tenants)?;
-        let order_key = decode_order_key(call)?;
+        let id = decode_id(http_request)?;
+        let timeout =
+            decode_number(http_request, TIMEOUT_HEADER)?.ok_or(MALFORMED)? / MILLISECONDS_PER_SECOND;
+        let idempotency_key = decode_idempotency_key(http_request)?;
+        let tenant = decode_tenant(http_request, &shared.names.tenants)?;
+        let order_key = decode_order_key(http_request)?;
         if shared.state.is_open(&id) {
             return Err(MALFORMED);
         }
@@ -75,15 +77,16 @@
             class,
             id,
             timeout: timeout.min(shared.state.limits.clients.max_request_time),
-            estimated_work: decode_number(call, ESTIMATED_WORK_HEADER)?.filter(|work| *work > 0.0),
-            estimated_memory: decode_number(call, ESTIMATED_MEMORY_HEADER)?.filter(|memory| *memory > 0.0),
+            estimated_work: decode_number(http_request, ESTIMATED_WORK_HEADER)?.filter(|work| *work > 0.0),
+            estimated_memory: decode_number(http_request, ESTIMATED_MEMORY_HEADER)?
+                .filter(|memory| *memory > 0.0),
             idempotency_key,
             tenant,
             order_key,
         })
     }
 
-    /// The request, without its statement. The client waits from `received_at` on.
+    /// Builds the request, without its statement. The client's timeout runs from `received_at`.
     pub fn to_request(&self, received_at: Time, table_group: Option<i64>, shared: &Shared) -> Request {
         Request {
             route: shared.state.route,
@@ -105,8 +108,8 @@
     }
 }
 
-fn decode_id(call: &HttpRequest) -> Result<RequestId, HttpError> {
-    let id = call.unique_header(ID_HEADER)?.ok_or(MALFORMED)?;
+fn decode_id(http_request: &HttpRequest) -> Result<RequestId, HttpError> {
+    let id = http_request.unique_header(ID_HEADER)?.ok_or(MALFORMED)?;
     if id.len() == ID_LENGTH && id.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         Ok(id.into())
     } else {
@@ -114,9 +117,10 @@
     }
 }
 
-/// The idempotency key. It is sent to engines in a list of fields, where a comma or an equals sign would end it.
-fn decode_idempotency_key(call: &HttpRequest) -> Result<Option<Arc<str>>, HttpError> {
-    let Some(key) = call.unique_header(IDEMPOTENCY_KEY_HEADER)? else { return Ok(None) };
+/// Decodes the idempotency key. Engines receive it in a list of fields, where a comma or an equals sign would
+/// end it.
+fn decode_idempotency_key(http_request: &HttpRequest) -> Result<Option<Arc<str>>, HttpError> {
+    let Some(key) = http_request.unique_header(IDEMPOTENCY_KEY_HEADER)? else { return Ok(None) };
     let is_allowed = |byte: u8| byte != b',' && byte != b'=' && byte.is_ascii_graphic();
     if key.is_empty() || !key.bytes().all(is_allowed) {
         return Err(MALFORMED);
@@ -124,17 +128,17 @@
     Ok(Some(key.into()))
 }
 
-/// The tenant's position. A call without one is served; one of an unknown tenant is not.
-fn decode_tenant(call: &HttpRequest, tenants: &[Arc<str>]) -> Result<Option<usize>, HttpError> {
-    let Some(name) = call.unique_header(TENANT_HEADER)? else { return Ok(None) };
+/// Decodes the tenant to its index. The header field may be absent, but an unknown tenant is an error.
+fn decode_tenant(http_request: &HttpRequest, tenants: &[Arc<str>]) -> Result<Option<usize>, HttpError> {
+    let Some(name) = http_request.unique_header(TENANT_HEADER)? else { return Ok(None) };
     if tenants.is_empty() {
         return Ok(None);
     }
     tenants.iter().position(|tenant| **tenant == *name).map(Some).ok_or(MALFORMED)
 }
 
-fn decode_order_key(call: &HttpRequest) -> Result<Option<Arc<str>>, HttpError> {
-    let Some(key) = call.unique_header(ORDER_KEY_HEADER)? else { return Ok(None) };
+fn decode_order_key(http_request: &HttpRequest) -> Result<Option<Arc<str>>, HttpError> {
+    let Some(key) = http_request.unique_header(ORDER_KEY_HEADER)? else { return Ok(None) };
     let has_allowed_length = (1..=MAX_ORDER_KEY_BYTES).contains(&key.len());
     if !has_allowed_length || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err(MALFORMED);
@@ -142,9 +146,9 @@
     Ok(Some(key.into()))
 }
 
-/// The number in a header field; it is not negative.
-fn decode_number(call: &HttpRequest, header: &str) -> Result<Option<f64>, HttpError> {
-    let Some(text) = call.unique_header(header)? else { return Ok(None) };
+/// Decodes the non-negative number in a header field.
+fn decode_number(http_request: &HttpRequest, header: &str) -> Result<Option<f64>, HttpError> {
+    let Some(text) = http_request.unique_header(header)? else { return Ok(None) };
     let number = text.parse::<f64>().map_err(|_| MALFORMED)?;
     if (0.0..NUMBER_BOUND).contains(&number) {
         Ok(Some(number))
--- a/src/listener/http/response.rs
+++ b/src/listener/http/response.rs
@@ -3,15 +3,15 @@
 use super::codec::{self, status, Header};
 use crate::core::{Answer, ResultParts};
 
-/// The body of an answer to a call that failed or was not accepted.
+/// The body of the response to a request that failed or was not accepted.
 pub const ERROR_BODY: &[u8] = b"{\"err\":\"Lost\"}";
-/// The body of an answer to a request that was rejected: nothing ran.
+/// The body of the response to a request that was rejected: nothing ran.
 const REJECTED_BODY: &[u8] = b"{\"err\":\"Backoff\"}";
-/// The header field with the time after which a rejected client may try again (ms).
+/// The header field with the time after which a rejected client may retry (ms).
 const RETRY_AFTER_HEADER: &str = "X-Wait-Ms";
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Encodes an answer. `keep_alive`: the connection stays open after it.
+/// Encodes an answer as an HTTP response. `keep_alive`: the connection remains open after it.
 pub fn encode_answer(answer: Answer, keep_alive: bool) -> Vec<u8> {
     match answer {
         Answer::Served(parts) => codec::json(status::OK, None, &encode_rows(&parts), keep_alive),
@@ -23,13 +23,13 @@
     }
 }
 
-/// The field for a Retry-After (s). It is rounded up: a client must not try again too early.
+/// The header field for a Retry-After (s). It is rounded up so that a client does not retry too early.
 fn retry_after_header(retry_after: f64) -> Header {
     let milliseconds = (retry_after * MILLISECONDS_PER_SECOND).ceil().max(1.0);
     Header { name: RETRY_AFTER_HEADER, value: format!("{milliseconds}") }
 }
 
-/// Encodes rows as JSON. The engine's parts have a line for each row and a tab between columns.
+/// Encodes rows as JSON. In the engine's result each row is a line, and tabs separate the columns.
 fn encode_rows(parts: &ResultParts) -> Vec<u8> {
     let mut out = b"{\"page\":[".to_vec();
     let mut is_first = true;
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -1,4 +1,4 @@
-//! A large body on its way from its client into the body store.
+//! Receives a large body from a client into the body store.
 
 use super::codec::{status, HttpError, HttpRequest};
 use super::connection::{HttpConnection, State};
@@ -14,7 +14,7 @@
 use dahliaspoke_body_store::plan::{BodyId, Rejection, Tier};
 use dahliaspoke_body_store::{Body, BodyEvent};
 
-/// Bytes of a statement that are searched for its table group: the tables stand at its beginning.
+/// Bytes of a statement that are searched for its table group: statements name their tables near the start.
 const STATEMENT_START_BYTES: usize = 4 << 10;
 
 const TOO_LARGE: HttpError = HttpError(status::CONTENT_TOO_LARGE);
@@ -23,20 +23,21 @@
 pub struct Upload {
     head: RequestHead,
     body: Body,
-    /// Bytes that have not arrived.
+    /// Bytes of the body that have not arrived.
     remaining: usize,
     /// The first bytes of the statement.
     start: Vec<u8>,
     utf8: Utf8Checker,
-    /// By then all of it must be here.
+    /// When all of the body must have arrived.
     deadline: Time,
-    /// When its last byte arrived: the request's time runs from there, however long the disk then takes.
+    /// When the last byte arrived. The client's timeout runs from then, not from when the body is written to
+    /// disk.
     completed_at: Option<Time>,
-    /// It is passed on as it arrives and not kept.
-    passed_on: bool,
-    /// The body store has no capacity for more of it now.
+    /// The body is passed through to the engine as it arrives instead of being stored.
+    passed_through: bool,
+    /// The body store currently has no capacity for more of the body.
     store_full: bool,
-    /// Its request, once it is submitted.
+    /// The id of the request once it is submitted.
     request: Option<RequestId>,
 }
 
@@ -50,18 +51,18 @@
             utf8: Utf8Checker::default(),
             deadline,
             completed_at: None,
-            passed_on: tier == Tier::Passed,
+            passed_through: tier == Tier::Passed,
             store_full: false,
             request: None,
         }
     }
 
-    /// Whether the client can do nothing now: there is no capacity, or all has arrived and is being written.
+    /// Whether nothing is expected of the client: there is no capacity, or the whole body has arrived.
     pub fn is_client_waiting(&self) -> bool {
         self.store_full || self.remaining == 0
     }
 
-    /// Moves input into the body store as far as there is capacity. Returns whether any byte was moved.
+    /// Moves as much input into the body store as it has capacity for. Returns whether any byte was moved.
     fn receive(
         &mut self,
         now: Time,
@@ -78,8 +79,8 @@
             }
             let bytes = &input[..count];
             self.utf8.push(bytes)?;
-            let start_room = STATEMENT_START_BYTES - self.start.len();
-            self.start.extend_from_slice(&bytes[..count.min(start_room)]);
+            let start_capacity = STATEMENT_START_BYTES - self.start.len();
+            self.start.extend_from_slice(&bytes[..count.min(start_capacity)]);
             store.borrow_mut().append(now, self.body.id(), bytes);
             input.drain(..count);
             self.remaining -= count;
@@ -94,12 +95,12 @@
         Ok(has_moved)
     }
 
-    /// Whether enough has arrived to submit the request of a body that is passed on.
+    /// Whether enough has arrived to submit the request of a body that is passed through.
     fn can_be_submitted(&self) -> bool {
         self.request.is_none() && (self.start.len() == STATEMENT_START_BYTES || self.remaining == 0)
     }
 
-    /// The beginning of the statement, up to the last complete character.
+    /// The start of the statement, up to the last complete character.
     fn statement_start(&self) -> &str {
         match std::str::from_utf8(&self.start) {
             Ok(text) => text,
@@ -107,23 +108,23 @@
         }
     }
 
-    /// By when the next byte must arrive, if one arrives now.
+    /// The deadline of the next byte if one arrives now.
     fn next_byte_deadline(&self, now: Time, shared: &Shared) -> Time {
         self.deadline.min(now + shared.state.limits.bodies.stall_timeout)
     }
 }
 
 impl HttpConnection {
-    /// Reserves capacity in the body store for a call's body, or rejects the request.
+    /// Reserves capacity in the body store for the body of an HTTP request, or rejects the request.
     pub(super) fn begin_upload(
         &mut self,
         now: Time,
-        call: &HttpRequest,
+        http_request: &HttpRequest,
         length: usize,
         shared: &mut Shared,
     ) -> Result<Flow, HttpError> {
-        let class_name = call.path_without_query().strip_prefix(INVOKE_PREFIX).ok_or(TOO_LARGE)?;
-        let head = RequestHead::decode(call, class_name, shared)?;
+        let class_name = http_request.path_without_query().strip_prefix(INVOKE_PREFIX).ok_or(TOO_LARGE)?;
+        let head = RequestHead::decode(http_request, class_name, shared)?;
         let store = shared.state.uploads.store().cloned().ok_or(TOO_LARGE)?;
         let deadline = now + shared.state.limits.bodies.upload_timeout;
         let admitted = if shared.state.uploads.are_accepted(now) {
@@ -144,7 +145,7 @@
         Ok(Flow::Open)
     }
 
-    /// Rejects a request for whose body there is no capacity: nothing ran.
+    /// Rejects a request for whose body there is no capacity. Nothing ran.
     fn reject_for_capacity(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
         self.finish_upload(shared);
         shared.state.report_rejected(class);
@@ -163,14 +164,14 @@
             Ok(false) => {}
             Err(InvalidUtf8) => return self.reject(now, status::BAD_REQUEST, shared),
         }
-        self.pass_on(now, shared)
+        self.submit_if_passed_through(now, shared)
     }
 
-    /// Submits the request of a body that is passed on once its first bytes are here. The connection waits for the answer
-    /// once the last ones are.
-    fn pass_on(&mut self, now: Time, shared: &mut Shared) -> Flow {
+    /// Submits the request of a body that is passed through once its first bytes have arrived. Once the last
+    /// bytes have arrived, the connection only waits for the answer.
+    fn submit_if_passed_through(&mut self, now: Time, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &self.state else { return Flow::Open };
-        if !upload.passed_on {
+        if !upload.passed_through {
             return Flow::Open;
         }
         let is_complete = upload.remaining == 0;
@@ -186,10 +187,11 @@
         Flow::Open
     }
 
-    /// Submits the request of a body. `uploading`: it is passed on, and more of it is to come.
+    /// Submits the request of a body. `uploading`: the body is passed through, and the rest may still have to
+    /// arrive.
     fn submit_upload(&mut self, now: Time, uploading: bool, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
-        // Another client may have used the same id meanwhile.
+        // Another client may have submitted a request with the same id in the meantime.
         if shared.state.is_open(&upload.head.id) {
             return self.reject(now, status::BAD_REQUEST, shared);
         }
@@ -203,7 +205,7 @@
         Flow::Open
     }
 
-    /// Receives no more of a body. If its request is submitted, the connection waits for the answer.
+    /// Stops receiving the body. If its request is submitted, the connection waits for the answer.
     pub(super) fn finish_upload(&mut self, shared: &mut Shared) {
         if !matches!(self.state, State::Uploading(_)) {
             return;
@@ -219,9 +221,9 @@
 }
 
 impl UploadConnection for HttpConnection {
-    fn on_body_change(&mut self, now: Time, _: BodyId, wake: &BodyEvent, shared: &mut Shared) -> Flow {
+    fn on_body_change(&mut self, now: Time, _: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
-        match wake {
+        match event {
             BodyEvent::CapacityAvailable(_) => {
                 self.deadline = upload.next_byte_deadline(now, shared);
                 self.receive_body(now, shared)
@@ -232,7 +234,7 @@
                 flow
             }
             BodyEvent::PassedThrough(_) => {
-                upload.passed_on = true;
+                upload.passed_through = true;
                 self.receive_body(now, shared)
             }
             BodyEvent::Lost(_) => {
--- a/src/listener/http/utf8.rs
+++ b/src/listener/http/utf8.rs
@@ -1,21 +1,21 @@
-//! Checks text that arrives in pieces.
+//! Incremental UTF-8 validation.
 
-/// Text that is not UTF-8.
+/// The text is not UTF-8.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidUtf8;
 
-/// Checks whether text that arrives in pieces is UTF-8.
+/// Validates text that arrives in pieces as UTF-8.
 #[derive(Default)]
 pub struct Utf8Checker {
-    /// A character of which not all bytes have arrived.
+    /// The bytes of a character that is not complete yet.
     incomplete: Vec<u8>,
 }
 
 impl Utf8Checker {
-    /// Adds the next piece.
+    /// Validates the next piece.
     ///
     /// # Errors
-    /// The text is not UTF-8, whatever may follow.
+    /// The text is not UTF-8, regardless of what follows.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), InvalidUtf8> {
         while let (false, Some((first, rest))) = (self.incomplete.is_empty(), bytes.split_first()) {
             self.incomplete.push(*first);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether the text may end here.
+    /// Whether the text so far ends at a character boundary.
     pub fn is_complete(&self) -> bool {
         self.incomplete.is_empty()
     }
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -1,8 +1,8 @@
-//! Listeners: they accept clients, decode requests and encode answers. They decide nothing.
+//! Listeners accept clients, decode requests and encode responses. They make no policy decisions.
 //!
-//! - [`http`] is the platform's listener, [`mysql`] that of clients that speak the `MySQL` protocol;
-//! - [`server`] has what they share: accepting, timeouts, capacity, shutdown, and the requests that are open;
-//! - [`sql`] reads from a statement what the decisions need.
+//! - [`http`] serves the platform over HTTP/1.1, [`mysql`] serves clients of the `MySQL` protocol;
+//! - [`server`] implements what both share: accepting, timeouts, capacity, shutdown and open requests;
+//! - [`sql`] extracts from a statement what the policy needs.
 
 pub mod http;
 pub mod mysql;
