--- a/src/listener/http/request.rs
+++ b/src/listener/http/request.rs
@@ -128,7 +128,8 @@
     Ok(Some(key.into()))
 }
 
-/// Decodes the tenant to its index. The header field may be absent, but an unknown tenant is an error.
+/// Decodes the tenant's index. The header field is optional, and ignored if the deployment has no tenants; an
+/// unknown tenant is an error.
 fn decode_tenant(http_request: &HttpRequest, tenants: &[Arc<str>]) -> Result<Option<usize>, HttpError> {
     let Some(name) = http_request.unique_header(TENANT_HEADER)? else { return Ok(None) };
     if tenants.is_empty() {
--- a/src/listener/mysql/commands.rs
+++ b/src/listener/mysql/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of an authenticated session.
+//! Handles the commands of an authenticated session.
 
 use super::arguments;
 use super::error::{code, sql_state, CommandError, MysqlError};
@@ -10,15 +10,15 @@
 use crate::mysql::packet::{self, command, Malformed, Reader};
 use crate::net::Time;
 
-/// Bytes of an execution between the statement's id and its arguments: flags and a count. Cursors are not opened: all rows
-/// are sent at once, which the protocol allows.
+/// Bytes of an execution between the statement's id and its arguments: flags and an iteration count. A cursor
+/// that the flags ask for is not opened; all rows are sent at once, which the protocol allows.
 pub(super) const EXECUTE_SKIPPED: usize = 1 + 4;
-/// The function that an error names where the statement of an execution does not exist.
+/// The function named in the error for an execution whose statement does not exist.
 pub(super) const EXECUTE_FUNCTION: &str = "mysqld_stmt_execute";
 const RESET_FUNCTION: &str = "mysqld_stmt_reset";
 
 impl Session {
-    /// Carries a command out. Commands that are answered by an engine become requests.
+    /// Handles a command. Commands that an engine must answer become requests.
     pub(super) fn handle_command(
         &mut self,
         now: Time,
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Keeps a statement; engines prepare it when it first runs on them.
+    /// Stores a prepared statement. An engine prepares it when it is first executed there.
     fn prepare(&mut self, text: &str, shared: &Shared) -> Result<(), MysqlError> {
         match setup::handle(text, shared.max_payload_bytes()) {
             Setup::Forward => {}
@@ -87,14 +87,14 @@
         let statement = self.statements.get_mut(&id);
         let statement = statement.ok_or_else(|| MysqlError::unknown_statement(id, EXECUTE_FUNCTION))?;
         reader.read_bytes(EXECUTE_SKIPPED)?;
-        let is_sent_ahead = |position: usize| {
+        let is_long_data = |position: usize| {
             self.parameters.contains_key(&ParameterId { statement: id, position: position as u16 })
         };
-        let arguments = arguments::decode(&mut reader, statement, is_sent_ahead)?;
+        let arguments = arguments::decode(&mut reader, statement, is_long_data)?;
         let statement = statement.clone();
         let key = match statement.key {
-            Some(KeySource::Parameter(position)) if !is_sent_ahead(position) => {
-                arguments::key_at(&arguments, &statement, position, is_sent_ahead)?
+            Some(KeySource::Parameter(position)) if !is_long_data(position) => {
+                arguments::key_at(&arguments, &statement, position, is_long_data)?
             }
             _ => None,
         };
@@ -118,19 +118,19 @@
         Ok(())
     }
 
-    /// Forgets a prepared statement. The command has no answer.
+    /// Removes a prepared statement. The command has no response.
     fn close_statement(&mut self, id: u32, shared: &mut Shared) {
         self.drop_parameters(id, shared);
         self.statements.remove(&id);
     }
 
-    /// Keeps a part of a parameter that is sent ahead of its execution. The command has no answer: what is wrong with it is
-    /// reported at the execution.
+    /// Appends long data to a parameter, ahead of the execution. The command has no response, so errors are
+    /// reported by the execution.
     fn long_data(&mut self, now: Time, mut reader: Reader, shared: &mut Shared) -> Result<(), CommandError> {
         let id = ParameterId::decode(&mut reader)?;
-        let taken = self.append_to_parameter(now, id, reader.0, shared);
-        if taken < reader.0.len() {
-            self.hold_back(id, &reader.0[taken..], shared);
+        let appended = self.append_to_parameter(now, id, reader.0, shared);
+        if appended < reader.0.len() {
+            self.defer_long_data(id, &reader.0[appended..], shared);
         }
         Ok(())
     }
@@ -140,10 +140,10 @@
     std::str::from_utf8(reader.0).map_err(|_| Malformed)
 }
 
-/// The answer to a PREPARE. The columns of the result are not known; they are sent with each result.
+/// The response to a PREPARE. The columns of the result are not known yet; they are sent with each result.
 fn encode_prepared(id: u32, parameter_count: u16) -> Vec<Vec<u8>> {
     const NO_COLUMNS: [u8; 2] = [0, 0];
-    /// A filler and the count of warnings.
+    /// A filler byte and the number of warnings.
     const NO_WARNINGS: [u8; 3] = [0, 0, 0];
     let mut head = vec![packet::OK];
     head.extend_from_slice(&id.to_le_bytes());
--- a/src/listener/mysql/error.rs
+++ b/src/listener/mysql/error.rs
@@ -1,28 +1,28 @@
-//! Errors that clients are sent. Numbers and SQL states are those of the server that the protocol documents.
+//! Errors sent to clients. Error codes and SQL states are those of the `MySQL` server.
 
 use crate::mysql::packet::{self, Malformed};
 
-/// Numbers of errors, by the names of the documentation without `ER_`.
+/// Error codes, under their documented names without `ER_`.
 pub mod code {
     /// Wrong account or password.
     pub const ACCESS_DENIED_ERROR: u16 = 1045;
-    /// A command that is not known.
+    /// An unknown command.
     pub const UNKNOWN_COM_ERROR: u16 = 1047;
     /// A schema that does not exist.
     pub const BAD_DB_ERROR: u16 = 1049;
-    /// Has no number of its own.
+    /// An error without a code of its own.
     pub const UNKNOWN_ERROR: u16 = 1105;
     /// A payload that is too large.
     pub const NET_PACKET_TOO_LARGE: u16 = 1153;
     /// A system variable that does not exist.
     pub const UNKNOWN_SYSTEM_VARIABLE: u16 = 1193;
-    /// Arguments that do not fit.
+    /// Arguments that do not match the statement.
     pub const WRONG_ARGUMENTS: u16 = 1210;
-    /// Something that this server does not have.
+    /// A feature that this server does not support.
     pub const NOT_SUPPORTED_YET: u16 = 1235;
     /// A prepared statement that does not exist.
     pub const UNKNOWN_STMT_HANDLER: u16 = 1243;
-    /// A client that is too old.
+    /// A client that is too old for the authentication protocol.
     pub const NOT_SUPPORTED_AUTH_MODE: u16 = 1251;
     /// A statement that cannot be prepared.
     pub const UNSUPPORTED_PS: u16 = 1295;
@@ -32,9 +32,9 @@
     pub const PS_MANY_PARAM: u16 = 1390;
     /// Too many prepared statements.
     pub const MAX_PREPARED_STMT_COUNT_REACHED: u16 = 1461;
-    /// Bytes that are no packet of the kind that is due.
+    /// Bytes that are not a packet of the expected kind.
     pub const MALFORMED_PACKET: u16 = 1835;
-    /// A request whose time was over.
+    /// A request whose deadline has passed.
     pub const QUERY_TIMEOUT: u16 = 3024;
     /// A request that was rejected; nothing ran.
     pub const SERVER_ISNT_AVAILABLE: u16 = 3168;
@@ -52,27 +52,27 @@
     pub const SYNTAX_OR_ACCESS: &str = "42000";
     /// The query was interrupted.
     pub const INTERRUPTED: &str = "70100";
-    /// No state of its own.
+    /// An error without a state of its own.
     pub const GENERAL: &str = "HY000";
 }
 
-/// An error that a client is sent.
+/// An error sent to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MysqlError {
-    /// Its number, one of [`code`].
+    /// The error code, one of [`code`].
     pub code: u16,
-    /// Its SQL state, one of [`sql_state`].
+    /// The SQL state, one of [`sql_state`].
     pub sql_state: &'static str,
-    /// Its text.
+    /// The error message.
     pub message: String,
 }
 
-/// Why a command is not carried out.
+/// Why a command failed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// The client is sent this error.
+    /// The command is rejected with this error, which is sent to the client.
     Rejected(MysqlError),
-    /// Its packet is malformed: the session ends.
+    /// The packet is malformed: the session is closed.
     Malformed,
 }
 
@@ -89,28 +89,28 @@
 }
 
 impl MysqlError {
-    /// An error of that number, state and text.
+    /// An error with this code, SQL state and message.
     pub fn new(code: u16, sql_state: &'static str, message: impl Into<String>) -> Self {
         Self { code, sql_state, message: message.into() }
     }
 
-    /// The payload of its packet.
+    /// The payload of the error packet.
     pub fn encode(&self) -> Vec<u8> {
         packet::error(self.code, self.sql_state, &self.message)
     }
 
-    /// A payload that is larger than the limits allow.
+    /// The error for a payload that exceeds the limits.
     pub fn too_large() -> Self {
         let message = "Got a packet bigger than 'max_allowed_packet' bytes";
         Self::new(code::NET_PACKET_TOO_LARGE, sql_state::CONNECTION_FAILURE, message)
     }
 
-    /// Bytes that are no packet of the kind that is due.
+    /// The error for bytes that are not a packet of the expected kind.
     pub fn malformed() -> Self {
         Self::new(code::MALFORMED_PACKET, sql_state::GENERAL, "Malformed communication packet")
     }
 
-    /// A request that was rejected: nothing ran. The client may try again after `retry_after` (s).
+    /// The error for a rejected request, of which nothing ran. The client may retry after `retry_after` (s).
     pub fn rejected(retry_after: Option<f64>) -> Self {
         let hint = retry_after
             .map_or(String::new(), |seconds| format!("; retry after {} ms", (seconds * 1000.0).ceil()));
@@ -118,21 +118,22 @@
         Self::new(code::SERVER_ISNT_AVAILABLE, sql_state::GENERAL, message)
     }
 
-    /// A prepared statement that does not exist. `function` is the one that was to use it.
+    /// The error for a prepared statement that does not exist. `function` is the server function that should
+    /// have used it.
     pub fn unknown_statement(id: u32, function: &str) -> Self {
         let message = format!("Unknown prepared statement handler ({id}) given to {function}");
         Self::new(code::UNKNOWN_STMT_HANDLER, sql_state::GENERAL, message)
     }
 
-    /// An execution whose parameters' types were never bound.
+    /// The error for an execution whose parameter types were never bound.
     pub fn unbound_parameters() -> Self {
         let message = "Incorrect arguments to mysqld_stmt_execute";
         Self::new(code::WRONG_ARGUMENTS, sql_state::GENERAL, message)
     }
 
-    /// Something that this server does not have.
-    pub fn not_supported(what: &str) -> Self {
-        let message = format!("This version of MySQL doesn't yet support '{what}'");
+    /// The error for a feature that this server does not support.
+    pub fn not_supported(feature: &str) -> Self {
+        let message = format!("This version of MySQL doesn't yet support '{feature}'");
         Self::new(code::NOT_SUPPORTED_YET, sql_state::SYNTAX_OR_ACCESS, message)
     }
 }
--- a/src/listener/mysql/large/begin.rs
+++ b/src/listener/mysql/large/begin.rs
@@ -1,4 +1,4 @@
-//! Where a payload that does not arrive at once goes: its beginning decides.
+//! Chooses the destination of a large payload from its start.
 
 use super::values::{ExpectedValue, ValueScanner};
 use super::{Destination, IncomingRequest, LargePayload, LargeStart, ParameterId};
@@ -14,37 +14,38 @@
 use crate::net::{Flow, Time};
 use dahliaspoke_body_store::plan::Rejection;
 
-/// Bytes of a payload that are looked at before the rest is received: a statement's first words and hints, or an execution's
-/// types.
+/// Bytes at the start of a payload that are inspected before the rest is received. They contain a statement's
+/// first words and hints, or an execution's types.
 const START_BYTES: usize = 16 << 10;
 
-/// The beginning of a payload.
+/// The start of a payload.
 struct PayloadStart<'a> {
     bytes: &'a [u8],
-    /// The length of the whole payload, if its first packet states it.
+    /// The length of the whole payload, if it consists of one packet.
     length: Option<usize>,
 }
 
-/// A request whose body is to arrive.
+/// A request whose body has not been admitted yet.
 struct NewRequest {
     request: Request,
     /// How long its client waits (s).
     timeout: f64,
-    /// Bytes of the payload's beginning that are not part of the body.
+    /// Bytes at the start of the payload that are not part of the body.
     consumed: usize,
-    /// Checks the body, if it holds arguments.
+    /// Checks the body, if it consists of arguments.
     values: Option<ValueScanner>,
 }
 
 impl Session {
-    /// The header of the packet at the start of the input, if it is one that does not arrive at once.
+    /// The header of the packet at the start of the input, if the packet is too large for memory and there is
+    /// a body store.
     pub fn large_packet_header(&self, shared: &Shared) -> Option<PacketHeader> {
         let limits = &shared.state.limits;
         let header = PacketHeader::decode(&self.stream.input)?;
         (limits.bodies.max_bytes > 0 && header.length > limits.http.max_body_bytes).then_some(header)
     }
 
-    /// Begins to receive a payload whose first packet is that large, once its beginning is here.
+    /// Starts to receive a payload whose first packet is large, once its start has arrived.
     pub fn begin_large(&mut self, now: Time, header: PacketHeader, shared: &mut Shared) -> Flow {
         let PacketHeader { length, sequence } = header;
         let start_end = packet::HEADER_BYTES + length.min(START_BYTES);
@@ -75,12 +76,13 @@
             store_full: false,
         });
         shared.state.uploads.begin();
-        // What was looked at and not consumed is received like the rest.
+        // The part of the start that was not consumed is received like the rest.
         self.stream.input.splice(..0, start[consumed..].iter().copied());
         self.receive_large(now, shared)
     }
 
-    /// Where a payload that begins like this goes, and how much of its beginning that consumes.
+    /// Chooses the destination of a payload from its start, and determines how much of the start that
+    /// consumes.
     fn choose_destination(
         &mut self,
         now: Time,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Begins a request for a statement. Its first words decide.
+    /// Creates the request for a large statement. It is classified by the start of its text.
     fn begin_large_query(
         &mut self,
         now: Time,
@@ -119,7 +121,8 @@
         Ok(self.admit(now, request, payload.length, shared)?)
     }
 
-    /// Begins a request for an execution. Null bitmap and types are in its beginning, the values are its body.
+    /// Creates the request for a large execution. The null bitmap and the types are in its start, the values
+    /// are its body.
     fn begin_large_execution(
         &mut self,
         now: Time,
@@ -134,7 +137,7 @@
         let nulls = decode_types(&mut reader, &mut statement)?;
         let consumed = payload.bytes.len() - reader.0.len();
         let values = self.value_scanner(id, &statement, &nulls);
-        let arguments = arguments::with_types(&nulls, &statement.types);
+        let arguments = arguments::encode_types(&nulls, &statement.types);
         self.statements.insert(id, statement.clone());
         let mut request = shared.new_request(&statement, Some(arguments), None);
         request.payload.long_parameters = self.take_parameters(id)?;
@@ -143,7 +146,7 @@
         Ok(self.admit(now, request, payload.length, shared)?)
     }
 
-    /// Checks the values that are neither null nor sent ahead.
+    /// Builds the scanner of an execution's values, except those that are null or were sent as long data.
     fn value_scanner(&self, id: u32, statement: &Statement, nulls: &[u8]) -> ValueScanner {
         let is_expected = |position: &usize| {
             let id = ParameterId { statement: id, position: *position as u16 };
@@ -175,7 +178,8 @@
         {
             return Err(MysqlError::too_large());
         }
-        // Even if its length is known, it is admitted as one that is not: it must be kept.
+        // A body of known length could be passed through, but this one must be stored, so it is admitted as
+        // one of unknown length.
         let admitted = store.borrow_mut().admit_unknown_length(now, request.class, deadline);
         match admitted {
             Ok(body) if shared.state.uploads.are_accepted(now) => {
@@ -192,7 +196,7 @@
     }
 }
 
-/// The text of a statement's beginning, which may end within a character.
+/// Decodes the start of a statement, which may end within a character.
 fn decode_start(bytes: &[u8]) -> Result<&str, Malformed> {
     match std::str::from_utf8(bytes) {
         Ok(text) => Ok(text),
@@ -201,7 +205,8 @@
     }
 }
 
-/// Reads what stands ahead of an execution's values: returns the null bitmap, and binds the types if they are there.
+/// Reads the part of an execution that precedes its values. Returns the null bitmap, and binds the types if
+/// they are present.
 fn decode_types(reader: &mut Reader, statement: &mut Statement) -> Result<Vec<u8>, CommandError> {
     let count = statement.parameter_count;
     let max_head = arguments::bitmap_bytes(count) + 1 + arguments::types_bytes(count);
@@ -209,7 +214,7 @@
         return Err(MysqlError::too_large().into());
     }
     let nulls = reader.read_bytes(arguments::bitmap_bytes(count))?.to_vec();
-    if arguments::announces_types(reader)? {
+    if arguments::types_follow(reader)? {
         statement.types = reader.read_bytes(arguments::types_bytes(count))?.to_vec();
     }
     if statement.types.len() != arguments::types_bytes(count) {
--- a/src/listener/mysql/large/mod.rs
+++ b/src/listener/mysql/large/mod.rs
@@ -1,10 +1,12 @@
-//! Receives what does not arrive in one small packet: statements and executions above the limit for one request in memory, in
-//! packets of up to 16 MB and above that in several, and parameters that are sent ahead of their execution. They go into the body
-//! store as they arrive, and are always kept: a session that waits for its answer cannot be asked to send again.
+//! Receives large payloads: statements and executions above the size limit of a request in memory, in one
+//! packet of up to 16 MB or in several, and long data, that is parameters sent ahead of their execution. They
+//! are received into the body store as they arrive, and are always stored, never passed through: a client
+//! that waits for its answer cannot be asked to send a body again.
 //!
-//! - `begin` decides where a payload goes, `values` checks the values of an execution;
-//! - `parameters` keeps the parameters that are sent ahead;
-//! - `storing` submits requests once their bodies are stored, and rejects them if they cannot be.
+//! - `begin` chooses the destination of a payload, `values` checks the values of an execution;
+//! - `parameters` collects long data;
+//! - `storing` submits requests once their bodies are stored, and rejects requests whose bodies cannot be
+//!   stored.
 
 mod begin;
 mod parameters;
@@ -28,46 +30,46 @@
 pub struct LargePayload {
     /// Bytes of the current packet that have not arrived.
     remaining: usize,
-    /// The current packet is a full one: another follows.
+    /// Whether the current packet has the maximum length, so that another follows.
     continues: bool,
     destination: Destination,
-    /// The body store has no capacity for more of it now.
+    /// The body store currently has no capacity for more of the payload.
     pub store_full: bool,
 }
 
-/// Where a payload goes.
+/// The destination of a payload.
 enum Destination {
-    /// To a request.
+    /// The body of a request.
     Request(IncomingRequest),
-    /// To a parameter of a prepared statement.
+    /// A parameter of a prepared statement.
     Parameter(ParameterId),
-    /// Nowhere: it was answered already.
+    /// None: the command was already answered with an error.
     Discard,
 }
 
-/// A request whose body is arriving: its statement, or its arguments' values.
+/// A request whose body is arriving: its statement, or the values of its arguments.
 struct IncomingRequest {
     body: Body,
     request: Box<Request>,
     /// How long its client waits (s).
     timeout: f64,
-    /// Checks the values, if the body holds them.
+    /// Checks the values, if the body consists of them.
     values: Option<ValueScanner>,
 }
 
-/// Where a payload goes, and how many bytes of its beginning were consumed by finding that out.
+/// The destination of a payload, and how many bytes of its start were consumed to determine it.
 struct LargeStart {
     consumed: usize,
     destination: Destination,
 }
 
 impl LargePayload {
-    /// Whether this body is that of the request that is arriving.
+    /// Whether this is the body of the request that is arriving.
     fn is_request_body(&self, id: BodyId) -> bool {
         matches!(&self.destination, Destination::Request(incoming) if incoming.body.id() == id)
     }
 
-    /// Nothing more of it is received.
+    /// Stops receiving the payload.
     fn release(&self, shared: &mut Shared) {
         shared.state.uploads.end();
         if let Destination::Request(incoming) = &self.destination {
@@ -82,22 +84,22 @@
 }
 
 impl Session {
-    /// Receives what has arrived of the current payload.
+    /// Processes the input that belongs to the current payload.
     pub fn receive_large(&mut self, now: Time, shared: &mut Shared) -> Flow {
         while let Some(mut payload) = self.take_payload() {
             let arrived = payload.remaining.min(self.stream.input.len());
             let bytes = self.stream.input[..arrived].to_vec();
-            let Ok(taken) = self.deliver(now, &mut payload, &bytes, shared) else {
+            let Ok(accepted) = self.deliver(now, &mut payload, &bytes, shared) else {
                 payload.release(shared);
                 return self.end(now, self.next_sequence, &MysqlError::malformed(), shared);
             };
-            self.stream.input.drain(..taken);
-            payload.remaining -= taken;
-            if taken > 0 {
+            self.stream.input.drain(..accepted);
+            payload.remaining -= accepted;
+            if accepted > 0 {
                 self.deadline = now + shared.state.limits.bodies.stall_timeout;
             }
             if payload.remaining > 0 {
-                payload.store_full = taken < arrived;
+                payload.store_full = accepted < arrived;
                 self.state = SessionState::Receiving(payload);
                 return Flow::Open;
             }
@@ -118,7 +120,7 @@
         Flow::Open
     }
 
-    /// Takes the payload that is arriving out of the session's state.
+    /// Moves the payload that is arriving out of the session's state.
     fn take_payload(&mut self) -> Option<LargePayload> {
         if !matches!(self.state, SessionState::Receiving(_)) {
             return None;
@@ -129,7 +131,8 @@
         }
     }
 
-    /// Delivers bytes of a payload. Returns how many were taken: fewer where the body store has no capacity for the rest now.
+    /// Delivers bytes of a payload to its destination. Returns how many were accepted: fewer than given if
+    /// the body store currently has no capacity for the rest.
     fn deliver(
         &mut self,
         now: Time,
@@ -142,16 +145,16 @@
             Destination::Parameter(id) => Ok(self.append_to_parameter(now, *id, bytes, shared)),
             Destination::Request(IncomingRequest { body, values, .. }) => {
                 let Some(store) = shared.state.uploads.store() else { return Ok(bytes.len()) };
-                let taken = store.borrow_mut().append_available(now, body.id(), bytes);
+                let accepted = store.borrow_mut().append_available(now, body.id(), bytes);
                 if let Some(values) = values {
-                    values.push(&bytes[..taken])?;
+                    values.push(&bytes[..accepted])?;
                 }
-                Ok(taken)
+                Ok(accepted)
             }
         }
     }
 
-    /// All of a payload has arrived.
+    /// Handles the end of a payload: a complete request is submitted once its bodies are stored.
     fn complete_large(&mut self, now: Time, payload: LargePayload, shared: &mut Shared) -> Flow {
         shared.state.uploads.end();
         self.deadline = now + shared.state.limits.mysql.session_idle_timeout;
--- a/src/listener/mysql/large/parameters.rs
+++ b/src/listener/mysql/large/parameters.rs
@@ -1,4 +1,4 @@
-//! Parameters that are sent ahead of their execution, in parts.
+//! Long data: parameters that are sent ahead of their execution, in parts.
 
 use super::{Destination, LargePayload};
 use crate::core::{LongParameter, ParameterValue};
@@ -10,7 +10,7 @@
 use dahliaspoke_body_store::plan::BodyId;
 use dahliaspoke_body_store::Body;
 
-/// Names a parameter of a prepared statement.
+/// Identifies a parameter of a prepared statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ParameterId {
     /// The statement's id.
@@ -20,10 +20,10 @@
 }
 
 impl ParameterId {
-    /// Reads it from the head of a command.
+    /// Reads the id from the start of a command.
     ///
     /// # Errors
-    /// The head is too short.
+    /// The command is too short.
     pub fn decode(reader: &mut Reader) -> Result<Self, Malformed> {
         let statement = reader.number(4)? as u32;
         let position = reader.number(2)? as u16;
@@ -37,12 +37,12 @@
     Inline(Vec<u8>),
     /// It is in the body store.
     Stored(Body),
-    /// It could not be kept; the execution reports that.
+    /// It could not be stored; the execution reports the error.
     Lost,
 }
 
 impl LongValue {
-    /// Whether this body holds the value.
+    /// Whether the value is stored in this body.
     pub fn is_body(&self, id: BodyId) -> bool {
         matches!(self, Self::Stored(body) if body.id() == id)
     }
@@ -56,7 +56,8 @@
 }
 
 impl Session {
-    /// Appends bytes to a parameter. Returns how many were taken: fewer where the body store has no capacity for the rest now.
+    /// Appends bytes to a parameter. Returns how many were accepted: fewer than given if the body store
+    /// currently has no capacity for the rest.
     pub fn append_to_parameter(
         &mut self,
         now: Time,
@@ -71,9 +72,9 @@
         let has_too_many = self.parameters.len() >= shared.state.limits.mysql.max_statements;
         let first = || if has_too_many { LongValue::Lost } else { LongValue::Inline(Vec::new()) };
         let value = self.parameters.entry(id).or_insert_with(first);
-        if let LongValue::Inline(held) = value {
+        if let LongValue::Inline(buffered) = value {
             if inline_bytes + bytes.len() <= shared.state.limits.http.max_body_bytes {
-                held.extend_from_slice(bytes);
+                buffered.extend_from_slice(bytes);
                 return bytes.len();
             }
         }
@@ -81,17 +82,18 @@
             *value = LongValue::Lost;
             return bytes.len();
         };
-        if let LongValue::Inline(held) = value {
-            let held = std::mem::take(held);
-            *value = move_to_store(now, class, &held, self.token, shared);
+        if let LongValue::Inline(buffered) = value {
+            let buffered = std::mem::take(buffered);
+            *value = move_to_store(now, class, &buffered, self.token, shared);
         }
         let LongValue::Stored(body) = value else { return bytes.len() };
-        let taken = store.borrow_mut().append_available(now, body.id(), bytes);
-        taken
+        let accepted = store.borrow_mut().append_available(now, body.id(), bytes);
+        accepted
     }
 
-    /// Keeps the rest of a part until the body store has capacity, and with it all that follows.
-    pub fn hold_back(&mut self, id: ParameterId, rest: &[u8], shared: &mut Shared) {
+    /// Returns the rest of a part to the input until the body store has capacity. Input after it waits as
+    /// well.
+    pub fn defer_long_data(&mut self, id: ParameterId, rest: &[u8], shared: &mut Shared) {
         self.stream.input.splice(..0, rest.iter().copied());
         self.state = SessionState::Receiving(LargePayload {
             remaining: rest.len(),
@@ -102,7 +104,7 @@
         shared.state.uploads.begin();
     }
 
-    /// Drops the parameters that were sent ahead of an execution which does not come.
+    /// Drops the long data of a statement.
     pub fn drop_parameters(&mut self, statement: u32, shared: &mut Shared) {
         self.parameters.retain(|id, value| {
             if id.statement != statement {
@@ -115,11 +117,11 @@
         });
     }
 
-    /// Takes the parameters that were sent ahead of an execution of this statement, in the order of their positions. They count
-    /// for one execution only.
+    /// Removes the long data of a statement for its execution, and returns it in the order of the parameters'
+    /// positions. Long data applies to one execution only.
     ///
     /// # Errors
-    /// One of them could not be kept.
+    /// One of the parameters could not be stored.
     pub fn take_parameters(&mut self, statement: u32) -> Result<Vec<LongParameter>, MysqlError> {
         let ids: Vec<ParameterId> =
             self.parameters.keys().copied().filter(|id| id.statement == statement).collect();
@@ -144,17 +146,17 @@
     }
 }
 
-/// Moves a value that has outgrown the memory for it into the body store.
-fn move_to_store(now: Time, class: usize, held: &[u8], session: Token, shared: &mut Shared) -> LongValue {
+/// Moves a value that has become too large for memory into the body store.
+fn move_to_store(now: Time, class: usize, buffered: &[u8], session: Token, shared: &mut Shared) -> LongValue {
     let Some(store) = shared.state.uploads.store().cloned() else { return LongValue::Lost };
     let deadline = now + shared.state.limits.mysql.session_idle_timeout;
     let Ok(body) = store.borrow_mut().admit_unknown_length(now, class, deadline) else {
         return LongValue::Lost;
     };
     shared.state.uploads.add_receiver(body.id(), session);
-    // At most what may be in memory, which is what an open body begins with.
+    // The value is at most as large as the inline limit, which is the capacity that an open body starts with.
     store.borrow_mut().capacity(body.id());
-    store.borrow_mut().append(now, body.id(), held);
+    store.borrow_mut().append(now, body.id(), buffered);
     LongValue::Stored(body)
 }
 
--- a/src/listener/mysql/large/storing.rs
+++ b/src/listener/mysql/large/storing.rs
@@ -1,4 +1,4 @@
-//! Requests and parameters whose bodies the body store has: what it reports of them.
+//! Handles the body store's events about the bodies of requests and parameters.
 
 use super::{Destination, LongValue};
 use crate::core::{Answer, Request};
@@ -11,20 +11,20 @@
 use dahliaspoke_body_store::plan::BodyId;
 use dahliaspoke_body_store::BodyEvent;
 
-/// A complete request that waits until the body store has written its bodies.
+/// A complete request, to be submitted once the body store has written its bodies.
 pub struct PendingRequest {
     request: Box<Request>,
-    /// How long its client waits (s), from `received_at` on.
+    /// How long its client waits (s), from `received_at`.
     timeout: f64,
-    /// When its last byte arrived.
+    /// When the last byte arrived.
     received_at: Time,
-    /// Bodies that are not written yet.
+    /// Bodies that have not been written yet.
     unwritten: Vec<BodyId>,
 }
 
 impl UploadConnection for Session {
-    fn on_body_change(&mut self, now: Time, body: BodyId, wake: &BodyEvent, shared: &mut Shared) -> Flow {
-        match wake {
+    fn on_body_change(&mut self, now: Time, body: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
+        match event {
             BodyEvent::CapacityAvailable(_) => {
                 if let SessionState::Receiving(payload) = &mut self.state {
                     payload.store_full = false;
@@ -81,7 +81,8 @@
         self.submit_if_stored(shared)
     }
 
-    /// The body store cannot keep a body. What it belongs to has not run: it is rejected, and the session goes on.
+    /// Handles a body that the body store cannot store. Its request, or the execution of its parameter, is
+    /// rejected without having run; the session remains open unless the body is too large.
     fn on_body_lost(&mut self, now: Time, body: BodyId, shared: &mut Shared) -> Flow {
         shared.state.uploads.remove_receiver(body);
         if let Some(value) = self.parameters.values_mut().find(|value| value.is_body(body)) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Rejects the complete request whose body is lost.
+    /// Rejects a complete request whose body was lost.
     fn reject_pending(&mut self, now: Time, class: usize, shared: &mut Shared) -> Flow {
         self.state = SessionState::Idle;
         shared.state.report_rejected(class);
@@ -112,8 +113,8 @@
         self.next_packet(now, shared)
     }
 
-    /// Rejects the request whose body is lost while it arrives. The rest of its payload is discarded; a session whose body
-    /// has outgrown what may be stored ends.
+    /// Rejects a request whose body was lost while it arrived. The rest of the payload is discarded. If the
+    /// body exceeds the size that may be stored, the session is closed.
     fn reject_incoming(&mut self, now: Time, body: BodyId, shared: &mut Shared) -> Flow {
         let SessionState::Receiving(payload) = &mut self.state else { return Flow::Open };
         let Destination::Request(incoming) = &payload.destination else { return Flow::Open };
@@ -133,7 +134,7 @@
         self.receive_large(now, shared)
     }
 
-    /// The session is over: the body store's reports have no receiver any more.
+    /// Unregisters a closed session from the body store's events.
     pub fn release_bodies(&mut self, shared: &mut Shared) {
         match &self.state {
             SessionState::Receiving(payload) => payload.release(shared),
--- a/src/listener/mysql/large/values.rs
+++ b/src/listener/mysql/large/values.rs
@@ -1,14 +1,14 @@
-//! Checks the values of an execution that arrive in pieces.
+//! Incremental check of an execution's values.
 
 use crate::listener::mysql::arguments::key_text;
 use crate::mysql::packet::{value_type, Malformed, ValueExtent};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The longest idempotency key that an argument may hold (bytes). A longer value is no key.
+/// Maximum length of an idempotency key in an argument (bytes). A longer value is not used as a key.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A value that is to arrive.
+/// A value that has yet to arrive.
 pub struct ExpectedValue {
     /// The parameter's position, from 0.
     pub position: usize,
@@ -16,23 +16,25 @@
     pub value_type: u8,
 }
 
-/// Reads an execution's values as they arrive: whether they are well formed, and what the idempotency key is.
+/// Scans an execution's values as they arrive: checks that they are well formed, and extracts the idempotency
+/// key.
 pub struct ValueScanner {
-    /// The values of which nothing but a part of the length has arrived.
+    /// Values of which at most a part of the length has arrived.
     expected: VecDeque<ExpectedValue>,
-    /// What has arrived of the length of the next value.
+    /// The part of the next value's length that has arrived.
     length_prefix: Vec<u8>,
-    /// Bytes of the current value that are to arrive.
+    /// Bytes of the current value that have not arrived.
     remaining: usize,
-    /// Position of the parameter that holds the key.
+    /// Position of the parameter that contains the idempotency key.
     key_position: Option<usize>,
     key: Vec<u8>,
-    /// The current value is the key.
+    /// Whether the current value is the key.
     is_key: bool,
 }
 
 impl ValueScanner {
-    /// A scanner for these values. `key_position` is that of the parameter that holds the idempotency key.
+    /// Creates a scanner for these values. `key_position` is the position of the parameter that contains the
+    /// idempotency key.
     pub fn new(expected: VecDeque<ExpectedValue>, key_position: Option<usize>) -> Self {
         Self {
             expected,
@@ -44,10 +46,10 @@
         }
     }
 
-    /// Reads the next bytes.
+    /// Scans the next bytes.
     ///
     /// # Errors
-    /// They are no values of the types that are expected.
+    /// The bytes are not values of the expected types.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), Malformed> {
         while !bytes.is_empty() {
             let consumed = if self.remaining > 0 { self.push_value(bytes) } else { self.push_length(bytes)? };
@@ -56,7 +58,7 @@
         Ok(())
     }
 
-    /// Reads bytes of the current value. Returns how many.
+    /// Scans bytes of the current value. Returns how many.
     fn push_value(&mut self, bytes: &[u8]) -> usize {
         let count = self.remaining.min(bytes.len());
         if self.is_key && self.key.len() <= MAX_KEY_BYTES {
@@ -66,7 +68,8 @@
         count
     }
 
-    /// Reads a byte of the next value's length, if its type does not say the length. Returns how many bytes were read.
+    /// Scans a byte of the next value's length, unless its type implies the length. Returns how many bytes
+    /// were scanned.
     fn push_length(&mut self, bytes: &[u8]) -> Result<usize, Malformed> {
         let next = self.expected.front().ok_or(Malformed)?;
         let (position, value_type) = (next.position, next.value_type);
@@ -89,7 +92,7 @@
         self.is_key = self.key_position == Some(position);
     }
 
-    /// Whether all values have arrived. Those whose type is NULL have no byte.
+    /// Whether all values have arrived. Values of type NULL occupy no bytes.
     pub fn is_complete(&mut self) -> bool {
         let is_null = |value: &ExpectedValue| value.value_type == value_type::NULL;
         while self.remaining == 0 && self.expected.front().is_some_and(is_null) {
@@ -98,7 +101,7 @@
         self.remaining == 0 && self.length_prefix.is_empty() && self.expected.is_empty()
     }
 
-    /// The idempotency key, if a value held one.
+    /// The idempotency key, if one of the values is a usable one.
     pub fn key(&self) -> Option<Arc<str>> {
         let is_key = (1..=MAX_KEY_BYTES).contains(&self.key.len());
         is_key.then(|| key_text(&self.key))
--- a/src/listener/mysql/login.rs
+++ b/src/listener/mysql/login.rs
@@ -1,4 +1,4 @@
-//! The beginning of a session: greeting, login, authentication.
+//! The start of a session: greeting, login, authentication.
 
 use super::error::{code, sql_state, CommandError, MysqlError};
 use super::session::{Session, SessionState};
@@ -7,29 +7,29 @@
 use crate::mysql::packet::{self, capability, Reader};
 
 const PROTOCOL_VERSION: u8 = 10;
-/// Bytes of the challenge in the first part of the greeting.
+/// Number of challenge bytes in the first part of the greeting.
 const CHALLENGE_START: usize = 8;
-/// Bytes that the protocol reserves in the greeting.
+/// Reserved bytes in the greeting.
 const RESERVED: [u8; 10] = [0; 10];
-/// Bytes of the login between flags and account: packet size, character set, reserved.
+/// Bytes of the login between flags and account: packet size, character set, reserved bytes.
 const LOGIN_SKIPPED: usize = 4 + 1 + 23;
-/// Says that the password was right, without a full authentication.
+/// Payload for a password that was verified without full authentication.
 const FAST_AUTHENTICATION: [u8; 2] = [packet::AUTH_MORE_DATA, 3];
-/// How some clients send an empty password.
+/// The response that some clients send for an empty password.
 const EMPTY_PASSWORD: [u8; 1] = [0];
 
 /// A random challenge; `None` if the system has no random bytes.
 pub fn new_challenge() -> Option<[u8; auth::CHALLENGE_BYTES]> {
     let mut challenge = [0; auth::CHALLENGE_BYTES];
     getrandom::fill(&mut challenge).ok()?;
-    // A zero byte would end it, and some clients read a dollar sign otherwise.
+    // A zero byte would terminate the challenge, and some clients give a dollar sign a special meaning.
     for byte in &mut challenge {
         *byte = *byte % 90 + 37;
     }
     Some(challenge)
 }
 
-/// The payload that greets a client.
+/// The payload of the greeting.
 pub fn greeting(connection: u32, challenge: &[u8; auth::CHALLENGE_BYTES]) -> Vec<u8> {
     let capabilities = capability::COMMON | capability::CONNECT_WITH_DB | capability::PLUGIN_AUTH_LENENC;
     let capabilities = capabilities.to_le_bytes();
@@ -53,7 +53,8 @@
 }
 
 impl Session {
-    /// Handles the client's answer to the greeting. `sequence` is that of the next packet to the client.
+    /// Handles the client's response to the greeting. `sequence` is the sequence number of the next packet to
+    /// the client.
     pub(super) fn login(
         &mut self,
         sequence: u8,
@@ -111,7 +112,8 @@
     MysqlError::new(code::NOT_SUPPORTED_AUTH_MODE, sql_state::CONNECTION_REJECTED, message)
 }
 
-/// Statements name their schema: a default one would be state of a session on one engine.
+/// Rejects a login with a default schema, which would be session state on one engine. Statements must name
+/// their schema.
 fn reject_default_schema(schema: &str) -> Result<(), MysqlError> {
     if schema.is_empty() {
         return Ok(());
@@ -120,7 +122,7 @@
     Err(MysqlError::new(code::BAD_DB_ERROR, sql_state::SYNTAX_OR_ACCESS, message))
 }
 
-/// Asks the client to use the plugin that is supported here.
+/// The payload of the request to switch to the authentication plugin that this server supports.
 fn switch_request(challenge: &[u8]) -> Vec<u8> {
     let mut out = vec![packet::EOF];
     out.extend_from_slice(auth::CACHING_SHA2.as_bytes());
--- a/src/listener/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -1,11 +1,11 @@
-//! The listener of clients that speak the `MySQL` protocol: sessions in, results and errors out. Each execution is a request
-//! of its own; no state of a session lives on an engine.
+//! The listener for clients of the `MySQL` protocol. Each execution of a statement is a request of its own,
+//! and engines keep no session state.
 //!
-//! - `session` is the state of a session, `login` its beginning, `commands` what it does then;
-//! - `setup` answers statements by which clients set a session up, `statement` classifies the others;
-//! - `arguments` checks the arguments of executions;
-//! - `large` receives what does not arrive in one small packet, through the body store;
-//! - `answer` encodes final answers, `error` has the errors that clients are sent.
+//! - `session` is the state machine of a session, `login` authenticates it, `commands` handles its commands;
+//! - `setup` answers the statements with which clients set up a session, `statement` classifies the others;
+//! - `arguments` decodes the arguments of executions;
+//! - `large` receives large payloads and long data into the body store;
+//! - `answer` encodes final answers, `error` defines the errors that are sent to clients.
 
 mod answer;
 mod arguments;
@@ -32,41 +32,41 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The server version that clients are sent.
+/// The server version sent to clients.
 const SERVER_VERSION: &str = "8.0.36-dahliaspoke";
 
-/// What a `MySQL` listener is opened with.
+/// Options of a `MySQL` listener.
 pub struct MysqlListenerOptions<'a> {
-    /// The owner number in tokens.
+    /// Owner number of the listener's tokens.
     pub owner: u8,
-    /// The number of the route in requests.
+    /// Index of the listener's route, set in each request.
     pub route: usize,
-    /// The file that switches the listener on.
+    /// The content of the file that enables the listener.
     pub config: Rc<Mysql>,
-    /// The settings of the decisions: their classes.
+    /// The policy's settings, of which the listener uses the classes.
     pub settings: &'a Settings,
-    /// What is large, where the deployment keeps it.
+    /// The store for large bodies, if the deployment has one.
     pub body_store: Option<body_store::SharedBodyStore>,
     /// The poller that watches the sockets.
     pub poller: Rc<Poller>,
-    /// The limits of the daemon.
+    /// The daemon's limits.
     pub limits: Rc<Limits>,
 }
 
 /// A class of requests.
 struct Class {
     name: Arc<str>,
-    /// How long clients wait (s), unless the file or a hint says otherwise.
+    /// How long clients wait (s), unless the file or a hint overrides it.
     client_timeout: f64,
 }
 
-/// What all sessions share.
+/// State shared by all sessions.
 pub struct Shared {
     state: ListenerState,
     config: Rc<Mysql>,
-    /// By position in the settings.
+    /// The classes, in the order of the settings.
     classes: Vec<Class>,
-    /// Requests that were built, for their ids.
+    /// Number of requests built so far, from which their ids are derived.
     request_count: u64,
 }
 
@@ -74,10 +74,10 @@
 pub type MysqlListener = Server<Session>;
 
 impl MysqlListener {
-    /// Opens the listener on the address that its file names.
+    /// Opens the listener on the address in its file.
     ///
     /// # Errors
-    /// Where the system refuses the address, or to have the socket watched.
+    /// The operating system refuses the address, or to watch the socket.
     pub fn open(options: MysqlListenerOptions) -> io::Result<Self> {
         let MysqlListenerOptions { owner, route, config, settings, body_store, poller, limits } = options;
         let socket = TcpListener::bind(config.listen)?;
@@ -112,8 +112,8 @@
         limits.http.max_body_bytes.max(limits.bodies.max_bytes)
     }
 
-    /// Builds the request for a statement; its deadline is set when it is submitted. `key` is the idempotency key if an
-    /// argument holds it.
+    /// Builds the request for a statement; its deadline is set when it is submitted. `key` is the
+    /// idempotency key if an argument contains it.
     fn new_request(
         &mut self,
         statement: &Statement,
--- a/src/listener/mysql/session.rs
+++ b/src/listener/mysql/session.rs
@@ -1,4 +1,4 @@
-//! A client's session: its state, and the loop that reads its packets.
+//! A client's session: its state machine, and the loop that reads its packets.
 
 use super::answer::encode_answer;
 use super::error::{CommandError, MysqlError};
@@ -15,20 +15,20 @@
 use dahliaspoke::policy::RequestId;
 use std::collections::HashMap;
 
-/// The sequence number of the first packet of an answer to a command.
+/// The sequence number of the first packet of the response to a command.
 pub(super) const FIRST_ANSWER_SEQUENCE: u8 = 1;
 
-/// What a session does.
+/// State of a session.
 pub(super) enum SessionState {
-    /// The client's answer to the greeting is due.
+    /// Waiting for the client's response to the greeting.
     AwaitingLogin,
-    /// The client was asked to use the plugin that is supported here.
+    /// Waiting for the client to authenticate with the supported plugin.
     AwaitingAuthSwitch,
-    /// The next command is due.
+    /// Waiting for the next command.
     Idle,
-    /// A payload that does not arrive at once is being received.
+    /// Receiving a large payload or long data.
     Receiving(LargePayload),
-    /// A request waits until the body store has written its bodies.
+    /// Waiting until the body store has written the bodies of a request.
     Storing(PendingRequest),
     /// A request is open in the core.
     Running(RequestId),
@@ -41,17 +41,17 @@
     pub(super) state: SessionState,
     pub(super) challenge: [u8; auth::CHALLENGE_BYTES],
     pub(super) account: String,
-    /// Prepared statements by their ids.
+    /// Prepared statements by id.
     pub(super) statements: HashMap<u32, Statement>,
     pub(super) last_statement: u32,
-    /// Parameters that were sent ahead of their execution.
+    /// Parameters that were sent as long data, ahead of their execution.
     pub(super) parameters: HashMap<ParameterId, LongValue>,
     /// The sequence number of the next packet to the client.
     pub(super) next_sequence: u8,
-    /// When the client of the open request gives up.
+    /// When the client of the open request stops waiting.
     request_deadline: Time,
     accepted_at: Time,
-    /// By then the client must have sent what is due.
+    /// When the client must have sent the data that is expected of it.
     pub(super) deadline: Time,
 }
 
@@ -88,7 +88,8 @@
         Flow::Close
     }
 
-    /// An authenticated session has prepared statements, which its client relies on; only a login may be closed.
+    /// Only a session that is not authenticated may be evicted: the client of an authenticated one relies on
+    /// its prepared statements.
     fn eviction_rank(&self) -> Option<EvictionRank> {
         let rank = EvictionRank { has_sent_request: false, idle_since: self.accepted_at };
         (!self.is_authenticated()).then_some(rank)
@@ -114,7 +115,7 @@
         match self.state {
             SessionState::Receiving(_) => self.receive_large(now, shared),
             SessionState::Storing(_) | SessionState::Running(_) => {
-                // Commands that are sent ahead wait here, but not without bound.
+                // Pipelined commands are buffered up to a limit.
                 let max_input = 2 * shared.state.limits.http.max_body_bytes;
                 if self.stream.input.len() > max_input {
                     Flow::Close
@@ -175,7 +176,8 @@
         self.next_packet(now, shared)
     }
 
-    /// Submits a request. Its client waits from `received_at` on, so many seconds.
+    /// Submits a request. Its client waits for `timeout` seconds from `received_at`, at most
+    /// `max_request_time`.
     pub(super) fn submit(
         &mut self,
         received_at: Time,
@@ -189,7 +191,7 @@
         shared.state.submit(self.token, request);
     }
 
-    /// Handles packets until one needs the core or the body store, or no complete one is left.
+    /// Handles packets until one needs the core or the body store, or no complete packet is left.
     pub(super) fn next_packet(&mut self, now: Time, shared: &mut Shared) -> Flow {
         while self.is_ready_for_packet() {
             if self.stream.queued() > shared.state.limits.clients.max_unread_answer_bytes {
@@ -224,14 +226,14 @@
         Flow::Open
     }
 
-    /// What has begun must end: an incomplete packet is no idle session.
+    /// Sets the deadline by which an incomplete packet must be complete; a session with one is not idle.
     pub(super) fn await_rest_of_packet(&mut self, now: Time, shared: &Shared) {
         if !self.stream.input.is_empty() {
             self.deadline = self.deadline.min(now + shared.state.limits.clients.request_timeout);
         }
     }
 
-    /// Handles a packet. `sequence` is that of the next packet to the client.
+    /// Handles a packet. `sequence` is the sequence number of the next packet to the client.
     fn handle_packet(&mut self, now: Time, sequence: u8, payload: &[u8], shared: &mut Shared) -> Flow {
         let result = match self.state {
             SessionState::AwaitingLogin => self.login(sequence, payload, shared),
--- a/src/listener/mysql/setup.rs
+++ b/src/listener/mysql/setup.rs
@@ -1,14 +1,15 @@
-//! Statements that the coordinator answers itself: what clients usually send to set a session up. A session has no state that
-//! could not move to another engine, so whatever would create some is rejected.
+//! Statements that the coordinator answers itself, which clients usually send to set up a session. A session
+//! has no state on an engine, since each of its statements may run on a different one, so statements that
+//! would create some are rejected.
 
 use super::error::{code, sql_state, MysqlError};
 use super::{sql, SERVER_VERSION};
 use crate::mysql::packet::{column, eof, ok, put_text};
 
-/// What becomes of a statement.
+/// How a statement is handled.
 #[derive(Debug, PartialEq)]
 pub enum Setup {
-    /// It is answered here, with these payloads.
+    /// The coordinator answers it, with these payloads.
     Answered(Vec<Vec<u8>>),
     /// It is rejected.
     Rejected(MysqlError),
@@ -16,12 +17,12 @@
     Forward,
 }
 
-/// Variables in one `SELECT`: their count is one byte in the answer.
+/// Maximum number of variables in one `SELECT`: their count is encoded in one byte of the response.
 const MAX_SELECTED_VARIABLES: usize = 250;
-/// The variable with the largest packet; its value depends on the deployment.
+/// The variable with the largest packet size, which depends on the deployment.
 const MAX_PACKET_VARIABLE: &str = "max_allowed_packet";
 
-/// System variables that clients read, and their values here.
+/// System variables that clients read, and the values sent to them.
 const VARIABLES: &[(&str, &str)] = &[
     ("auto_increment_increment", "1"),
     ("autocommit", "1"),
@@ -49,7 +50,7 @@
     ("wait_timeout", "28800"),
 ];
 
-/// First words of statements that create state on one engine.
+/// First words of statements that create or depend on state on one engine.
 const ENGINE_STATE_WORDS: &[&str] = &[
     "begin",
     "call",
@@ -69,18 +70,18 @@
     "xa",
 ];
 
-fn not_supported(what: &str) -> Setup {
-    Setup::Rejected(MysqlError::not_supported(what))
+fn not_supported(feature: &str) -> Setup {
+    Setup::Rejected(MysqlError::not_supported(feature))
 }
 
-/// Looks at a statement's beginning. `max_packet` is the largest payload that is accepted (bytes).
+/// Decides how a statement is handled. `max_packet` is the largest payload that is accepted (bytes).
 pub fn handle(statement: &str, max_packet: usize) -> Setup {
     let words = sql::first_words(statement, 3);
     let word = |index: usize| words.get(index).map_or("", String::as_str);
     let compact = compact(statement);
     match word(0) {
         "set" => set(&compact, word(1)),
-        // No transaction is ever open.
+        // There is never an open transaction.
         "commit" | "rollback" if word(1) != "to" => Setup::Answered(vec![ok()]),
         "create" if word(1) == "temporary" => not_supported("temporary tables"),
         "show" if matches!(word(1), "warnings" | "errors") => result(&["Level", "Code", "Message"], None),
@@ -91,7 +92,7 @@
     }
 }
 
-/// The statement in lower case and without white space.
+/// The statement in lower case, without white space.
 fn compact(statement: &str) -> String {
     statement.to_ascii_lowercase().split_whitespace().collect()
 }
@@ -122,7 +123,7 @@
     }
 }
 
-/// Answers a `SELECT` of system variables only.
+/// Answers a `SELECT` of only system variables.
 fn select_variables(statement: &str, max_packet: usize) -> Setup {
     let list = statement.trim().trim_end_matches(';').get("select".len()..).unwrap_or_default();
     let max_packet = max_packet.to_string();
@@ -153,7 +154,7 @@
     Setup::Rejected(MysqlError::new(code::UNKNOWN_SYSTEM_VARIABLE, sql_state::GENERAL, message))
 }
 
-/// A result of one row in text, or of none.
+/// A text result with one row or none.
 fn result(names: &[&str], row: Option<&[&str]>) -> Setup {
     let mut payloads = vec![vec![names.len() as u8]];
     payloads.extend(names.iter().map(|name| column(name)));
--- a/src/listener/mysql/statement.rs
+++ b/src/listener/mysql/statement.rs
@@ -1,26 +1,26 @@
-//! Classifies statements by the file's rules, and reads their hints.
+//! Classifies statements by the rules in the file, and applies their hints.
 
 use super::error::{code, sql_state, MysqlError};
 use super::{sql, Shared};
 use crate::mysql::config::Rule;
 use std::sync::Arc;
 
-/// First words of a statement that rules are compared with.
+/// Number of first words of a statement that rules are matched against.
 const COMPARED_WORDS: usize = 4;
-/// Numbers in hints are below this.
+/// Exclusive upper bound of numbers in hints.
 const HINT_BOUND: f64 = 1e9;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
-/// The table group of a statement that names none.
+/// The table group of a statement that does not name one.
 const NO_TABLE_GROUP: i64 = -1;
 
-/// A statement with what the file and its hints say of it.
+/// A statement with its properties from the file and its hints.
 #[derive(Clone)]
 pub struct Statement {
-    /// Its text.
+    /// The SQL text.
     pub text: Arc<[u8]>,
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Group of tables that it reads or writes; -1 if it is not known.
+    /// The table group that it reads or writes; -1 if unknown.
     pub table_group: i64,
     /// How long its client waits (s).
     pub timeout: f64,
@@ -28,20 +28,20 @@
     pub estimated_work: Option<f64>,
     /// Estimated memory (MB).
     pub estimated_memory: Option<f64>,
-    /// Where its idempotency key is, if it has one.
+    /// The source of its idempotency key, if it has one.
     pub key: Option<KeySource>,
-    /// How many parameters it has.
+    /// Number of its parameters.
     pub parameter_count: usize,
-    /// Types of the parameters as last bound, two bytes each: an execution may leave them out.
+    /// Types of the parameters as last bound, two bytes each. An execution that omits the types uses these.
     pub types: Vec<u8>,
 }
 
-/// Where an idempotency key is.
+/// The source of an idempotency key.
 #[derive(Clone)]
 pub enum KeySource {
-    /// In a hint.
+    /// The key itself, from a hint.
     Hint(Arc<str>),
-    /// In the value of the parameter at this position, from 0.
+    /// The value of the parameter at this position, from 0.
     Parameter(usize),
 }
 
@@ -49,7 +49,7 @@
     /// Classifies a statement.
     ///
     /// # Errors
-    /// No rule fits it, or its hint names a parameter that it does not have.
+    /// No rule matches, or the key hint refers to a parameter that the statement does not have.
     pub fn classify(text: &str, shared: &Shared) -> Result<Self, MysqlError> {
         let position = class_position(text, shared)
             .ok_or_else(|| MysqlError::not_supported("statements of no class in deploy/mysql.toml"))?;
@@ -82,22 +82,23 @@
 }
 
 impl KeySource {
-    /// `?N` names the parameter N, from 1; all else is the key itself.
+    /// `?N` refers to parameter N, counted from 1; anything else is the key itself.
     fn from_hint(hint: String) -> Self {
         let number = hint.strip_prefix('?').and_then(|number| number.parse::<usize>().ok());
         number.map_or_else(|| Self::Hint(hint.as_str().into()), |n| Self::Parameter(n.saturating_sub(1)))
     }
 }
 
-/// The class of the first rule that fits.
+/// The class of the first rule that matches.
 fn class_position(text: &str, shared: &Shared) -> Option<usize> {
     let first_words = sql::first_words(text, COMPARED_WORDS).join(" ");
     let lower_case = text.to_ascii_lowercase();
-    let rule = shared.config.statement_rules.iter().find(|rule| fits(rule, &first_words, &lower_case))?;
+    let rule =
+        shared.config.statement_rules.iter().find(|rule| matches_rule(rule, &first_words, &lower_case))?;
     shared.classes.iter().position(|class| *class.name == *rule.class)
 }
 
-fn fits(rule: &Rule, first_words: &str, lower_case: &str) -> bool {
+fn matches_rule(rule: &Rule, first_words: &str, lower_case: &str) -> bool {
     let prefix = rule.prefix.to_ascii_lowercase();
     let rest = first_words.strip_prefix(prefix.as_str());
     let has_prefix = rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(' '));
@@ -113,7 +114,7 @@
     Err(MysqlError::new(code::WRONG_ARGUMENTS, sql_state::GENERAL, message))
 }
 
-/// A hint's number, if it is positive and not absurd.
+/// A hint's number, if it is positive and below the bound; otherwise the hint is ignored.
 fn usable(number: Option<f64>) -> Option<f64> {
     number.filter(|number| *number > 0.0 && *number < HINT_BOUND)
 }
--- a/src/listener/server/accept.rs
+++ b/src/listener/server/accept.rs
@@ -1,11 +1,11 @@
-//! Accepts connections while there is capacity, and closes idle ones to make room.
+//! Accepts connections while there is capacity, and evicts idle ones to free capacity.
 
 use super::{ClientConnection, Server};
 use crate::net::{BufferedStream, Flow, Time, Token};
 
 impl<C: ClientConnection> Server<C> {
-    /// Accepts pending connections, at most a batch of them: a flood must not keep the event loop here. The poller reports
-    /// those that are left again.
+    /// Accepts pending connections, at most one batch so that a flood cannot monopolise the event loop. The
+    /// poller reports the remaining ones again.
     pub(super) fn accept(&mut self, now: Time) {
         for _ in 0..self.state().limits.clients.accept_batch {
             if self.state().handed_over {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Adds an accepted connection. It is passed over if it cannot be served.
+    /// Adds an accepted connection, or drops it if it cannot be served.
     fn add(&mut self, now: Time, stream: BufferedStream) {
         let shared = &self.shared;
         let added = self.connections.add(|token| C::accepted(now, stream, token, shared));
@@ -38,10 +38,11 @@
         self.connections.settle(now, token, Flow::Open, &mut self.shared);
     }
 
-    /// Resumes accepting where it was paused and there is capacity again.
+    /// Resumes accepting if it was paused and there is capacity again, or an idle connection that can be
+    /// evicted.
     pub(super) fn resume_accepting(&mut self, now: Time) {
-        let closed = self.state().handed_over || now < self.accept_resumes_at;
-        if closed || self.acceptor.is_accepting() {
+        let is_blocked = self.state().handed_over || now < self.accept_resumes_at;
+        if is_blocked || self.acceptor.is_accepting() {
             return;
         }
         if self.has_capacity() || self.eviction_candidate(now).is_some() {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// The system has no descriptor or memory left: an idle connection is closed, and accepting pauses for a while. Until
-    /// then the poller must not report pending connections again and again.
+    /// Handles the lack of a descriptor or of memory: evicts an idle connection and pauses accepting for
+    /// `accept_backoff`, during which the poller must not report pending connections over and over.
     fn back_off(&mut self, now: Time) {
         if let Some(token) = self.eviction_candidate(now) {
             self.connections.close(now, token, &mut self.shared);
@@ -62,14 +63,16 @@
         self.acceptor.set_accepting(false);
     }
 
-    /// Whether a further connection may be open. Those for which there is no capacity wait in the kernel's backlog.
+    /// Whether another connection may be accepted. Connections beyond the capacity wait in the kernel's
+    /// backlog.
     fn has_capacity(&mut self) -> bool {
         self.connections.len() < C::max_connections(&self.state().limits)
     }
 
-    /// The connection that is closed for a new one when there is no capacity: crowds that never send a request, or sent one
-    /// and stay, would shut out those that have one to send. A new connection is not closed before a minimal age, since its
-    /// request is on the way.
+    /// The idle connection to evict when there is no capacity for a new one. Without eviction, clients that
+    /// connect and never send a request, or remain connected after one, would lock out those that have a
+    /// request to send. A connection is not evicted before `min_connection_age`, since its request may still
+    /// be in transit.
     fn eviction_candidate(&mut self, now: Time) -> Option<Token> {
         let idle_before = now - self.state().limits.clients.min_connection_age;
         let mut already_read = None;
@@ -77,8 +80,8 @@
             let token = self
                 .connections
                 .min_by_rank(|client| client.eviction_rank().filter(|rank| rank.idle_since <= idle_before))?;
-            // A request that is not read yet must not meet a close. One that was read and is still idle has sent nothing that
-            // matters.
+            // Pending input may be a request, so it is read before the connection is evicted. A connection
+            // that is still the candidate after that has sent nothing that makes it busy.
             if already_read == Some(token) || !self.connections.get(token)?.channel().has_input() {
                 return Some(token);
             }
--- a/src/listener/server/client.rs
+++ b/src/listener/server/client.rs
@@ -1,36 +1,36 @@
-//! The interface of clients' connections.
+//! The interface that [`Server`](super::Server) requires of client connections.
 
 use super::ListenerState;
 use crate::limits::Limits;
 use crate::net::{BufferedStream, Connection, Flow, Time, Token};
 
-/// The order in which idle connections are closed to make room for new ones, the least first: those that never sent a
-/// request come before those that did, then those that are idle for longest.
+/// The order in which idle connections are evicted, lowest first: connections that have never sent a request
+/// before those that have, and the longest idle first among each.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct EvictionRank {
-    /// It has sent a request.
+    /// Whether the connection has sent a request.
     pub has_sent_request: bool,
-    /// Since when it is idle.
+    /// When the connection became idle.
     pub idle_since: Time,
 }
 
 /// A client's connection.
 pub trait ClientConnection: Connection + Sized {
-    /// Builds the connection around an accepted socket; `None` if it cannot be served.
+    /// Creates the connection for an accepted socket; `None` if it cannot be served.
     fn accepted(now: Time, stream: BufferedStream, token: Token, shared: &Self::Shared) -> Option<Self>;
 
-    /// When it is closed, or answered with an error; `None` while the client has nothing to do in time.
+    /// When [`on_deadline`](Self::on_deadline) is due; `None` while nothing is expected of the client.
     fn deadline(&self) -> Option<Time>;
 
-    /// Its deadline has passed.
+    /// Handles an expired deadline: closes the connection, or answers with an error.
     fn on_deadline(&mut self, now: Time, shared: &mut Self::Shared) -> Flow;
 
-    /// Its place in the order of eviction; `None` if it must not be closed to make room.
+    /// The connection's place in the eviction order; `None` if it must not be evicted.
     fn eviction_rank(&self) -> Option<EvictionRank>;
 
-    /// The part of what connections share that does not depend on their protocol.
+    /// The part of the shared state that does not depend on the protocol.
     fn state(shared: &mut Self::Shared) -> &mut ListenerState;
 
-    /// How many connections may be open at once.
+    /// Maximum number of open connections.
     fn max_connections(limits: &Limits) -> usize;
 }
--- a/src/listener/server/mod.rs
+++ b/src/listener/server/mod.rs
@@ -1,4 +1,4 @@
-//! What all listeners share: accepting, connections with deadlines, capacity, shutdown, and the requests that are open.
+//! The part that all listeners share: accepting, connection deadlines, capacity, shutdown, and open requests.
 
 mod accept;
 mod client;
@@ -21,9 +21,9 @@
 pub struct Server<C: ClientConnection> {
     acceptor: Acceptor,
     connections: ConnectionSlab<C>,
-    /// No connection is accepted before: the system had no descriptor or memory for one.
+    /// When accepting may resume after the system had no descriptor or memory for a connection.
     accept_resumes_at: Time,
-    /// What the connections share.
+    /// State shared by the connections.
     pub shared: C::Shared,
 }
 
@@ -31,37 +31,38 @@
     /// Listens on a socket. `owner` is the owner number in tokens.
     ///
     /// # Errors
-    /// Where the system refuses to have the socket watched.
+    /// The operating system refuses to watch the socket.
     pub fn new(owner: u8, socket: TcpListener, shared: C::Shared, poller: Rc<Poller>) -> io::Result<Self> {
         let acceptor = Acceptor::new(owner, socket, poller.clone())?;
         let connections = ConnectionSlab::new(owner, poller);
         Ok(Self { acceptor, connections, accept_resumes_at: 0.0, shared })
     }
 
-    /// The address that it listens on.
+    /// The address that the server listens on.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The error that the operating system reports.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.acceptor.address()
     }
 
-    /// The next report for the core, in order.
+    /// The next event for the core, in order.
     pub fn next_event(&mut self) -> Option<ListenerEvent> {
         self.state().events.pop_front()
     }
 
-    /// Requests that were rejected because they could not be decoded, since the start.
+    /// Number of requests rejected since the start because they were malformed or not acceptable.
     pub fn bad_requests(&mut self) -> u64 {
         self.state().bad_requests
     }
 
-    /// Whether every answer is written and no body is arriving.
+    /// Whether all answers are written and no body is being received.
     pub fn is_drained(&mut self) -> bool {
         self.connections.is_flushed() && self.state().uploads.is_idle()
     }
 
-    /// Stops accepting: another process has the listening socket as well. Each connection is closed with its next answer.
+    /// Stops accepting, since another process has the listening socket as well. Each connection is closed
+    /// after its next answer.
     pub fn stop_accepting(&mut self) {
         let state = self.state();
         state.shutting_down = true;
@@ -69,8 +70,8 @@
         self.acceptor.set_accepting(false);
     }
 
-    /// Begins the shutdown: idle connections are closed now, the others with their next answer. One with input that is not
-    /// read yet is not idle.
+    /// Starts the shutdown: idle connections are closed now, the others after their next answer. A connection
+    /// with unread input is not idle.
     pub fn begin_shutdown(&mut self, now: Time) {
         self.state().shutting_down = true;
         for token in self.connections.tokens() {
@@ -85,20 +86,20 @@
         self.connections.len() == 0
     }
 
-    /// Runs `answer` on the connection of an open request, if it is still there. The request is not open any more.
+    /// Removes an open request and runs `answer` on its connection, if that still exists.
     pub fn answer(&mut self, now: Time, id: &RequestId, answer: impl FnOnce(&mut C, &mut C::Shared) -> Flow) {
         let Some(token) = self.state().open_requests.remove(id) else { return };
         self.reply(now, token, answer);
     }
 
-    /// Whether the client of an open request still waits.
+    /// Whether the client of an open request is still connected.
     pub fn is_client_waiting(&mut self, id: &RequestId) -> bool {
         let token = self.state().open_requests.get(id).copied();
         let client = token.and_then(|token| self.connections.get(token));
         client.is_some_and(|client| !client.channel().has_ended())
     }
 
-    /// Runs `answer` on a connection, if it is still there.
+    /// Runs `answer` on a connection, if it still exists.
     pub fn reply(&mut self, now: Time, token: Token, answer: impl FnOnce(&mut C, &mut C::Shared) -> Flow) {
         let Some(client) = self.connections.get(token) else { return };
         let flow = answer(client, &mut self.shared);
@@ -109,18 +110,18 @@
         C::state(&mut self.shared)
     }
 
-    /// Reads what has arrived on a connection, before it might be closed.
+    /// Reads the pending input of a connection that may be closed next.
     fn read_pending(&mut self, now: Time, token: Token) {
         let readable = Ready { token, readable: true, writable: false, ended: false };
         self.connections.on_ready(now, readable, &mut self.shared);
     }
 
-    /// Closes a connection if its deadline has passed, else schedules the next check.
+    /// Calls `on_deadline` if a connection's deadline has passed, otherwise schedules the next check.
     fn check_deadline(&mut self, now: Time, token: Token) {
         let Some(client) = self.connections.get(token) else { return };
         if client.deadline().is_some_and(|deadline| deadline <= now) {
             failpoints::reach("client.overdue");
-            // Input that has arrived meanwhile must not meet a close: it is read first, and may move the deadline.
+            // Input that has arrived in the meantime is read first, since it may move the deadline.
             if client.channel().has_input() {
                 self.read_pending(now, token);
             }
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Schedules the next check. A request that begins meanwhile brings the deadline of an idle connection forward: it is
-    /// checked in time for that.
+    /// Schedules the next check, at the latest after `request_timeout`: a request that starts to arrive in
+    /// the meantime moves the deadline of an idle connection forward.
     fn schedule_next_check(&mut self, now: Time, token: Token, deadline: Option<Time>) {
         let state = self.state();
         let clients = &state.limits.clients;
@@ -145,7 +146,7 @@
     }
 }
 
-/// Whether a connection may be closed at shutdown: it is idle, and no input of it waits to be read.
+/// Whether a connection may be closed at shutdown: it may be evicted and has no unread input.
 fn is_idle<C: ClientConnection>(client: &mut C) -> bool {
     client.eviction_rank().is_some() && client.channel().input.is_empty() && !client.channel().has_input()
 }
@@ -164,7 +165,7 @@
         self.resume_accepting(now);
     }
 
-    /// Checks the connections whose time has come.
+    /// Checks the connections whose timers have expired.
     fn on_timer(&mut self, now: Time) {
         while let Some(token) = self.state().timers.pop_due(now) {
             self.check_deadline(now, token);
--- a/src/listener/server/state.rs
+++ b/src/listener/server/state.rs
@@ -1,4 +1,4 @@
-//! What the connections of one listener share, whatever protocol they speak.
+//! State shared by the connections of one listener, independent of the protocol.
 
 use super::Uploads;
 use crate::body_store;
@@ -9,30 +9,30 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// What the connections of one listener share, whatever protocol they speak.
+/// State shared by the connections of one listener, independent of the protocol.
 pub struct ListenerState {
-    /// The limits of the daemon.
+    /// The daemon's limits.
     pub limits: Rc<Limits>,
-    /// The number of the listener's route in requests.
+    /// Index of the listener's route, set in each request.
     pub route: usize,
-    /// Reports that the core has not taken yet.
+    /// Events that the core has not fetched yet.
     pub(super) events: VecDeque<ListenerEvent>,
     /// The connection of each open request.
     pub(super) open_requests: HashMap<RequestId, Token>,
-    /// When connections are to be checked for their deadlines.
+    /// When the deadlines of connections are to be checked.
     pub(super) timers: TimerQueue<Token>,
-    /// The process is about to end: each connection is closed with its next answer.
+    /// Whether each connection is closed after its next answer, because the process is about to end.
     pub shutting_down: bool,
-    /// Another process accepts the connections from now on.
+    /// Whether another process accepts all new connections.
     pub handed_over: bool,
-    /// Requests that were rejected because they could not be decoded, since the start.
+    /// Number of requests rejected since the start because they were malformed or not acceptable.
     pub bad_requests: u64,
-    /// Bodies that go into the body store.
+    /// Bodies that are received into the body store.
     pub uploads: Uploads,
 }
 
 impl ListenerState {
-    /// The state of a listener that was just opened. `route` is the number of its route.
+    /// The state of a newly opened listener. `route` is the index of its route.
     pub fn new(route: usize, limits: Rc<Limits>) -> Self {
         Self {
             limits,
@@ -47,42 +47,43 @@
         }
     }
 
-    /// The same listener with uploads into this body store, where the deployment has one.
+    /// Receives uploads into `store`, if the deployment has one.
     #[must_use]
     pub fn with_body_store(self, store: Option<body_store::SharedBodyStore>) -> Self {
         Self { uploads: Uploads::new(store), ..self }
     }
 
-    /// Whether a request of this id has no answer yet.
+    /// Whether a request with this id has no answer yet.
     pub fn is_open(&self, id: &RequestId) -> bool {
         self.open_requests.contains_key(id)
     }
 
-    /// Reports a request to the core. `connection` is the one that it came by.
+    /// Submits a request that was received on `connection` to the core.
     pub fn submit(&mut self, connection: Token, request: Request) {
         self.open_requests.insert(request.id.clone(), connection);
         self.events.push_back(ListenerEvent::Request(request));
     }
 
-    /// Reports that the client of an open request has gone.
+    /// Reports to the core that an open request no longer has a client.
     pub fn report_client_gone(&mut self, id: RequestId) {
         self.open_requests.remove(&id);
         self.events.push_back(ListenerEvent::ClientGone(id));
     }
 
-    /// Reports that a call of the class at this position was rejected before it became a request.
+    /// Reports to the core that a request of a class was rejected before it was submitted.
     pub fn report_rejected(&mut self, class: usize) {
         self.events.push_back(ListenerEvent::Rejected(class));
     }
 
-    /// A connection is being closed: the client has a while to read its answer. Returns the connection's deadline.
+    /// Gives a connection that is being closed `linger_timeout` for its client to read the answer. Returns
+    /// the connection's deadline.
     pub fn begin_linger(&mut self, now: Time, connection: Token) -> Time {
         let deadline = now + self.limits.clients.linger_timeout;
         self.schedule_check(deadline, connection);
         deadline
     }
 
-    /// Has the deadline of a connection checked at that time.
+    /// Schedules a check of a connection's deadline.
     pub fn schedule_check(&mut self, at: Time, connection: Token) {
         self.timers.set(at, connection);
     }
--- a/src/listener/server/uploads.rs
+++ b/src/listener/server/uploads.rs
@@ -1,4 +1,4 @@
-//! Bodies that arrive by the connections of a listener and go into the body store.
+//! Bodies that the connections of a listener receive into the body store.
 
 use super::{ClientConnection, Server};
 use crate::body_store;
@@ -9,78 +9,78 @@
 
 /// The uploads of one listener.
 pub struct Uploads {
-    /// The body store, where the deployment has one.
+    /// The body store, if the deployment has one.
     store: Option<body_store::SharedBodyStore>,
-    /// The connection that the body store's reports of a body are for.
+    /// The connection that receives the body store's events of a body.
     receivers: HashMap<BodyId, Token>,
-    /// Bodies that are arriving.
+    /// Number of bodies that are being received.
     open_count: usize,
-    /// From this time no upload is accepted any more: the process is about to end.
+    /// When uploads stop being accepted, because the process is about to end.
     cutoff: Time,
 }
 
 impl Uploads {
-    /// No uploads yet, into this body store.
+    /// Creates the state without uploads. `store` receives the bodies of later ones.
     pub fn new(store: Option<body_store::SharedBodyStore>) -> Self {
         Self { store, receivers: HashMap::new(), open_count: 0, cutoff: Time::INFINITY }
     }
 
-    /// The body store, where the deployment has one.
+    /// The body store, if the deployment has one.
     pub fn store(&self) -> Option<&body_store::SharedBodyStore> {
         self.store.as_ref()
     }
 
-    /// Whether an upload may begin now.
+    /// Whether new uploads are accepted.
     pub fn are_accepted(&self, now: Time) -> bool {
         now < self.cutoff
     }
 
-    /// A body begins to arrive.
+    /// Counts a body whose upload starts.
     pub fn begin(&mut self) {
         self.open_count += 1;
     }
 
-    /// A body arrives no more.
+    /// Uncounts a body whose upload has ended.
     pub fn end(&mut self) {
         self.open_count -= 1;
     }
 
-    /// Whether no body is arriving.
+    /// Whether no body is being received.
     pub(super) fn is_idle(&self) -> bool {
         self.open_count == 0
     }
 
-    /// Has the body store's reports of a body handed to a connection.
+    /// Sends the body store's events of a body to a connection.
     pub fn add_receiver(&mut self, body: BodyId, connection: Token) {
         self.receivers.insert(body, connection);
     }
 
-    /// The body store's reports of a body are of no more use.
+    /// Ignores the body store's events of a body from now on.
     pub fn remove_receiver(&mut self, body: BodyId) {
         self.receivers.remove(&body);
     }
 }
 
-/// A connection by which bodies for the body store arrive.
+/// A connection that receives bodies into the body store.
 pub trait UploadConnection: ClientConnection {
-    /// The body store reports a change of a body.
+    /// Handles an event of the body store about a body.
     fn on_body_change(
         &mut self,
         now: Time,
         body: BodyId,
-        wake: &BodyEvent,
+        event: &BodyEvent,
         shared: &mut Self::Shared,
     ) -> Flow;
 }
 
 impl<C: UploadConnection> Server<C> {
-    /// The body store reports a change of a body: lets the connection by which it arrives go on.
-    pub fn on_body_change(&mut self, now: Time, body: BodyId, wake: &BodyEvent) {
+    /// Dispatches an event of the body store to the connection that receives the body.
+    pub fn on_body_change(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
         let Some(token) = self.state().uploads.receivers.get(&body).copied() else { return };
-        self.reply(now, token, |connection, shared| connection.on_body_change(now, body, wake, shared));
+        self.reply(now, token, |connection, shared| connection.on_body_change(now, body, event, shared));
     }
 
-    /// From that time no upload is accepted any more.
+    /// Accepts no new uploads from `at` on.
     pub fn set_upload_cutoff(&mut self, at: Time) {
         self.state().uploads.cutoff = at;
     }
--- a/src/listener/sql.rs
+++ b/src/listener/sql.rs
@@ -1,32 +1,32 @@
-//! What the coordinator reads in a statement: its table group, its parameters, its first words, its hints. It knows no more
-//! of SQL than where strings and comments begin and end.
+//! Extracts what the coordinator needs from a statement: its table group, parameters, first words and hints.
+//! It is not a parser: of SQL's syntax it only knows where strings and comments start and end.
 
-/// Schemas with this name before the underscore belong to no table group.
+/// Schemas with this name before the last underscore belong to no table group.
 const UNGROUPED_SCHEMA: &str = "staging";
-/// What stands after these words is a table, and not a column.
+/// Keywords that are followed by a table, not by a column.
 const TABLE_KEYWORDS: &[&str] = &["from", "join", "into", "update", "table"];
-/// The first word of comments that hold hints for the coordinator.
-const HINT_MARK: &str = "dahliaspoke";
-/// The optimizer hint with the time limit (ms), in lower case.
+/// The first word of a comment with hints for the coordinator.
+const HINT_PREFIX: &str = "dahliaspoke";
+/// The optimizer hint for the time limit (ms), in lower case.
 const TIME_LIMIT_HINT: &str = "max_execution_time(";
 
-/// A part of a statement that matters here.
+/// A token of a statement, as far as this module distinguishes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Token<'a> {
     /// A keyword, or the name of a schema, a table or a column.
     Name(&'a str),
     Dot,
-    /// A parameter of a statement that is to be prepared.
+    /// A placeholder (`?`) for a parameter of a prepared statement.
     Parameter,
     Other,
 }
 
-/// What stands in a statement's hints.
+/// Hints in the comments of a statement.
 #[derive(Debug, Default, PartialEq)]
 pub struct Hints {
     /// How long the client waits (ms): `MAX_EXECUTION_TIME(n)` in an optimizer hint.
     pub deadline_ms: Option<f64>,
-    /// The idempotency key: `key=` in a comment that begins with `dahliaspoke`, as the following ones.
+    /// The idempotency key: `key=` in a comment that starts with `dahliaspoke`, like the fields below.
     pub key: Option<String>,
     /// Estimated work (ms of one thread).
     pub estimate_ms: Option<f64>,
@@ -39,7 +39,7 @@
         if let Some(hint) = comment.strip_prefix('+') {
             self.deadline_ms = time_limit(hint).or(self.deadline_ms);
         }
-        if let Some(fields) = comment.trim().strip_prefix(HINT_MARK) {
+        if let Some(fields) = comment.trim().strip_prefix(HINT_PREFIX) {
             for (name, value) in fields.split_whitespace().filter_map(|field| field.split_once('=')) {
                 self.read_field(name, value);
             }
@@ -62,12 +62,12 @@
     rest.split(')').next()?.trim().parse().ok()
 }
 
-/// How many parameters a statement has that is to be prepared.
+/// The number of parameter placeholders in a statement.
 pub fn parameter_count(statement: &str) -> usize {
     Tokenizer::new(statement).filter(|token| *token == Token::Parameter).count()
 }
 
-/// The first words of a statement, in lower case and without comments; at most `max_count`.
+/// The first words of a statement, at most `max_count`, in lower case and without comments.
 pub fn first_words(statement: &str, max_count: usize) -> Vec<String> {
     let names = Tokenizer::new(statement).map_while(|token| match token {
         Token::Name(name) => Some(name.to_ascii_lowercase()),
@@ -106,7 +106,7 @@
             continue;
         }
         let Some(group) = schema_group(name) else { continue };
-        // An alias before a column may look like a schema.
+        // A qualifier elsewhere may be a table alias before a column that only looks like a schema.
         if previous.is_some_and(is_table_keyword) {
             return Some(group);
         }
@@ -129,9 +129,9 @@
     number.parse().ok()
 }
 
-/// Splits a statement into tokens, and collects its comments in `/* */`.
+/// Splits a statement into tokens, and collects its `/* */` comments.
 struct Tokenizer<'a> {
-    /// What is not read yet.
+    /// The part of the statement that has not been read.
     rest: &'a str,
     comments: Vec<&'a str>,
 }
@@ -157,14 +157,14 @@
         }
     }
 
-    /// Advances by so many bytes, and returns them.
+    /// Advances by `length` bytes, and returns them.
     fn advance(&mut self, length: usize) -> &'a str {
-        let (taken, rest) = self.rest.split_at(length);
+        let (consumed, rest) = self.rest.split_at(length);
         self.rest = rest;
-        taken
+        consumed
     }
 
-    /// Reads a word, or one character that is no part of a word, so that each step makes progress.
+    /// Reads a word, or a single character that is not part of a word, so that each call makes progress.
     fn read_word(&mut self) -> &'a str {
         let is_word = |character: char| character.is_alphanumeric() || character == '_' || character == '$';
         let length = self.rest.find(|character| !is_word(character)).unwrap_or(self.rest.len());
@@ -184,7 +184,8 @@
                 self.advance(quoted_length(self.rest.as_bytes(), Escapes::Backslash));
                 Token::Other
             }
-            // Double quotes hold a name where a dot is next to it, else a string.
+            // Double quotes enclose a name if a dot is next to it, otherwise a string; both become names
+            // here.
             b'`' | b'"' => {
                 let quoted = self.advance(quoted_length(self.rest.as_bytes(), Escapes::None));
                 Token::Name(quoted.trim_matches(first as char))
@@ -203,14 +204,14 @@
     }
 }
 
-/// Whether a backslash in quoted text makes the next byte stand for itself.
+/// Whether a backslash escapes the next byte in quoted text.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Escapes {
     Backslash,
     None,
 }
 
-/// Bytes of the quoted text at the start, with its quotes; a doubled quote stands for itself.
+/// Length of the quoted text at the start, including its quotes (bytes). A doubled quote is an escaped quote.
 fn quoted_length(text: &[u8], escapes: Escapes) -> usize {
     let quote = text[0];
     let mut index = 1;
