--- a/src/listener/mysql/large/parameters.rs
+++ b/src/listener/mysql/large/parameters.rs
@@ -104,7 +104,7 @@
         shared.state.uploads.begin();
     }
 
-    /// Drops the long data of a statement.
+    /// Drops the long data of a statement that will not be executed with it.
     pub fn drop_parameters(&mut self, statement: u32, shared: &mut Shared) {
         self.parameters.retain(|id, value| {
             if id.statement != statement {
@@ -154,7 +154,8 @@
         return LongValue::Lost;
     };
     shared.state.uploads.add_receiver(body.id(), session);
-    // The value is at most as large as the inline limit, which is the capacity that an open body starts with.
+    // The value is no larger than the limit in memory, which is the initial capacity of a body of unknown
+    // length.
     store.borrow_mut().capacity(body.id());
     store.borrow_mut().append(now, body.id(), buffered);
     LongValue::Stored(body)
--- a/src/mysql/config.rs
+++ b/src/mysql/config.rs
@@ -1,4 +1,4 @@
-//! The file that switches the `MySQL` listener and its upstream on: `deploy/mysql.toml`.
+//! `deploy/mysql.toml`, the file that enables the `MySQL` listener and its upstream.
 
 use crate::config::{self, ConfigError};
 use dahliaspoke::policy::Settings;
@@ -7,29 +7,29 @@
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// The file, relative to the daemon's working directory.
+/// Path of the file, relative to the daemon's working directory.
 pub const FILE: &str = "deploy/mysql.toml";
 
-/// Bytes of a stored hash; an account without a password has none.
+/// Length of a stored hash (bytes); that of an account without a password is empty.
 const HASH_BYTES: usize = 32;
 const HEX_RADIX: u32 = 16;
 
-/// Why the file was not accepted.
+/// Why the file was rejected.
 #[derive(Debug, Error)]
 pub enum MysqlConfigError {
-    /// It cannot be read or parsed.
+    /// The file cannot be read or parsed.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It names a class that the settings do not have.
+    /// The file names a class that does not exist in the settings.
     #[error("{FILE}: no class is called {name}")]
     UnknownClass {
-        /// The class.
+        /// The name of the class.
         name: String,
     },
-    /// The hash of an account's password is not hex, or has a wrong length.
+    /// The hash of an account's password is not hex, or has the wrong length.
     #[error("{FILE}: the hash of account {account} is not 64 hex digits")]
     InvalidHash {
-        /// The account.
+        /// The name of the account.
         account: String,
     },
 }
@@ -40,49 +40,49 @@
 pub struct Mysql {
     /// The address of the listener.
     pub listen: SocketAddr,
-    /// How engines are reached.
+    /// How to connect to engines.
     pub engine: Engine,
-    /// Accounts by name: hex of the double SHA-256 of the password, empty for none.
+    /// The hash of each account's password by account name: the double SHA-256 in hex, empty for no password.
     pub accounts: BTreeMap<String, String>,
-    /// Classes of statements; the first rule that fits counts.
+    /// Rules that assign statements to classes; the first match applies.
     #[serde(rename = "statement")]
     pub statement_rules: Vec<Rule>,
-    /// Defaults by the name of a class.
+    /// Defaults by class name.
     #[serde(default, rename = "class")]
     pub class_defaults: BTreeMap<String, Defaults>,
 }
 
-/// How engines are reached.
+/// How to connect to engines.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// The port, at the address that discovery reports.
+    /// The port, on the address that discovery reports.
     pub port: u16,
-    /// The account at engines.
+    /// The account on the engines.
     pub user: String,
-    /// Its password; empty for none.
+    /// The account's password; empty for none.
     #[serde(default)]
     pub password: String,
-    /// Addresses of engines that are reached otherwise, by engine id.
+    /// Addresses that override the discovered one, by engine id.
     #[serde(default)]
     pub addresses: BTreeMap<String, SocketAddr>,
 }
 
-/// Puts statements into a class, by their first words and a text that they contain. Upper and lower case are the same.
+/// Assigns statements to a class by their first words and a text that they contain, ignoring case.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// The first words.
     #[serde(rename = "starts")]
     pub prefix: String,
-    /// A text in the statement; empty for any.
+    /// A text that the statement must contain; empty matches any statement.
     #[serde(default, rename = "holds")]
     pub contains: String,
     /// The name of the class.
     pub class: String,
 }
 
-/// What a statement of a class has without hints.
+/// Values of a class that apply to statements without the corresponding hint.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Defaults {
@@ -95,10 +95,10 @@
 }
 
 impl Mysql {
-    /// Reads the file; `None` if it is absent: listener and upstream are off then.
+    /// Reads the file; `None` if it is absent, which disables listener and upstream.
     ///
     /// # Errors
-    /// The file cannot be read or parsed, or its classes or hashes are wrong.
+    /// The file cannot be read or parsed, or contains an unknown class or an invalid hash.
     pub fn from_file(settings: &Settings) -> Result<Option<Self>, MysqlConfigError> {
         let Some(mysql) = config::read_optional::<Self>(FILE)? else { return Ok(None) };
         mysql.check_classes(settings)?;
@@ -108,8 +108,8 @@
 
     fn check_classes(&self, settings: &Settings) -> Result<(), MysqlConfigError> {
         let is_known = |name: &String| settings.classes.iter().any(|class| class.name == *name);
-        let of_rules = self.statement_rules.iter().map(|rule| &rule.class);
-        match of_rules.chain(self.class_defaults.keys()).find(|name| !is_known(name)) {
+        let rule_classes = self.statement_rules.iter().map(|rule| &rule.class);
+        match rule_classes.chain(self.class_defaults.keys()).find(|name| !is_known(name)) {
             Some(name) => Err(MysqlConfigError::UnknownClass { name: name.clone() }),
             None => Ok(()),
         }
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// The stored hash of an account; empty if it has no password.
+    /// The stored hash of an account, empty if it has no password; `None` if the account does not exist.
     pub fn account(&self, name: &str) -> Option<Vec<u8>> {
         self.accounts.get(name).and_then(|hash| decode_hex(hash))
     }
--- a/src/mysql/mod.rs
+++ b/src/mysql/mod.rs
@@ -1,5 +1,5 @@
-//! What the listener and the upstream of the `MySQL` client/server protocol share: packets, values, authentication, and the
-//! file that switches both on.
+//! The parts of the `MySQL` client/server protocol that the listener and the upstream share: packets, values,
+//! authentication, and the file that enables both.
 
 pub mod auth;
 pub mod config;
--- a/src/mysql/packet.rs
+++ b/src/mysql/packet.rs
@@ -1,32 +1,32 @@
 //! Packets of the `MySQL` client/server protocol (4.1 and later), and the values in them.
 
-/// The bytes are no packet of the kind that is due.
+/// The bytes are not a packet of the expected kind.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// A result of reading bytes that may be malformed.
+/// The result of decoding bytes that may be malformed.
 pub type Res<T> = Result<T, Malformed>;
 
-/// Capabilities, as bits of the flags in greeting and login. Results end with EOF packets towards clients and engines, so that
-/// what an engine answers can be forwarded as it is.
+/// Capability flags in greeting and login. Results end with EOF packets towards both clients and engines, so
+/// that an engine's response can be forwarded unchanged.
 pub mod capability {
-    /// Passwords of the present form.
+    /// The current password format.
     pub const LONG_PASSWORD: u32 = 1;
-    /// Column flags of two bytes.
+    /// Column flags are two bytes long.
     pub const LONG_FLAG: u32 = 1 << 2;
     /// The login names a default schema.
     pub const CONNECT_WITH_DB: u32 = 1 << 3;
-    /// The protocol since 4.1.
+    /// The protocol of version 4.1 and later.
     pub const PROTOCOL_41: u32 = 1 << 9;
-    /// Status flags in answers.
+    /// Responses contain status flags.
     pub const TRANSACTIONS: u32 = 1 << 13;
-    /// Authentication by a challenge.
+    /// Challenge-response authentication.
     pub const SECURE_CONNECTION: u32 = 1 << 15;
     /// The login names an authentication plugin.
     pub const PLUGIN_AUTH: u32 = 1 << 19;
     /// The response in the login has a length-encoded length.
     pub const PLUGIN_AUTH_LENENC: u32 = 1 << 21;
-    /// Those that both sides here always name.
+    /// The capabilities that both the listener and the upstream always set.
     pub const COMMON: u32 =
         LONG_PASSWORD | LONG_FLAG | PROTOCOL_41 | TRANSACTIONS | SECURE_CONNECTION | PLUGIN_AUTH;
 }
@@ -35,62 +35,63 @@
 pub mod command {
     /// Ends the session.
     pub const QUIT: u8 = 0x01;
-    /// Runs a statement in text.
+    /// Runs a statement given as text.
     pub const QUERY: u8 = 0x03;
-    /// Asks for an answer, and nothing else.
+    /// Checks that the server responds.
     pub const PING: u8 = 0x0e;
     /// Prepares a statement.
     pub const PREPARE: u8 = 0x16;
     /// Runs a prepared statement.
     pub const EXECUTE: u8 = 0x17;
-    /// Sends a part of a parameter ahead of an execution.
+    /// Sends a part of a parameter ahead of the execution.
     pub const LONG_DATA: u8 = 0x18;
-    /// Forgets a prepared statement.
+    /// Closes a prepared statement.
     pub const CLOSE: u8 = 0x19;
-    /// Forgets the parameters that were sent ahead.
+    /// Discards the long data of a prepared statement.
     pub const RESET: u8 = 0x1a;
 }
 
 /// Types of values.
 pub mod value_type {
-    /// Has no bytes.
+    /// NULL, which has no value bytes.
     pub const NULL: u8 = 0x06;
-    /// A text of variable length.
+    /// Text of variable length.
     pub const VAR_STRING: u8 = 0xfd;
 }
 
-/// The first byte of an answer without rows.
+/// The first byte of a response without rows.
 pub const OK: u8 = 0x00;
-/// The first byte of a further step of the authentication.
+/// The first byte of a packet with more authentication data.
 pub const AUTH_MORE_DATA: u8 = 0x01;
-/// The first byte of what ends columns or rows, and of a request to switch the authentication plugin.
+/// The first byte of the packet that ends columns or rows, and of a request to switch the authentication
+/// plugin.
 pub const EOF: u8 = 0xfe;
 /// The first byte of an error.
 pub const ERR: u8 = 0xff;
 
-/// The number of the collation `utf8mb4_general_ci`.
+/// The id of the collation `utf8mb4_general_ci`.
 pub const CHARSET: u8 = 45;
 /// Status flag: the session commits each statement by itself.
 pub const AUTOCOMMIT: u16 = 2;
 /// Status flag: another result follows.
 pub const MORE_RESULTS: u16 = 8;
 
-/// Bytes of a packet's header: three of the payload's length, and the sequence number.
+/// Length of a packet's header (bytes): three bytes for the payload's length, one for the sequence number.
 pub const HEADER_BYTES: usize = 4;
-/// A payload of this length (bytes) goes on in the next packet.
+/// Maximum payload of a packet (bytes). A payload of at least this length continues in the next packet.
 pub const MAX_PACKET_PAYLOAD: usize = 0xff_ff_ff;
 
 /// A packet's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketHeader {
-    /// Bytes of its payload.
+    /// Length of the payload (bytes).
     pub length: usize,
-    /// Its sequence number.
+    /// The sequence number.
     pub sequence: u8,
 }
 
 impl PacketHeader {
-    /// The header at the start of the input, once all of it is here.
+    /// Decodes the header at the start of the input; `None` if it is incomplete.
     pub fn decode(input: &[u8]) -> Option<Self> {
         let bytes = input.get(..HEADER_BYTES)?;
         let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], 0]) as usize;
@@ -98,21 +99,21 @@
     }
 }
 
-/// A packet that was decoded.
+/// A decoded packet.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
-    /// Its sequence number.
+    /// The sequence number.
     pub sequence: u8,
-    /// Its payload.
+    /// The payload.
     pub payload: &'a [u8],
-    /// Bytes of header and payload.
+    /// Length of header and payload (bytes).
     pub length: usize,
 }
 
-/// Decodes the packet at the start of the input, once all of it is here.
+/// Decodes the packet at the start of the input; `None` if it is incomplete.
 ///
 /// # Errors
-/// Its payload is longer than `max_length` (bytes), or goes on in the next packet.
+/// The payload is longer than `max_length` (bytes), or continues in the next packet.
 pub fn decode(input: &[u8], max_length: usize) -> Result<Option<Packet<'_>>, Malformed> {
     let Some(header) = PacketHeader::decode(input) else { return Ok(None) };
     if header.length > max_length.min(MAX_PACKET_PAYLOAD - 1) {
@@ -123,7 +124,7 @@
     Ok(payload.map(|payload| Packet { sequence: header.sequence, payload, length }))
 }
 
-/// [`decode`] with a tuple of sequence number, payload and length, for callers that are not changed yet.
+/// [`decode`], with the packet as a tuple of sequence number, payload and length.
 ///
 /// # Errors
 /// As [`decode`].
@@ -140,24 +141,24 @@
     out
 }
 
-/// Reads values off the front of a payload; it holds the rest.
+/// Reads values from the start of a payload. The field is the part that has not been read.
 pub struct Reader<'a>(pub &'a [u8]);
 
 impl<'a> Reader<'a> {
-    /// Takes so many bytes.
+    /// Reads `count` bytes.
     ///
     /// # Errors
-    /// There are fewer.
+    /// There are fewer bytes.
     pub fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
         if count > self.0.len() {
             return Err(Malformed);
         }
-        let (taken, rest) = self.0.split_at(count);
+        let (consumed, rest) = self.0.split_at(count);
         self.0 = rest;
-        Ok(taken)
+        Ok(consumed)
     }
 
-    /// Takes a number of so many bytes, the least significant first.
+    /// Reads a little-endian integer of `bytes` bytes.
     ///
     /// # Errors
     /// There are fewer bytes.
@@ -165,10 +166,10 @@
         Ok(self.read_bytes(bytes)?.iter().rev().fold(0, |number, byte| number << 8 | u64::from(*byte)))
     }
 
-    /// Takes a length-encoded number.
+    /// Reads a length-encoded integer.
     ///
     /// # Errors
-    /// It is not complete, or no number.
+    /// The integer is incomplete, or its first byte is invalid.
     pub fn length(&mut self) -> Result<usize, Malformed> {
         let first = self.number(1)?;
         let bytes = match first {
@@ -181,7 +182,7 @@
         usize::try_from(self.number(bytes)?).map_err(|_| Malformed)
     }
 
-    /// Takes a text that a zero byte ends.
+    /// Reads a zero-terminated text.
     ///
     /// # Errors
     /// The zero byte is missing, or the text is not UTF-8.
@@ -205,7 +206,7 @@
     out.extend_from_slice(text);
 }
 
-/// The payload of an answer without rows.
+/// The payload of a response without rows.
 pub fn ok() -> Vec<u8> {
     let mut out = vec![OK, 0, 0];
     out.extend_from_slice(&AUTOCOMMIT.to_le_bytes());
@@ -220,7 +221,7 @@
     out
 }
 
-/// The payload of an error with its documented number and SQL state.
+/// The payload of an error with this code and SQL state.
 pub fn error(number: u16, sql_state: &str, message: &str) -> Vec<u8> {
     let mut out = vec![ERR];
     out.extend_from_slice(&number.to_le_bytes());
@@ -230,7 +231,7 @@
     out
 }
 
-/// The number in an error's payload.
+/// The code in an error's payload.
 ///
 /// # Errors
 /// The payload is too short.
@@ -240,7 +241,7 @@
     Ok(reader.number(2)? as u16)
 }
 
-/// Whether a payload ends columns or rows.
+/// Whether a payload is one that ends columns or rows.
 pub fn is_eof(payload: &[u8]) -> bool {
     payload.first() == Some(&EOF) && payload.len() <= 5
 }
@@ -255,20 +256,20 @@
     out
 }
 
-/// How long a value of an execution is.
+/// The length of a value in an execution, and of its length prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ValueExtent {
-    /// Bytes ahead of the value that say its length.
+    /// Length of the length prefix before the value (bytes).
     pub prefix: usize,
-    /// Bytes of the value.
+    /// Length of the value (bytes).
     pub length: usize,
 }
 
 impl ValueExtent {
-    /// The extent of the value at the start of the bytes; `None` while not all that says its length is here.
+    /// Decodes the extent of the value at the start of the bytes; `None` if its length prefix is incomplete.
     ///
     /// # Errors
-    /// The type is unknown, or the length is no number.
+    /// The type is unknown, or the length prefix is invalid.
     pub fn decode(bytes: &[u8], value_type: u8) -> Result<Option<Self>, Malformed> {
         let fixed = |length| Ok(Some(Self { prefix: 0, length }));
         match (value_type, bytes.first()) {
@@ -299,10 +300,10 @@
     }
 }
 
-/// Takes a value of an execution, by its type.
+/// Reads a value in an execution, which is encoded according to its type.
 ///
 /// # Errors
-/// It is not complete, or the type is unknown.
+/// The value is incomplete, or the type is unknown.
 pub fn value<'a>(reader: &mut Reader<'a>, value_type: u8) -> Result<&'a [u8], Malformed> {
     let extent = ValueExtent::decode(reader.0, value_type)?.ok_or(Malformed)?;
     reader.read_bytes(extent.prefix)?;
--- a/src/mysql/payload.rs
+++ b/src/mysql/payload.rs
@@ -1,10 +1,10 @@
-//! A payload that is sent in pieces, cut into packets.
+//! Splits a payload that is sent in pieces into packets.
 
 use super::packet::MAX_PACKET_PAYLOAD;
 
 /// The rest of a payload whose length is known.
 pub struct Payload {
-    /// Bytes that the current packet still takes.
+    /// Bytes of the current packet that have not been appended.
     pub packet: usize,
     /// What follows the current packet.
     following: Following,
@@ -14,21 +14,22 @@
 /// What follows the current packet.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Following {
-    /// So many bytes of the payload; nothing if there are none.
+    /// This many more bytes of the payload; nothing if 0.
     Bytes(usize),
-    /// An empty packet: one that is full goes on in another, though nothing is left.
+    /// An empty packet: the current one has the maximum length, so another must follow even though no bytes
+    /// are left.
     EmptyPacket,
 }
 
 impl Payload {
-    /// Begins the first packet of a payload of `length` bytes; its header is appended to `out`.
+    /// Starts the first packet of a payload of `length` bytes, and appends its header to `out`.
     pub fn open(length: usize, out: &mut Vec<u8>) -> Self {
         let mut payload = Self { packet: 0, following: Following::Bytes(length), sequence: 0 };
         payload.begin_packet(length, out);
         payload
     }
 
-    /// Begins the next packet; `remaining` bytes of the payload are left.
+    /// Starts the next packet, with `remaining` bytes of the payload left, and appends its header to `out`.
     fn begin_packet(&mut self, remaining: usize, out: &mut Vec<u8>) {
         self.packet = remaining.min(MAX_PACKET_PAYLOAD);
         let following = remaining - self.packet;
@@ -42,7 +43,7 @@
         };
     }
 
-    /// Appends bytes of the payload to `out`, with a header wherever a packet begins.
+    /// Appends bytes of the payload to `out`, with a header at the start of each packet.
     pub fn put(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) {
         loop {
             let (current, rest) = bytes.split_at(bytes.len().min(self.packet));
