--- a/src/listener/http/codec/decode.rs
+++ b/src/listener/http/codec/decode.rs
@@ -120,8 +120,7 @@
         self.header("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
     }
 
-    /// Whether the version and the `Connection` field ask for the connection to remain open after the
-    /// response.
+    /// Whether the connection remains open after the response, by the version and the `Connection` field.
     fn wants_keep_alive(&self, version: Version) -> bool {
         let Some(connection) = self.header("Connection") else { return version == Version::Http11 };
         let has_option =
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -30,8 +30,7 @@
     utf8: Utf8Checker,
     /// When all of the body must have arrived.
     deadline: Time,
-    /// When the last byte arrived. The client's timeout runs from then, not from when the body is written to
-    /// disk.
+    /// When the last byte arrived. The client's timeout runs from then, however long writing to disk takes.
     completed_at: Option<Time>,
     /// The body is passed through to the engine as it arrives instead of being stored.
     passed_through: bool,
@@ -187,8 +186,7 @@
         Flow::Open
     }
 
-    /// Submits the request of a body. `uploading`: the body is passed through, and the rest may still have to
-    /// arrive.
+    /// Submits the request of a body. `uploading`: the body is passed through and may still be arriving.
     fn submit_upload(&mut self, now: Time, uploading: bool, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
         // Another client may have submitted a request with the same id in the meantime.
--- a/src/listener/mysql/answer.rs
+++ b/src/listener/mysql/answer.rs
@@ -3,8 +3,7 @@
 use super::error::{code, sql_state, MysqlError};
 use crate::core::Answer;
 
-/// The payloads of an answer. `is_late`: the request's deadline has passed, so any failure is reported as a
-/// timeout.
+/// The payloads of an answer. `is_late`: the deadline is reached, so any failure is reported as a timeout.
 pub fn encode_answer(answer: Answer, is_late: bool) -> Vec<Vec<u8>> {
     let error = match answer {
         Answer::Served(payloads) => return payloads,
--- a/src/listener/mysql/large/begin.rs
+++ b/src/listener/mysql/large/begin.rs
@@ -81,8 +81,7 @@
         self.receive_large(now, shared)
     }
 
-    /// Chooses the destination of a payload from its start, and determines how much of the start that
-    /// consumes.
+    /// Chooses the destination of a payload from its start. Returns it with the length of what it consumed.
     fn choose_destination(
         &mut self,
         now: Time,
--- a/src/listener/mysql/large/parameters.rs
+++ b/src/listener/mysql/large/parameters.rs
@@ -91,8 +91,7 @@
         accepted
     }
 
-    /// Returns the rest of a part to the input until the body store has capacity. Input after it waits as
-    /// well.
+    /// Returns the rest of a part to the input until the body store has capacity. Later input waits too.
     pub fn defer_long_data(&mut self, id: ParameterId, rest: &[u8], shared: &mut Shared) {
         self.stream.input.splice(..0, rest.iter().copied());
         self.state = SessionState::Receiving(LargePayload {
--- a/src/listener/sql.rs
+++ b/src/listener/sql.rs
@@ -184,8 +184,7 @@
                 self.advance(quoted_length(self.rest.as_bytes(), Escapes::Backslash));
                 Token::Other
             }
-            // Double quotes enclose a name if a dot is next to it, otherwise a string; both become names
-            // here.
+            // Double quotes enclose a name next to a dot, otherwise a string; both become names here.
             b'`' | b'"' => {
                 let quoted = self.advance(quoted_length(self.rest.as_bytes(), Escapes::None));
                 Token::Name(quoted.trim_matches(first as char))
