--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -9,35 +9,35 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where a member listens.
+    /// The address that a member listens on.
     pub listen: Option<SocketAddr>,
-    /// The folder of a member's log; without it this daemon is a watcher.
+    /// The folder of a member's log; if it is not set, this daemon is a watcher.
     pub folder: Option<PathBuf>,
-    /// Where others reach this member; without it, where it listens.
+    /// The address at which other members reach this one; by default, the one it listens on.
     pub address: Option<String>,
-    /// The members, by name, and where they are reached from here.
+    /// The members' addresses, as reachable from this daemon, by name.
     #[serde(default)]
     pub peers: BTreeMap<String, SocketAddr>,
-    /// How many connections of members, operators and watchers may be open at once.
+    /// Maximum number of open connections from members, operators and watchers.
     pub connections: Option<usize>,
 }
 
-/// Why the keys of a configuration file do not fit together.
+/// Why a configuration file is inconsistent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A member has nowhere to listen.
-    #[error("listen: a member with a folder needs it")]
+    /// A member has no address to listen on.
+    #[error("listen: required for a member (`folder` is set)")]
     MemberWithoutListen,
     /// A watcher has no member to watch.
-    #[error("peers: one that watches needs a member to watch")]
+    #[error("peers: a watcher (no `folder`) needs at least one member to watch")]
     WatcherWithoutPeers,
 }
 
 impl Config {
-    /// Checks the keys against each other.
+    /// Checks that the configuration is consistent.
     ///
     /// # Errors
-    /// With the key that is missing.
+    /// Names the missing key.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.folder.is_some() && self.listen.is_none() {
             return Err(ConfigError::MemberWithoutListen);
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -9,21 +9,21 @@
 /// Why the store cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The keys of the configuration file do not fit together.
+    /// The configuration file is inconsistent.
     #[error("{file}: {0}", file = CONFIG_FILE)]
     Config(#[from] ConfigError),
-    /// The member cannot listen where the file says.
+    /// The member cannot listen on the configured address.
     #[error("{file}: listen {address}: {error}", file = CONFIG_FILE)]
     Listen {
-        /// The file's `listen`.
+        /// The address configured as `listen`.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         error: io::Error,
     },
     /// The member's log cannot be opened.
     #[error("{file}: folder {0}", file = CONFIG_FILE)]
     Replica(#[from] OpenError),
-    /// The event loop cannot wait for the log's writer.
+    /// The log writer's waker cannot be registered with the event loop's poller.
     #[error("epoll: {0}")]
     Poller(io::Error),
 }
--- a/src/store/member/connections.rs
+++ b/src/store/member/connections.rs
@@ -8,69 +8,69 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A request, and the connection that it came from.
+/// A request, and the connection that received it.
 pub struct ReceivedRequest {
     /// The connection.
     pub connection: Token,
-    /// The request, or why it is none.
+    /// The request, or why it could not be decoded.
     pub request: Result<Request, DecodeError>,
 }
 
-/// One connection, whoever opened it.
+/// One connection, opened by either end.
 struct MemberConnection {
     channel: BufferedStream,
     token: Token,
 }
 
-/// All connections of a member, with the requests that they have received.
+/// All connections of a member, and the requests received on them.
 pub struct Connections {
     slab: ConnectionSlab<MemberConnection>,
     received: VecDeque<ReceivedRequest>,
-    /// A connection with more bytes unsent is closed.
+    /// A connection with more unsent bytes than this is closed.
     max_unsent_bytes: usize,
 }
 
 impl Connections {
-    /// No connections yet; `owner` is the store's number as an event handler.
+    /// No connections yet. `owner` is the store's event-handler number.
     pub fn new(owner: u8, poller: Rc<Poller>, max_unsent_bytes: usize) -> Self {
         Self { slab: ConnectionSlab::new(owner, poller), received: VecDeque::new(), max_unsent_bytes }
     }
 
-    /// How many are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.slab.len()
     }
 
-    /// Whether this one is open.
+    /// Whether the connection is still open.
     pub fn is_open(&mut self, connection: Token) -> bool {
         self.slab.get(connection).is_some()
     }
 
-    /// Adds a stream; `None` where it cannot be polled, and it is closed.
+    /// Adds a stream. Returns `None`, and closes the stream, if it cannot be registered with the poller.
     pub fn add(&mut self, channel: BufferedStream) -> Option<Token> {
         self.slab.add(|token| Some(MemberConnection { channel, token })).ok()?
     }
 
-    /// Begins to connect; `greeting` is sent first.
+    /// Starts to connect to a peer; `greeting` is sent first.
     pub fn connect(&mut self, address: SocketAddr, greeting: Vec<u8>) -> Option<Token> {
         let mut channel = BufferedStream::connect(address).ok()?;
         channel.push(greeting);
         self.add(channel)
     }
 
-    /// Sends bytes. A connection whose peer reads nothing is closed.
+    /// Sends bytes, or closes the connection if it has too many unsent bytes already: its peer is not reading.
     pub fn send(&mut self, now: Time, connection: Token, bytes: Vec<u8>) {
         self.send_shared(now, connection, Arc::new(bytes));
     }
 
-    /// The same for bytes that several connections send.
+    /// Like [`Self::send`], for bytes that are sent on several connections.
     pub fn send_shared(&mut self, now: Time, connection: Token, bytes: Arc<Vec<u8>>) {
         let Some(open) = self.slab.get(connection) else { return };
         if open.channel.queued() > self.max_unsent_bytes {
             tracing::info!(
                 at = now,
                 part = "store",
-                "a connection that reads nothing is closed; it may begin anew"
+                "closing a connection whose peer does not read; the peer may reconnect"
             );
             return self.slab.close(now, connection, &mut self.received);
         }
@@ -78,7 +78,7 @@
         self.slab.settle(now, connection, Flow::Open, &mut self.received);
     }
 
-    /// Sends a message that may be lost: it is dropped where the peer reads nothing.
+    /// Sends a message that may be lost: it is dropped if the connection has too many unsent bytes already.
     pub fn send_or_drop(&mut self, now: Time, connection: Token, encode: impl FnOnce() -> Vec<u8>) {
         let Some(open) = self.slab.get(connection) else { return };
         if open.channel.queued() < self.max_unsent_bytes {
@@ -92,7 +92,7 @@
         self.slab.on_ready(now, ready, &mut self.received);
     }
 
-    /// The next request that was received.
+    /// The next received request.
     pub fn next_request(&mut self) -> Option<ReceivedRequest> {
         self.received.pop_front()
     }
--- a/src/store/member/mod.rs
+++ b/src/store/member/mod.rs
@@ -1,5 +1,5 @@
-//! A daemon that is a member: its replica on the event loop, with the connections of other members, operators and
-//! watchers.
+//! A daemon that is a member: runs its replica on the event loop and serves the connections of other members, operators
+//! and watchers.
 
 mod connections;
 mod peers;
@@ -9,7 +9,7 @@
 
 use super::replica::{Replica, ReplicaEvent};
 use super::wire::encode_message;
-use super::{Config, Knowledge, LoopContext, StoreError, ValueCheck};
+use super::{Config, Freshness, LoopContext, StoreError, ValueCheck};
 use crate::net::{Acceptor, EventHandler, Ready, Time, Token};
 use connections::Connections;
 use dahliaspoke_raft::message::Message;
@@ -20,9 +20,9 @@
 use std::path::Path;
 use watchers::Watchers;
 
-/// Interval (s) of the checks who the members are and which of them no connection is open to.
+/// Interval (s) at which the list of peers is updated and closed connections to them are reopened.
 const POLL_INTERVAL: Time = 0.25;
-/// The slot of the log writer's waker, which no connection has.
+/// The slot in the token of the log writer's waker; no connection uses it.
 const WAKER_SLOT: u32 = u32::MAX - 1;
 
 /// A member of the store.
@@ -41,10 +41,10 @@
 }
 
 impl Member {
-    /// Listens, and opens the log in `folder`. `name` is this daemon's own.
+    /// Starts to listen, and opens the log in `folder`. `name` is this daemon's own name.
     ///
     /// # Errors
-    /// Where the member cannot listen, or its log cannot be opened.
+    /// If the member cannot listen, or its log cannot be opened.
     pub fn open(
         config: &Config,
         folder: &Path,
@@ -61,7 +61,7 @@
         let replica = Replica::open(now, folder, name, address)?;
         let waker = Token::new(owner, WAKER_SLOT, 0);
         poller.add(replica.writer_waker(), waker, false).map_err(StoreError::Poller)?;
-        // Room for two values at least.
+        // At least two values of the maximum size must fit.
         let max_unsent_bytes = limits.engines.max_unwritten_bytes.max(2 * MAX_VALUE_BYTES);
         Ok(Self {
             listener,
@@ -82,7 +82,7 @@
         self.value_check = check;
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.address().ok()
     }
@@ -92,29 +92,29 @@
         &self.replica
     }
 
-    /// The state that all entries applied here make.
+    /// The state after all entries that were applied here.
     pub fn state_machine(&self) -> &StateMachine {
         &self.replica.state_machine
     }
 
-    /// How many watchers are connected.
+    /// The number of watchers, including those that disconnected since the last heartbeat.
     pub fn watcher_count(&self) -> usize {
         self.watchers.len()
     }
 
-    /// How far and how old this member's knowledge is; without a leader it knows nothing.
-    pub fn knowledge(&self, now: Time) -> Knowledge {
+    /// How up to date this member's copy is; without a known leader it has no age.
+    pub fn freshness(&self, now: Time) -> Freshness {
         let has_leader = self.replica.raft.leader().is_some();
         let age = has_leader.then(|| self.replica.age_ms(now) as Time / 1000.0);
-        Knowledge { version: self.replica.state_machine.applied(), age }
+        Freshness { version: self.replica.state_machine.applied(), age }
     }
 
-    /// The next key that has changed; the empty one where keys may have been removed.
+    /// The next changed key; an empty string means that any keys may have been removed.
     pub fn next_changed_key(&mut self) -> Option<String> {
         self.changed_keys.pop_front()
     }
 
-    /// At the leader, proposes this text for a key that holds another one.
+    /// On the leader, proposes this text for a key unless it already is the key's value.
     pub fn maintain_value(&mut self, now: Time, key: &str, text: &str) {
         let is_unchanged = self.state_machine().get(key).is_some_and(|value| &*value.text == text);
         if is_unchanged || !self.replica.raft.leads() {
@@ -122,24 +122,24 @@
         }
         let op = Op { key: key.into(), value: Some(text.into()), expect: None };
         let command = Command { session: 0, serial: 0, ops: vec![op] };
-        // No connection has the waker's token: the answer is dropped.
+        // The waker's token belongs to no connection, so the answer is dropped.
         self.replica.propose(now, self.waker, &command);
         self.process_events(now);
     }
 
-    /// Does what the replica asks for.
+    /// Processes the replica's events.
     fn process_events(&mut self, now: Time) {
         for event in self.replica.take_events() {
             match event {
                 ReplicaEvent::Send(message) => self.send_message(now, &message),
                 ReplicaEvent::Answer(connection, answer) => self.answer(now, connection, &answer),
                 ReplicaEvent::KeyChanged(change) => self.publish_change(now, &change),
-                ReplicaEvent::Restored => self.publish_restart(now),
+                ReplicaEvent::Restored => self.publish_resync(now),
             }
         }
     }
 
-    /// Sends a message of the consensus protocol; the protocol repeats those that are lost.
+    /// Sends a message of the consensus protocol, which retransmits lost messages.
     fn send_message(&mut self, now: Time, message: &Message) {
         if let Some(connection) = self.peers.connection_to(message.to) {
             self.connections.send_or_drop(now, connection, || encode_message(message));
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Follows changes of members, and connects to those that no connection is open to.
+    /// Adds new members to the peers, and connects to each peer without an open connection.
     fn update_peers(&mut self) {
         self.peers.add_members(self.replica.raft.members(), self.replica.raft.id());
         self.peers.reconnect(&mut self.connections, &self.replica.hello);
--- a/src/store/member/peers.rs
+++ b/src/store/member/peers.rs
@@ -1,4 +1,4 @@
-//! The other members, and the connections that are opened to them from here.
+//! The other members, and the outgoing connections to them.
 
 use super::connections::Connections;
 use crate::net::Token;
@@ -12,9 +12,9 @@
 /// Another member.
 struct Peer {
     address: SocketAddr,
-    /// The connection that was opened to it; it may be closed already.
+    /// The outgoing connection to it; it may be closed already.
     connection: Option<Token>,
-    /// Its id, once it has presented itself or the log names it.
+    /// Its id, once it has identified itself or is known from the log.
     id: Option<Id>,
 }
 
@@ -22,31 +22,31 @@
 pub struct Peers(BTreeMap<String, Peer>);
 
 impl Peers {
-    /// The configured peers but `name`, this member's own.
+    /// The configured peers, except for this member itself, which is called `name`.
     pub fn new(config: &Config, name: &str) -> Self {
         let others = config.peers.iter().filter(|(other, _)| *other != name);
         let peer = |address: &SocketAddr| Peer { address: *address, connection: None, id: None };
         Self(others.map(|(name, address)| (name.clone(), peer(address))).collect())
     }
 
-    /// Whether a peer has that name.
+    /// Whether there is a peer of this name.
     pub fn contains(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 
-    /// The connection to the member of an id.
+    /// The outgoing connection to the member with this id.
     pub fn connection_to(&self, id: Id) -> Option<Token> {
         self.0.values().find(|peer| peer.id == Some(id)).and_then(|peer| peer.connection)
     }
 
-    /// The peer at the other end of a connection has presented itself. Returns whether the connection was opened from
-    /// here.
+    /// Records the id of the peer at the other end of an outgoing connection. Returns false if the connection is not the
+    /// outgoing one to that peer.
     pub fn identify(&mut self, connection: Token, hello: &Hello) -> bool {
         let peer = self.0.get_mut(&hello.name).filter(|peer| peer.connection == Some(connection));
         peer.map(|peer| peer.id = Some(hello.id)).is_some()
     }
 
-    /// Adds the members that the log names and the configuration does not, at their addresses in the log.
+    /// Adds the members of the log that are not configured as peers, with their addresses from the log.
     pub fn add_members(&mut self, members: &Members, own: Id) {
         for (id, member) in members.iter().filter(|(id, _)| **id != own) {
             let Ok(address) = member.address.parse() else { continue };
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Connects to each peer that no connection is open to.
+    /// Connects to each peer without an open outgoing connection.
     pub fn reconnect(&mut self, connections: &mut Connections, own: &Hello) {
         for peer in self.0.values_mut() {
             if !peer.connection.is_some_and(|connection| connections.is_open(connection)) {
--- a/src/store/member/requests.rs
+++ b/src/store/member/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other members, operators and watchers.
+//! Handles requests from other members, operators and watchers.
 
 use super::connections::ReceivedRequest;
 use super::Member;
@@ -7,7 +7,7 @@
 use dahliaspoke_raft::state_machine::Command;
 
 impl Member {
-    /// Handles all requests that were received, in order.
+    /// Handles all received requests, in order.
     pub(super) fn handle_requests(&mut self, now: Time) {
         while let Some(ReceivedRequest { connection, request }) = self.connections.next_request() {
             let request = request.map_err(CallError::Decode).and_then(|request| self.check(request));
@@ -47,7 +47,7 @@
         self.connections.send(now, connection, encode_answer(answer));
     }
 
-    /// Rejects a change that can never be applied, before it is proposed.
+    /// Rejects an invalid change before it is proposed.
     fn check(&self, request: Request) -> Result<Request, CallError> {
         if let Request::Change(command) = &request {
             self.check_command(command)?;
@@ -65,19 +65,20 @@
         Ok(())
     }
 
-    /// Another member has presented itself, on a connection that either end may have opened.
+    /// Another member has identified itself, on a connection that either end may have opened. If that end opened it, this
+    /// member identifies itself in return.
     fn on_hello(&mut self, now: Time, connection: Token, hello: Hello) {
         if !self.is_known(&hello.name) {
             return self.answer(now, connection, &Err(CallError::UnknownPeer(hello.name)));
         }
-        let opened_here = self.peers.identify(connection, &hello);
-        self.replica.presented.insert(hello.name.clone(), hello);
-        if !opened_here {
+        let is_outgoing = self.peers.identify(connection, &hello);
+        self.replica.identified.insert(hello.name.clone(), hello);
+        if !is_outgoing {
             self.connections.send(now, connection, encode_hello(&self.replica.hello));
         }
     }
 
-    /// Whether the configuration or the log names a member so.
+    /// Whether the configuration or the log has a member of this name.
     fn is_known(&self, name: &str) -> bool {
         let members = self.replica.raft.members();
         self.peers.contains(name) || members.values().any(|member| member.name == name)
--- a/src/store/member/status.rs
+++ b/src/store/member/status.rs
@@ -6,7 +6,7 @@
 use std::fmt::{self, Write};
 
 impl Member {
-    /// What this member knows of itself, the leader and the other members.
+    /// The status of this member, the leader and the other members, as known to this member.
     pub(super) fn status(&self, now: Time) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -23,7 +23,7 @@
     let (last, snapshot) = (raft.last(), raft.snapshot().index);
     writeln!(text, "committed={committed} applied={applied} last={last} snapshot={snapshot}")?;
     if let Some(index) = raft.pending_membership_change() {
-        // A partition may still undo what the lines of members say.
+        // The change of members shown below is uncommitted and may still be undone, for example by a partition.
         writeln!(text, "changing={index}")?;
     }
     writeln!(text, "heard_ms={}", replica.age_ms(now))?;
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// The members, and the instances that have presented themselves and are none.
+/// Writes the members, then the instances that have identified themselves but are not members.
 fn write_members(text: &mut String, replica: &Replica) -> fmt::Result {
     let members = replica.raft.members();
     for (id, member) in members {
@@ -42,7 +42,7 @@
         let matched = replica.raft.matched(*id).map_or("unknown".into(), |index| index.to_string());
         writeln!(text, "member={} {} {kind} has={matched}", member.name, member.address)?;
     }
-    for hello in replica.presented.values().filter(|hello| !members.contains_key(&hello.id)) {
+    for hello in replica.identified.values().filter(|hello| !members.contains_key(&hello.id)) {
         writeln!(text, "waits={} {}", hello.name, hello.address)?;
     }
     Ok(())
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The coordinators' own replicated store: a few texts by key that a quorum of three to seven members has on disk
-//! (`dahliaspoke-raft`). A daemon is a member, or it watches one.
+//! The coordinators' own replicated key-value store: a few texts, each persisted by a quorum of three to seven members
+//! (`dahliaspoke-raft`). A daemon is either a member, or a watcher of one.
 
 mod config;
 mod error;
@@ -22,63 +22,63 @@
 use std::rc::Rc;
 use watcher::Watcher;
 
-/// The configuration file, from the folder that the daemon is started in.
+/// The configuration file, relative to the daemon's working directory.
 pub const CONFIG_FILE: &str = "deploy/store.toml";
-/// The key of the settings object; a change takes effect at once.
+/// The key of the settings object; a change is effective immediately.
 pub const SETTINGS_KEY: &str = "settings";
-/// The key of the endpoint set as it was last discovered.
+/// The key of the last discovered endpoint set.
 pub const ENDPOINTS_KEY: &str = "engines";
-/// The prefix of the keys of engines in maintenance; the engine's id follows.
+/// The prefix of the keys of engines in maintenance; the engine's id follows it.
 pub const MAINTENANCE_PREFIX: &str = "maintenance/";
 
-/// Checks whether a key may hold a text: key and text.
-pub type ValueCheck = Box<dyn Fn(&str, &str) -> Result<(), String>>; // until the callers are typed
+/// Checks whether a text is a valid value of a key. Its arguments are the key and the text.
+pub type ValueCheck = Box<dyn Fn(&str, &str) -> Result<(), String>>; // a `String` until the callers have typed errors
 
-/// What the store needs of the event loop.
+/// What the store needs from the event loop.
 pub struct LoopContext {
-    /// The store's number as an event handler, in the tokens of its descriptors.
+    /// The store's event-handler number, part of the tokens of its descriptors.
     pub owner: u8,
     /// The current time.
     pub now: Time,
-    /// Where descriptors are registered.
+    /// The poller that the store registers its descriptors with.
     pub poller: Rc<Poller>,
     /// The daemon's limits.
     pub limits: Rc<Limits>,
 }
 
 impl LoopContext {
-    /// The context of the event handler of that number.
+    /// The context of the event handler with number `owner`.
     pub fn new(owner: u8, now: Time, poller: &Rc<Poller>, limits: &Rc<Limits>) -> Self {
         Self { owner, now, poller: poller.clone(), limits: limits.clone() }
     }
 }
 
-/// What this daemon is.
+/// This daemon's role in the store.
 enum Role {
-    /// One of the members.
+    /// It is a member.
     Member(Box<Member>),
     /// It watches a member.
     Watcher(Box<Watcher>),
 }
 
-/// The replicated store, as this daemon takes part in it.
+/// The replicated store, seen from this daemon.
 pub struct Store {
     role: Role,
 }
 
-/// What a daemon knows of the store.
-struct Knowledge {
-    /// The version of the last change that it knows.
+/// How up to date a daemon's copy of the store is.
+struct Freshness {
+    /// The version of the last change in the copy.
     version: Index,
-    /// How old that knowledge is (s); `None` where nothing is known.
+    /// Time (s) since the copy was last confirmed; `None` if it never was or, on a member, if no leader is known.
     age: Option<Time>,
 }
 
 impl Store {
-    /// Opens the store as a member, or begins to watch one. `name` is this daemon's own.
+    /// Opens the store as a member, or starts to watch one. `name` is this daemon's own name.
     ///
     /// # Errors
-    /// Where the configuration does not fit together, the member cannot listen, or its log cannot be opened.
+    /// If the configuration is inconsistent, the member cannot listen, or its log cannot be opened.
     pub fn open(config: Config, name: &str, context: LoopContext) -> Result<Self, StoreError> {
         config.check()?;
         let role = match (&config.folder, config.listen) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Where a member listens.
+    /// The address that a member listens on; `None` for a watcher.
     pub fn address(&self) -> Option<SocketAddr> {
         match &self.role {
             Role::Member(member) => member.address(),
@@ -105,17 +105,17 @@
         }
     }
 
-    /// What a key holds, as far as this daemon knows.
+    /// A key's value in this daemon's copy of the store.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.value(key).map(|value| &*value.text)
     }
 
-    /// The version of what a key holds, as far as this daemon knows; 0 where it holds nothing.
+    /// The version of a key's value in this daemon's copy of the store; 0 if the key has no value.
     pub fn version(&self, key: &str) -> Index {
         self.value(key).map_or(0, |value| value.version)
     }
 
-    /// The keys with a prefix, as far as this daemon knows: what follows the prefix, and what the key holds.
+    /// All entries of this daemon's copy whose keys have a prefix: the rest of the key, and its value.
     pub fn entries_with_prefix<'a>(&'a self, prefix: &'a str) -> Vec<(&'a str, &'a str)> {
         match &self.role {
             Role::Member(member) => without_prefix(prefix, member.state_machine().all(prefix)),
@@ -123,14 +123,14 @@
         }
     }
 
-    /// At the leader's daemon, proposes this text for a key that holds another one.
+    /// On the leader's daemon, proposes this text for a key unless it already is the key's value.
     pub fn maintain_value(&mut self, now: Time, key: &str, text: &str) {
         if let Role::Member(member) = &mut self.role {
             member.maintain_value(now, key, text);
         }
     }
 
-    /// The next key that has changed; the empty one where keys may have been removed.
+    /// The next changed key; an empty string means that any keys may have been removed.
     pub fn next_changed_key(&mut self) -> Option<String> {
         match &mut self.role {
             Role::Member(member) => member.next_changed_key(),
@@ -153,7 +153,7 @@
     }
 }
 
-/// What follows the prefix in each key, and what the key holds.
+/// The rest of each key after the prefix, and the key's value.
 fn without_prefix<'a>(
     prefix: &str,
     entries: impl Iterator<Item = (&'a String, &'a Value)>,
--- a/src/store/replica/actions.rs
+++ b/src/store/replica/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the actions that the consensus protocol asks for.
+//! Executes the actions of the consensus protocol.
 
 use super::pending::{PendingCall, PendingKind};
 use super::{Replica, ReplicaEvent, ReplicaFailure};
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Applies a committed entry, and answers the request that proposed it here.
+    /// Applies a committed entry, and answers the request that proposed it, if this member received that request.
     fn apply(&mut self, entry: &Entry, proposal_id: Option<u64>) {
         failpoints::reach("store.apply");
         self.bytes_since_snapshot += entry.size();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Replaces the state machine by the leader's snapshot.
+    /// Replaces the state machine with the leader's snapshot.
     fn restore(&mut self, snapshot: &Snapshot) {
         match StateMachine::restore(&snapshot.data) {
             Ok(state_machine) => {
@@ -61,17 +61,17 @@
                 self.events.push(ReplicaEvent::Restored);
             }
             Err(error) => {
-                // Its checksum was right, so a member of another version wrote it: this one cannot go on.
+                // Its checksum is valid, so a member of another version wrote it, and this one cannot continue.
                 tracing::error!(
                     part = "store",
-                    "a snapshot cannot be read, this member takes no part any more: {error}"
+                    "cannot read the leader's snapshot; this member has stopped participating: {error}"
                 );
                 self.failure = Some(ReplicaFailure::Snapshot(error));
             }
         }
     }
 
-    /// Answers a read that waited until all entries before it were applied.
+    /// Answers a read, now that all entries before it are applied.
     fn complete_read(&mut self, proposal_id: u64) {
         let Some(PendingCall { connection, kind: PendingKind::Read { key, with_version } }) =
             self.pending.remove(proposal_id)
--- a/src/store/replica/error.rs
+++ b/src/store/replica/error.rs
@@ -1,11 +1,11 @@
-//! Why a member cannot start, and why it takes no part any more.
+//! Why a member cannot start, and why it has stopped participating.
 
 use dahliaspoke_raft::codec::DecodeError;
 use dahliaspoke_raft::disk;
 use std::io;
 use std::path::PathBuf;
 
-/// The system has no random numbers.
+/// The system cannot supply random numbers.
 #[derive(Debug, thiserror::Error)]
 #[error("no random numbers: {0}")]
 pub struct NoRandomNumbers(pub getrandom::Error);
@@ -13,7 +13,7 @@
 /// Why a member's log cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// No id could be drawn.
+    /// No random id could be generated.
     #[error("{0}")]
     NoRandomNumbers(#[from] NoRandomNumbers),
     /// The folder cannot be used.
@@ -21,7 +21,7 @@
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// What the system said.
+        /// The system's error.
         error: io::Error,
     },
     /// The log is damaged.
@@ -29,7 +29,7 @@
     Log {
         /// The folder.
         folder: PathBuf,
-        /// File and byte, and what is wrong there.
+        /// What is wrong, with the file and the byte offset.
         #[source]
         error: disk::OpenError,
     },
@@ -38,12 +38,12 @@
     Snapshot {
         /// The folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// Why it cannot be decoded.
         error: DecodeError,
     },
 }
 
-/// Why a member takes no part any more.
+/// Why a member has stopped participating.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaFailure {
     /// A write to the log has failed.
--- a/src/store/replica/membership.rs
+++ b/src/store/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Who the members are: founding a log, adding, removing and promoting members, transferring leadership.
+//! Membership: bootstrapping a log, adding, removing and promoting members, transferring leadership.
 
 use super::pending::PendingKind;
 use super::{random_id, Replica};
@@ -8,19 +8,19 @@
 use dahliaspoke_raft::raft::{Event, MembershipChange};
 use dahliaspoke_raft::Id;
 
-/// The proposal id of changes that no request waits for.
+/// The proposal id of changes that no pending request is waiting for.
 const NO_REQUEST: u64 = 0;
 
 impl Replica {
-    /// Founds a log of this one member.
+    /// Bootstraps a log with this member as the only one.
     pub fn init(&mut self, now: Time, connection: Token) {
-        let answer = self.found_log(now);
+        let answer = self.bootstrap(now);
         self.answer(connection, answer);
     }
 
-    fn found_log(&mut self, now: Time) -> Answer {
+    fn bootstrap(&mut self, now: Time) -> Answer {
         if self.raft.cluster() != 0 {
-            return Err(CallError::AlreadyFounded);
+            return Err(CallError::AlreadyBootstrapped);
         }
         let cluster = random_id().map_err(CallError::NoRandomNumbers)?;
         let Hello { name, address, .. } = self.hello.clone();
@@ -28,15 +28,15 @@
         Ok(Reply::Done)
     }
 
-    /// Adds the instance that has presented itself under a name. A member of that name that has lost its disk is
-    /// another instance, and is removed first; the request has to be repeated then.
+    /// Adds the instance that has identified itself under this name. If there is a member of that name with another id,
+    /// it is an earlier instance that has lost its disk: it is removed first, and the request has to be repeated.
     pub fn add_member(&mut self, now: Time, connection: Token, name: &str) {
-        let Some(hello) = self.presented.get(name).cloned() else {
-            return self.answer(connection, Err(CallError::NotPresented));
+        let Some(hello) = self.identified.get(name).cloned() else {
+            return self.answer(connection, Err(CallError::NotIdentified));
         };
         let change = match self.find_member(|member| member.name == name) {
             Some(id) if id == hello.id && self.raft.leads() => {
-                // It is a member already: it is promoted once it has enough entries, whoever led when it was added.
+                // It is a member already, and is promoted once it has enough entries, even if another leader added it.
                 self.learner_to_promote = Some(id);
                 return self.answer(connection, Ok(Reply::Done));
             }
@@ -49,7 +49,7 @@
         self.change_members(now, connection, change);
     }
 
-    /// Removes the member of a name.
+    /// Removes the member with this name.
     pub fn remove_member(&mut self, now: Time, connection: Token, name: &str) {
         match self.find_member(|member| member.name == name) {
             Some(id) => self.change_members(now, connection, MembershipChange::Remove(id)),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Transfers leadership to the voter of a name.
+    /// Transfers leadership to the voter with this name.
     pub fn transfer_leadership(&mut self, now: Time, connection: Token, name: &str) {
         let answer = match self.find_member(|member| member.name == name && member.votes) {
             _ if !self.raft.leads() => Err(CallError::NotLeader(self.leader_description())),
@@ -70,7 +70,7 @@
         self.answer(connection, answer);
     }
 
-    /// Proposes that the learner that was added last becomes a voter, until it is one.
+    /// On the leader, proposes to promote the learner that was added last, until it is a voter.
     pub(super) fn promote_learner(&mut self, now: Time) {
         let Some(id) = self.learner_to_promote.filter(|_| self.raft.leads()) else { return };
         match self.raft.members().get(&id) {
--- a/src/store/replica/mod.rs
+++ b/src/store/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A member's replica: passes events to the consensus protocol and executes its actions on the log's writer, the
-//! state machine and the requests that wait.
+//! A member's replica: passes events to the consensus protocol and executes its actions on the log writer, the state
+//! machine and the pending requests.
 
 mod actions;
 mod error;
@@ -22,9 +22,9 @@
 use std::os::fd::BorrowedFd;
 use std::path::Path;
 
-/// Entries after which the log is replaced by a snapshot.
+/// Number of applied entries after which a snapshot replaces the log's entries.
 const SNAPSHOT_ENTRIES: Index = 1024;
-/// Bytes of entries after which it is.
+/// Total size of applied entries after which a snapshot replaces the log's entries (bytes).
 const SNAPSHOT_BYTES: usize = 1 << 20;
 
 /// What a replica asks its owner to do.
@@ -43,19 +43,19 @@
 pub struct Replica {
     /// The consensus protocol.
     pub raft: Raft,
-    /// The state that all applied entries make.
+    /// The state after all applied entries.
     pub state_machine: StateMachine,
     /// This member's identity.
     pub hello: Hello,
-    /// Instances that have presented themselves, by name; bounded by whom the configuration and the log name.
-    pub presented: BTreeMap<String, Hello>,
-    /// Why this member takes no part any more.
+    /// Instances that have identified themselves, by name. At most one for each name in the configuration and the log.
+    pub identified: BTreeMap<String, Hello>,
+    /// Why this member has stopped participating, if it has.
     pub failure: Option<ReplicaFailure>,
     writer: LogWriter,
     pending: PendingCalls,
-    /// The learner that becomes a voter once it has enough entries.
+    /// The learner to promote to a voter once it has enough entries.
     learner_to_promote: Option<Id>,
-    /// Bytes of entries that were applied since the last snapshot.
+    /// Total size of the entries applied since the last snapshot.
     bytes_since_snapshot: usize,
     events: Vec<ReplicaEvent>,
 }
@@ -72,10 +72,10 @@
 }
 
 impl Replica {
-    /// Opens the log in `folder`, and creates it where there is none.
+    /// Opens the log in `folder`, and creates it if there is none.
     ///
     /// # Errors
-    /// Where the folder cannot be used, or what is in it is damaged.
+    /// If the folder cannot be used, its log or snapshot is damaged, or no random id can be generated.
     pub fn open(now: Time, folder: &Path, name: &str, address: String) -> Result<Self, OpenError> {
         let unusable = |error| OpenError::Folder { folder: folder.into(), error };
         let disk = Folder::open(folder).map_err(unusable)?;
@@ -91,7 +91,7 @@
             raft: Raft::new(Options::new(random_id()?), saved, micros(now)),
             state_machine,
             hello,
-            presented: BTreeMap::new(),
+            identified: BTreeMap::new(),
             failure: None,
             writer,
             pending: PendingCalls::default(),
@@ -101,28 +101,28 @@
         })
     }
 
-    /// What is to be done, in order, since this was last called.
+    /// Takes the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The descriptor that is readable once the log's writer has results; see [`Self::on_written`].
+    /// The descriptor that becomes readable when the log writer has results; see [`Self::on_written`].
     pub fn writer_waker(&self) -> BorrowedFd<'_> {
         self.writer.waker()
     }
 
-    /// When [`Self::on_timer`] is due.
+    /// When [`Self::on_timer`] is due; `None` after a failure or if no timer is set.
     pub fn next_deadline(&self) -> Option<Time> {
         let next = self.raft.next_deadline();
         (next < Micros::MAX && self.failure.is_none()).then_some(next as f64 / 1e6)
     }
 
-    /// How long ago a quorum, or the leader, was heard from (ms).
+    /// Time since the last contact with a quorum or, at other members than the leader, with the leader (ms).
     pub fn age_ms(&self, now: Time) -> u64 {
         self.raft.time_since_contact(micros(now)) / 1000
     }
 
-    /// Name and address of the leader, or that none is known.
+    /// Name and address of the leader, or a text that says that none is known.
     pub fn leader_description(&self) -> String {
         let leader = self.raft.leader().and_then(|id| self.raft.members().get(&id));
         match leader {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Advances the consensus protocol's timers, and retries a pending promotion.
     pub fn on_timer(&mut self, now: Time) {
         if self.raft.next_deadline() <= micros(now) {
             self.handle(now, Event::Tick);
@@ -139,13 +139,13 @@
         self.promote_learner(now);
     }
 
-    /// A member has sent a message.
+    /// Handles a message from another member.
     pub fn on_message(&mut self, now: Time, message: Message) {
         failpoints::reach("store.received");
         self.handle(now, Event::Message(message));
     }
 
-    /// The log's writer has results.
+    /// Handles the log writer's results.
     pub fn on_written(&mut self, now: Time) {
         self.writer.reset_waker();
         while let Some(result) = self.writer.next_result() {
@@ -155,7 +155,7 @@
                     tracing::error!(
                         at = now,
                         part = "store",
-                        "the disk has failed, this member takes no part any more: {error}"
+                        "writing the log to disk failed; this member has stopped participating: {error}"
                     );
                     self.failure = Some(ReplicaFailure::Disk(error));
                     self.fail_pending(|| CallError::DiskFailedWhilePending);
@@ -164,19 +164,19 @@
         }
     }
 
-    /// Proposes a change; its outcome is the answer.
+    /// Proposes a change, and answers the request with its outcome.
     pub fn propose(&mut self, now: Time, connection: Token, command: &Command) {
         let proposal_id = self.pending.add(connection, PendingKind::Change);
         self.handle(now, Event::Propose { proposal_id, data: command.to_bytes() });
     }
 
-    /// Reads a key as of now; its value is the answer.
+    /// Starts a linearizable read of a key, and answers the request with the key's value.
     pub fn read(&mut self, now: Time, connection: Token, key: String, with_version: bool) {
         let proposal_id = self.pending.add(connection, PendingKind::Read { key, with_version });
         self.handle(now, Event::Read { proposal_id });
     }
 
-    /// Replaces the log's entries by a snapshot of the state machine.
+    /// Replaces the log's entries with a snapshot of the state machine.
     pub fn snapshot(&mut self, now: Time) {
         self.bytes_since_snapshot = 0;
         let (index, data) = (self.state_machine.applied(), self.state_machine.save());
@@ -188,15 +188,15 @@
         self.events.push(ReplicaEvent::Answer(connection, answer));
     }
 
-    /// Answers all requests that wait by an error.
+    /// Answers all pending requests with an error.
     fn fail_pending(&mut self, error: impl Fn() -> CallError) {
         for connection in self.pending.drain_connections() {
             self.answer(connection, Err(error()));
         }
     }
 
-    /// Passes an event to the consensus protocol and executes its actions. After a failure there are none: what was
-    /// promised may not be on disk, so it neither votes nor acknowledges.
+    /// Passes an event to the consensus protocol and executes its actions. After a failure, events are dropped: entries
+    /// and votes may not be on disk, so this member must neither vote nor acknowledge.
     fn handle(&mut self, now: Time, event: Event) {
         if self.failure.is_some() {
             return self.fail_pending(|| CallError::DiskFailed);
--- a/src/store/replica/pending.rs
+++ b/src/store/replica/pending.rs
@@ -1,9 +1,9 @@
-//! Requests that wait for the consensus protocol, by the ids under which they were proposed.
+//! Requests that are waiting for the consensus protocol, by proposal id.
 
 use crate::net::Token;
 use std::collections::HashMap;
 
-/// What a request waits for.
+/// What a request is waiting for.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PendingKind {
     /// The outcome of a change.
@@ -12,23 +12,23 @@
     Read {
         /// The key.
         key: String,
-        /// Whether the answer has the version in front of the value.
+        /// Whether the answer includes the version, before the value.
         with_version: bool,
     },
-    /// A change of members.
+    /// The outcome of a membership change.
     Membership,
 }
 
-/// A request that waits.
+/// A pending request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PendingCall {
-    /// The connection that is to be answered.
+    /// The connection to answer on.
     pub connection: Token,
-    /// What it waits for.
+    /// What the request is waiting for.
     pub kind: PendingKind,
 }
 
-/// All requests that wait.
+/// All pending requests.
 #[derive(Default)]
 pub struct PendingCalls {
     calls: HashMap<u64, PendingCall>,
@@ -36,19 +36,19 @@
 }
 
 impl PendingCalls {
-    /// Adds a request and returns its proposal id, from 1.
+    /// Adds a request and returns its proposal id. Ids start at 1.
     pub fn add(&mut self, connection: Token, kind: PendingKind) -> u64 {
         self.last_id += 1;
         self.calls.insert(self.last_id, PendingCall { connection, kind });
         self.last_id
     }
 
-    /// Removes the request of a proposal id.
+    /// Removes the request with this proposal id.
     pub fn remove(&mut self, proposal_id: u64) -> Option<PendingCall> {
         self.calls.remove(&proposal_id)
     }
 
-    /// Removes all requests; the connections that made them.
+    /// Removes all requests and returns their connections.
     pub fn drain_connections(&mut self) -> Vec<Token> {
         self.calls.drain().map(|(_, call)| call.connection).collect()
     }
--- a/src/store/statistics.rs
+++ b/src/store/statistics.rs
@@ -1,17 +1,17 @@
-//! The store's figures for operators.
+//! The store's statistics for operators.
 
 use super::{Role, Store};
 use crate::net::Time;
 
 impl Store {
-    /// Passes each figure to `record`, by name.
+    /// Passes the name and value of each statistic to `record`.
     pub fn record_statistics(&self, now: Time, mut record: impl FnMut(&str, u64)) {
-        let knowledge = match &self.role {
-            Role::Member(member) => member.knowledge(now),
-            Role::Watcher(watcher) => watcher.view().knowledge(now),
+        let freshness = match &self.role {
+            Role::Member(member) => member.freshness(now),
+            Role::Watcher(watcher) => watcher.view().freshness(now),
         };
-        record("store.version", knowledge.version);
-        match knowledge.age {
+        record("store.version", freshness.version);
+        match freshness.age {
             Some(age) => record("store.age_ms", (age * 1000.0) as u64),
             None => record("store.unknown", 1),
         }
--- a/src/store/watcher/connection.rs
+++ b/src/store/watcher/connection.rs
@@ -1,19 +1,19 @@
-//! The connection to the member that is watched.
+//! The connection to the watched member.
 
 use crate::net::{BufferedStream, Connection, Flow, Time, Token};
 use crate::store::framing::read_arrays;
 use crate::store::wire::{decode_watch_event, WatchEvent};
 use std::collections::VecDeque;
 
-/// A line of a watch, and the connection that it came from.
+/// A watch event, and the connection that received it.
 pub struct ReceivedEvent {
     /// The connection.
     pub connection: Token,
-    /// The line.
+    /// The event.
     pub event: WatchEvent,
 }
 
-/// A connection to a member that is watched.
+/// A connection to a watched member.
 pub struct WatchConnection {
     /// The stream and its buffers.
     pub channel: BufferedStream,
--- a/src/store/watcher/mod.rs
+++ b/src/store/watcher/mod.rs
@@ -1,4 +1,5 @@
-//! A daemon that is no member: it watches one, and goes on to the next where that is lost or falls silent.
+//! A daemon that is not a member: it watches one, and switches to the next if the connection is lost or the member
+//! reports no progress.
 
 mod connection;
 mod view;
@@ -11,20 +12,20 @@
 use std::net::SocketAddr;
 use view::View;
 
-/// A member that has reported no progress for that long (s) is not watched any more.
+/// Time (s) without reported progress after which the watcher switches to another member.
 const SILENCE_TIMEOUT: Time = 2.0;
-/// Interval (s) of the checks whether a member is watched.
+/// Interval (s) at which the connection to the watched member is checked.
 const POLL_INTERVAL: Time = 0.25;
 
 /// Watches one member at a time.
 pub struct Watcher {
     /// The members, in the order of their names.
     members: Vec<SocketAddr>,
-    /// How many members were tried; the index of the one that is watched, modulo their count.
+    /// The number of members tried so far. Modulo the member count, it is the index of the watched member.
     rotation: usize,
-    /// The connection to the one that is watched; it may be closed already.
+    /// The connection to the watched member; it may be closed already.
     connection: Option<Token>,
-    /// The member that is watched must report progress until then.
+    /// When the watcher switches to another member unless the watched one reports progress.
     silence_deadline: Time,
     next_poll: Time,
     connections: ConnectionSlab<WatchConnection>,
@@ -33,7 +34,7 @@
 }
 
 impl Watcher {
-    /// A watcher of the configured members; `name` is this daemon's own.
+    /// A watcher of the configured members. `name` is this daemon's own name.
     pub fn new(config: &Config, name: &str, context: LoopContext) -> Self {
         let members = config.peers.iter().filter(|(other, _)| *other != name);
         Self {
@@ -48,17 +49,17 @@
         }
     }
 
-    /// What is known of the store.
+    /// The watcher's copy of the store.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The next key that has changed.
+    /// The next changed key.
     pub fn next_changed_key(&mut self) -> Option<String> {
         self.view.next_changed_key()
     }
 
-    /// Goes on to the next member, unless the one that is watched is connected and reports progress.
+    /// Switches to the next member, unless the watched one is connected and reports progress.
     fn check_connection(&mut self, now: Time) {
         let is_open = self.connection.is_some_and(|token| self.connections.get(token).is_some());
         if is_open && now < self.silence_deadline {
@@ -75,14 +76,14 @@
         }
     }
 
-    /// Begins to watch a member, from the version that is known.
+    /// Starts to watch a member, from the version of this watcher's copy.
     fn connect(&mut self, member: SocketAddr) -> Option<Token> {
         let mut channel = BufferedStream::connect(member).ok()?;
         channel.push(encode_watch(self.view.version()));
         self.connections.add(|token| Some(WatchConnection { channel, token })).ok()?
     }
 
-    /// Applies what was received, but from members that are not watched any more.
+    /// Applies all received events, except those of members that are no longer watched.
     fn apply_received(&mut self, now: Time) {
         while let Some(ReceivedEvent { connection, event }) = self.received.pop_front() {
             if self.connection != Some(connection) {
@@ -90,7 +91,7 @@
             }
             match event {
                 WatchEvent::Change(change) => self.view.apply(change),
-                WatchEvent::Restart(version) => self.view.restart(version),
+                WatchEvent::Resync(version) => self.view.resync(version),
                 WatchEvent::Progress(progress) => {
                     if self.view.advance(now, progress) {
                         self.silence_deadline = now + SILENCE_TIMEOUT;
--- a/src/store/wire/answer.rs
+++ b/src/store/wire/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to requests: replies, and errors with the codes by which clients tell them apart.
+//! Answers to requests: replies, and errors with the codes that clients match on.
 
 use super::DecodeError;
 use crate::store::replica::NoRandomNumbers;
@@ -10,32 +10,32 @@
 /// The answer to a request.
 pub type Answer = Result<Reply, CallError>;
 
-/// What a request that succeeded is answered.
+/// The reply to a successful request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It was done.
+    /// The request was carried out.
     Done,
     /// A change was made, at this version.
     Changed(Index),
-    /// What a key holds.
+    /// A key's value.
     Text(Option<Arc<str>>),
-    /// What a key holds, with its version.
+    /// A key's value, with its version.
     Versioned(Option<Value>),
 }
 
-/// Why a request was not done, or may not have been.
+/// Why a request failed, or why its outcome is unknown. The texts are sent to clients.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The bytes are no array, or a value is too large.
+    /// The input is not an array, or a value is too large.
     #[error("malformed, or a value of over {max} bytes", max = MAX_VALUE_BYTES)]
     Malformed,
-    /// The array is no request.
+    /// The array cannot be decoded as a request.
     #[error("{0}")]
     Decode(DecodeError),
-    /// The command can never be proposed, for this reason.
+    /// The command is invalid, for this reason.
     #[error(transparent)]
     InvalidCommand(#[from] CommandError),
-    /// A key may not hold that value.
+    /// The value is not valid for the key.
     #[error("{key}: {reason}")]
     InvalidValue {
         /// The key.
@@ -43,51 +43,53 @@
         /// What is wrong with the value.
         reason: String,
     },
-    /// Nobody of that name is a member or a configured peer.
+    /// There is no member or configured peer of this name.
     #[error("no member and no peer is called {0}")]
     UnknownPeer(String),
-    /// No instance of that name has presented itself.
+    /// No instance has identified itself under this name.
     #[error("nobody has presented itself under that name")]
-    NotPresented,
-    /// No member has the name.
+    NotIdentified,
+    /// There is no member of this name.
     #[error("no member has that name")]
     NoSuchMember,
-    /// No voter has the name.
+    /// There is no voter of this name.
     #[error("no voting member has that name")]
     NoSuchVoter,
     /// The member has a log already.
     #[error("it has a log already")]
-    AlreadyFounded,
-    /// The system has no random numbers.
+    AlreadyBootstrapped,
+    /// The system cannot supply random numbers.
     #[error("{0}")]
     NoRandomNumbers(NoRandomNumbers),
-    /// The member's disk has failed; nothing was done.
+    /// This member stopped participating, because its disk failed or the leader's snapshot cannot be read. The request was
+    /// not carried out.
     #[error("this member's disk has failed; ask another")]
     DiskFailed,
-    /// The member's disk failed while the request was pending.
+    /// The member's disk failed while the request was pending: the outcome is unknown.
     #[error("the disk has failed: it may count")]
     DiskFailedWhilePending,
-    /// This member does not lead; name and address of the leader, as far as it knows.
+    /// This member is not the leader, or is handing its leadership over; with name and address of the leader, if it is
+    /// known. The request was not carried out.
     #[error("{0}")]
     NotLeader(String),
-    /// Too much is pending; nothing was done.
+    /// Too many proposals are uncommitted or too many reads are pending. The request was not carried out.
     #[error("too much is under way; nothing was done")]
     Busy,
-    /// The members cannot be changed so, or not now.
+    /// The membership change is not allowed, or not now. Nothing was proposed.
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// The entry was overwritten.
+    /// The proposal was dropped: another leader overwrote its entry, which is not committed and never will be.
     #[error("it was not done and will not be")]
     Lost,
-    /// Leadership was lost while the request was pending.
+    /// This member lost the leadership before the proposal was committed: the outcome is unknown.
     #[error("this member leads no longer: it may count")]
     LeadershipLost,
-    /// Compare-and-set found another version.
+    /// The key's version is not the one that a compare-and-set expects.
     #[error("{version} {key} has version {version}")]
     VersionMismatch {
         /// The key.
         key: String,
-        /// The version that it has; 0 where it holds nothing.
+        /// Its current version; 0 if it has no value.
         version: Index,
     },
     /// The state machine rejected the command, for this reason.
@@ -96,7 +98,7 @@
 }
 
 impl CallError {
-    /// The error's code: the first word of its line.
+    /// The error's code: the first word of the error reply.
     #[must_use]
     pub fn code(&self) -> &'static str {
         match self {
@@ -105,10 +107,10 @@
             | CallError::InvalidCommand(_)
             | CallError::InvalidValue { .. } => "ERR",
             CallError::UnknownPeer(_)
-            | CallError::NotPresented
+            | CallError::NotIdentified
             | CallError::NoSuchMember
             | CallError::NoSuchVoter
-            | CallError::AlreadyFounded
+            | CallError::AlreadyBootstrapped
             | CallError::NoRandomNumbers(_)
             | CallError::DiskFailed
             | CallError::Membership(_)
--- a/src/store/wire/decode.rs
+++ b/src/store/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes requests, and the lines of a watch.
+//! Decodes requests and watch events.
 
 use super::{Hello, Request, WatchEvent, WatchProgress};
 use crate::net::Time;
@@ -8,22 +8,22 @@
 use std::str::{from_utf8, Utf8Error};
 use std::sync::Arc;
 
-/// Why an array is no request, or no line of a watch.
+/// Why an array cannot be decoded as a request or a watch event.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// A value is not UTF-8.
     #[error("a command is text")]
     NotText,
-    /// A value that should be a number is none.
+    /// A value that should be a number is not one.
     #[error("{0:?} is no number")]
     NotANumber(String),
-    /// The other member speaks another version of the protocol.
+    /// The other member uses another version of the protocol.
     #[error("version {0}; this program speaks {own}", own = VERSION)]
     Version(String),
-    /// The message of the consensus protocol cannot be read.
+    /// The message of the consensus protocol cannot be decoded.
     #[error("{0}")]
     Message(codec::DecodeError),
-    /// The command, or its count of arguments, is unknown.
+    /// The command is unknown, or it has the wrong number of arguments.
     #[error("no such command, or not so many words")]
     UnknownCommand,
 }
@@ -34,7 +34,8 @@
     }
 }
 
-/// The session of a change: sent again under the same numbers, it is applied once. Zeros stand for none.
+/// The session id and serial number of a change. A change that is sent again with the same two numbers is applied once.
+/// Two zeros mean no session.
 #[derive(Clone, Copy, Default)]
 struct Session {
     id: u64,
@@ -42,17 +43,17 @@
 }
 
 impl Session {
-    /// The change of one key.
+    /// A change of one key in this session.
     fn change(self, key: &str, value: Option<&str>, expect: Option<Index>) -> Request {
         let op = Op { key: key.into(), value: value.map(Arc::from), expect };
         Request::Change(Command { session: self.id, serial: self.serial, ops: vec![op] })
     }
 }
 
-/// The request that an array is.
+/// Decodes a request from an array.
 ///
 /// # Errors
-/// Where it is none.
+/// If the array is not a valid request.
 pub fn decode_request(values: &[&[u8]]) -> Result<Request, DecodeError> {
     if let [b"RAFT", bytes] = values {
         return codec::decode(bytes)
@@ -95,10 +96,10 @@
     Ok(Hello { id: number(id)?, name: name.into(), address: address.into() })
 }
 
-/// The line of a watch that an array is.
+/// Decodes a watch event from an array.
 ///
 /// # Errors
-/// Where it is none.
+/// If the array is not a valid watch event.
 pub fn decode_watch_event(values: &[&[u8]]) -> Result<WatchEvent, DecodeError> {
     let change = |version: &str, key: &str, value: Option<&str>| {
         let (key, value) = (key.to_string(), value.map(Arc::from));
@@ -113,7 +114,7 @@
         }
         ["ANEW", version, age_ms] => {
             number(age_ms)?;
-            Ok(WatchEvent::Restart(number(version)?))
+            Ok(WatchEvent::Resync(number(version)?))
         }
         _ => Err(DecodeError::UnknownCommand),
     }
--- a/src/store/wire/encode.rs
+++ b/src/store/wire/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes answers, what members send to each other, and the lines of a watch.
+//! Encodes answers, messages between members, and watch events.
 
 use super::{Answer, CallError, Hello, Reply};
 use crate::net::resp::{array, bulk};
@@ -7,10 +7,10 @@
 use dahliaspoke_raft::state_machine::KeyChange;
 use dahliaspoke_raft::Index;
 
-/// The null bulk string.
+/// RESP's null bulk string.
 const NULL: &[u8] = b"$-1\r\n";
 
-/// The answer to a request.
+/// Encodes the answer to a request.
 #[must_use]
 pub fn encode_answer(answer: &Answer) -> Vec<u8> {
     match answer {
@@ -31,32 +31,32 @@
     bytes
 }
 
-/// An error in one line: its code, then the reason.
+/// An error reply: the code, then the reason, on one line.
 fn error_reply(error: &CallError) -> Vec<u8> {
     let reason = error.to_string().replace(['\r', '\n'], " ");
     format!("-{} {reason}\r\n", error.code()).into_bytes()
 }
 
-/// A member's identity.
+/// Encodes a member's identity.
 #[must_use]
 pub fn encode_hello(hello: &Hello) -> Vec<u8> {
     let (version, id) = (VERSION.to_string(), hello.id.to_string());
     array(&[b"HELLO", version.as_bytes(), id.as_bytes(), hello.name.as_bytes(), hello.address.as_bytes()])
 }
 
-/// A message of the consensus protocol.
+/// Encodes a message of the consensus protocol.
 #[must_use]
 pub fn encode_message(message: &Message) -> Vec<u8> {
     array(&[b"RAFT", &codec::encode(message)])
 }
 
-/// The request for all changes after a version.
+/// Encodes the request for all changes after a version.
 #[must_use]
 pub fn encode_watch(version: Index) -> Vec<u8> {
     array(&[b"WATCH", version.to_string().as_bytes()])
 }
 
-/// A line of a watch: a change, or, after a restart, what a key holds.
+/// Encodes a watch event: a change or, during a resync, a key's value.
 #[must_use]
 pub fn encode_change(change: &KeyChange) -> Vec<u8> {
     let version = change.version.to_string();
@@ -66,15 +66,16 @@
     }
 }
 
-/// A line of a watch: all changes up to this version were sent, and the member was in touch with a quorum or the leader
-/// `age_ms` milliseconds ago.
+/// Encodes a watch event: all changes up to this version were sent, and the member was last in contact with a quorum or
+/// the leader `age_ms` milliseconds ago.
 #[must_use]
 pub fn encode_progress(version: Index, age_ms: u64) -> Vec<u8> {
     array(&[b"AT", version.to_string().as_bytes(), age_ms.to_string().as_bytes()])
 }
 
-/// A line of a watch: what was sent before no longer holds. `age_ms` as in [`encode_progress`].
+/// Encodes a watch event: everything sent before is invalid, and all values as of this version follow. `age_ms` as in
+/// [`encode_progress`].
 #[must_use]
-pub fn encode_restart(version: Index, age_ms: u64) -> Vec<u8> {
+pub fn encode_resync(version: Index, age_ms: u64) -> Vec<u8> {
     array(&[b"ANEW", version.to_string().as_bytes(), age_ms.to_string().as_bytes()])
 }
--- a/src/store/wire/mod.rs
+++ b/src/store/wire/mod.rs
@@ -1,5 +1,6 @@
-//! The store's wire: RESP arrays. Operators and watchers send requests that are answered in order; members present
-//! themselves and exchange messages of the consensus protocol; a watch is answered by a stream of lines.
+//! The store's wire protocol, made of RESP arrays. Operators and watchers send requests, which are answered in order;
+//! members identify themselves and exchange messages of the consensus protocol; a watch is answered with a stream of
+//! watch events.
 
 mod answer;
 mod decode;
@@ -8,7 +9,7 @@
 pub use answer::{Answer, CallError, Reply};
 pub use decode::{decode_request, decode_watch_event, DecodeError};
 pub use encode::{
-    encode_answer, encode_change, encode_hello, encode_message, encode_progress, encode_restart, encode_watch,
+    encode_answer, encode_change, encode_hello, encode_message, encode_progress, encode_resync, encode_watch,
 };
 
 use crate::net::Time;
@@ -16,24 +17,24 @@
 use dahliaspoke_raft::state_machine::{Command, KeyChange};
 use dahliaspoke_raft::{Id, Index};
 
-/// Values of one array.
+/// Maximum number of values in one array.
 pub const MAX_VALUES: usize = 8;
 
-/// A member's identity, as it presents itself on each connection.
+/// A member's identity, which it sends on each connection to another member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hello {
-    /// The id that was drawn with its disk.
+    /// The random id that was stored on its disk when its log was created.
     pub id: Id,
     /// Its configured name.
     pub name: String,
-    /// Where others reach it.
+    /// The address at which other members reach it.
     pub address: String,
 }
 
 /// A request to a member.
 #[derive(Debug)]
 pub enum Request {
-    /// Another member presents itself.
+    /// Another member identifies itself.
     Hello(Hello),
     /// A message of the consensus protocol.
     Raft(Box<Message>),
@@ -41,43 +42,43 @@
     Read {
         /// The key.
         key: String,
-        /// Whether the answer has the version in front of the value.
+        /// Whether the answer includes the version, before the value.
         with_version: bool,
     },
     /// A change.
     Change(Command),
-    /// All changes after this version, as they are made.
+    /// Watch all changes after this version.
     Watch(Index),
-    /// The member's status.
+    /// Report the member's status.
     Status,
-    /// Found a log of this one member.
+    /// Bootstrap a log with this member as the only one.
     Init,
-    /// Add the member of this name.
+    /// Add the member with this name.
     AddMember(String),
-    /// Remove the member of this name.
+    /// Remove the member with this name.
     RemoveMember(String),
-    /// Transfer leadership to the member of this name.
+    /// Transfer leadership to the member with this name.
     TransferLeadership(String),
-    /// Replace the log's entries by a snapshot now.
+    /// Replace the log's entries with a snapshot now.
     Snapshot,
 }
 
-/// How far a member has got, as it tells its watchers.
+/// A member's progress, as reported to its watchers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WatchProgress {
     /// All changes up to this version were sent.
     pub version: Index,
-    /// How long ago the member was in touch with a quorum or the leader (s).
+    /// Time since the member's last contact with a quorum or the leader (s).
     pub age: Time,
 }
 
-/// A line of a watch.
+/// An event of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// A key has changed; after a restart, what it holds.
+    /// A change of a key or, during a resync, its current value.
     Change(KeyChange),
-    /// All changes up to there were sent.
+    /// All changes up to the reported version were sent.
     Progress(WatchProgress),
-    /// What was sent before no longer holds; the values as of this version follow, then a [`WatchEvent::Progress`].
-    Restart(Index),
+    /// Everything sent before is invalid; all values as of this version follow, then a [`WatchEvent::Progress`].
+    Resync(Index),
 }
