--- a/crates/ctl/src/bin/dahliaspoke-ctl/command_line.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/command_line.rs
@@ -1,37 +1,37 @@
-//! The command line. Doc comments of its types are the texts that `--help` prints.
+//! The command line. The doc comments of its types are printed by `--help`.
 
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Reads and changes what the coordinators' store holds, and who its members are.
+/// Reads and changes the coordinators' replicated store and its membership.
 ///
-/// Exit codes: 0 done, 1 refused or another version, 2 a bad word, 3 nobody leads or can be reached (nothing was
-/// done), 4 nobody knows whether it was done.
+/// Exit codes: 0 success; 1 refused, version mismatch, no value, or unreadable input; 2 invalid command line;
+/// 3 no member leads or can be reached (nothing was done); 4 unknown outcome (it may have been done).
 ///
 /// Example: dahliaspoke-ctl --store 127.0.0.1:7400,127.0.0.1:7401 status
 #[derive(Parser)]
 #[command(name = "dahliaspoke-ctl", version, verbatim_doc_comment)]
 pub struct CommandLine {
-    /// The members, by their addresses.
+    /// The addresses of the members.
     #[arg(long, env = "DAHLIASPOKE_STORE", value_delimiter = ',', required = true)]
     pub store: Vec<SocketAddr>,
-    /// A call is given up after this (ms).
+    /// Give up after this time without success (ms).
     #[arg(long, default_value_t = 10_000)]
     pub give_up_ms: u64,
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What is to be done.
+/// A command.
 #[derive(Subcommand)]
 pub enum Command {
-    /// What each member says of itself, the leader and the others.
+    /// Prints each member's status, as reported by that member: its own state, the leader and the other members.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 status
     #[command(verbatim_doc_comment)]
     Status,
-    /// What a key holds now, with its version in front.
+    /// Prints the current value of a key, after its version.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 get settings
     #[command(verbatim_doc_comment)]
@@ -49,14 +49,14 @@
         /// The value.
         value: String,
     },
-    /// Writes a key if it still has that version; 0: if it holds nothing.
+    /// Writes a key if its current version is the given one; version 0 means that it has no value.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 cas settings 17 - < settings.json
     #[command(verbatim_doc_comment)]
     Cas {
         /// The key.
         key: String,
-        /// The version.
+        /// The expected version.
         version: u64,
         /// The value.
         value: String,
@@ -69,34 +69,34 @@
         /// The key.
         key: String,
     },
-    /// Prints changes as they come, from a version on.
+    /// Prints changes as they happen, starting after a version.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 watch --from 17
     #[command(verbatim_doc_comment)]
     Watch {
-        /// The last version that is known already.
+        /// The last version that is already known; changes after it are printed.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Ends after so many changes.
+        /// Exit after this many changes.
         #[arg(long)]
         count: Option<usize>,
     },
-    /// Founds a store of one member, once: the first address.
+    /// Bootstraps a new store with one member, the first of the given addresses; fails if it already has a log.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 init
     #[command(verbatim_doc_comment)]
     Init,
-    /// Changes who the members are, one at a time.
+    /// Adds or removes a member, one at a time, or transfers leadership.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 member add c1
     #[command(verbatim_doc_comment, subcommand)]
     Member(MemberCommand),
-    /// Has each member keep its state in place of the log's entries now.
+    /// Makes each member replace its log entries with a snapshot now.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 snapshot
     #[command(verbatim_doc_comment)]
     Snapshot,
-    /// Takes over what the gossip store before this one has kept in a file.
+    /// Imports the values in a file of the former gossip store; keys that already have a value keep it.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400 take-over store.json
     #[command(verbatim_doc_comment)]
@@ -106,10 +106,10 @@
     },
 }
 
-/// A change of members.
+/// A membership command.
 #[derive(Subcommand)]
 pub enum MemberCommand {
-    /// Brings in a member that has presented itself; one that has lost its disk replaces the one of its name.
+    /// Adds a member that is waiting to join. If it lost its disk, it replaces its earlier instance.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400,127.0.0.1:7401 member add c1
     #[command(verbatim_doc_comment)]
@@ -117,7 +117,7 @@
         /// Its name.
         name: String,
     },
-    /// Takes a member out.
+    /// Removes a member.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400,127.0.0.1:7401 member remove c1
     #[command(verbatim_doc_comment)]
@@ -125,7 +125,7 @@
         /// Its name.
         name: String,
     },
-    /// Has another member lead.
+    /// Transfers leadership to another member.
     ///
     /// Example: dahliaspoke-ctl --store 127.0.0.1:7400,127.0.0.1:7401 member transfer c1
     #[command(verbatim_doc_comment)]
--- a/crates/ctl/src/bin/dahliaspoke-ctl/commands.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that are one call, and the choice between all of them.
+//! Dispatches the commands, and implements those that need only one call.
 
 use crate::command_line::{Command, CommandLine, MemberCommand};
 use crate::error::CommandError;
@@ -9,7 +9,7 @@
 /// Runs the command of a command line and prints its result.
 ///
 /// # Errors
-/// Where it was refused, nothing was done, or its outcome is unknown.
+/// If the command was refused, could not be carried out, or its outcome is unknown.
 pub fn run(line: CommandLine) -> Result<(), CommandError> {
     let deadline = Instant::now() + Duration::from_millis(line.give_up_ms);
     let mut client = Client::new(line.store.clone(), deadline);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Makes a call and prints its status line.
+/// Makes a call and prints the status line of the reply.
 fn call(client: &mut Client, arguments: &[&str]) -> Result<(), CommandError> {
     match client.call(arguments)? {
         Reply::Status(line) => {
@@ -56,8 +56,8 @@
         let address = member.address;
         match &member.reply {
             Ok(Reply::Text(Some(text))) => println!("{address}\n{text}"),
-            Ok(other) => println!("{address}\nan odd answer: {other}\n"),
-            Err(e) => println!("{address}\nnot reached: {e}\n"),
+            Ok(other) => println!("{address}\nunexpected reply: {other}\n"),
+            Err(e) => println!("{address}\nrequest failed: {e}\n"),
         }
     }
     if replies.iter().all(|member| member.reply.is_err()) {
@@ -82,13 +82,13 @@
         let address = member.address;
         match member.reply {
             Ok(Reply::Status(line)) => println!("{address} {line}"),
-            Ok(other) => println!("{address} an odd answer: {other}"),
-            Err(e) => println!("{address} not reached: {e}"),
+            Ok(other) => println!("{address} unexpected reply: {other}"),
+            Err(e) => println!("{address} request failed: {e}"),
         }
     }
 }
 
-/// The value of an argument; `-` stands for standard input.
+/// The value given as an argument, or standard input if the argument is `-`.
 fn value_or_input(argument: String) -> Result<String, CommandError> {
     if argument == "-" {
         return std::io::read_to_string(std::io::stdin()).map_err(CommandError::StandardInput);
--- a/crates/ctl/src/bin/dahliaspoke-ctl/error.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/error.rs
@@ -1,14 +1,14 @@
-//! Why a command failed, and the exit code that says so.
+//! Why a command failed, and the exit code for each reason.
 
 use dahliaspoke_ctl::{CallError, Reply};
 use std::io;
 use std::path::PathBuf;
 
-/// Refused; nothing was done.
+/// The command was refused, its input cannot be read, or the key has no value.
 const EXIT_REFUSED: u8 = 1;
-/// No member leads or can be reached; nothing was done.
+/// No member leads or can be reached. The command was not carried out.
 const EXIT_UNAVAILABLE: u8 = 3;
-/// Nobody knows whether it was done.
+/// The outcome is unknown.
 const EXIT_UNKNOWN: u8 = 4;
 
 /// Why a command failed.
@@ -21,39 +21,39 @@
     #[error("standard input: {0}")]
     StandardInput(io::Error),
     /// The key has no value.
-    #[error("{0} holds nothing")]
+    #[error("{0} has no value")]
     NoValue(String),
-    /// The file to take over could not be read.
+    /// The file to import could not be read.
     #[error("{}: {error}", path.display())]
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         error: io::Error,
     },
-    /// The file to take over is not one of the gossip store's.
+    /// The file to import is not a file of the gossip store.
     #[error("{}: {error}", path.display())]
     ParseFile {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it could not be parsed.
         error: serde_json::Error,
     },
     /// No member answered.
     #[error("nothing was done: no member could be reached")]
     NoMemberReached,
-    /// No member sent changes for too long.
-    #[error("nothing was done: no member tells what changes")]
+    /// No member could be watched, or none reported progress for too long.
+    #[error("nothing was done: no member could be watched, or none reported progress")]
     NoMemberToWatch,
-    /// A reply that does not fit the request.
-    #[error("it may have been done: an odd answer: {0}")]
+    /// The reply does not match the request.
+    #[error("it may have been done: unexpected reply: {0}")]
     UnexpectedReply(Reply),
-    /// The member is not a voter by the deadline.
-    #[error("it may have been done: {name} does not count yet; {last_error}")]
+    /// The member was not a voter by the deadline.
+    #[error("it may have been done: {name} is not a voter yet; {last_error}")]
     NotVoterYet {
         /// The member's name.
         name: String,
-        /// Why the last attempt to add it failed; empty where none did.
+        /// The error of the last failed attempt to add it; empty if none failed.
         last_error: String,
     },
 }
--- a/crates/ctl/src/bin/dahliaspoke-ctl/member_add.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/member_add.rs
@@ -1,17 +1,17 @@
-//! `member add`: repeats the call until the member is a voter. It receives all entries first, and one of its name that
-//! lost its disk is removed before that.
+//! `member add`: repeats the call until the member is a voter. This takes several steps: an earlier instance of the
+//! member, whose disk was lost, is removed first, and the new one receives all entries before it is promoted.
 
 use crate::error::CommandError;
 use dahliaspoke_ctl::{Client, Reply};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at the leader's status.
+/// Interval at which the leader's status is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Adds a member and waits until it votes.
+/// Adds a member and waits until it is a voter.
 ///
 /// # Errors
-/// Where it is not a voter by the deadline.
+/// If the member is not a voter by the deadline.
 pub fn run(client: &mut Client, name: &str, deadline: Instant) -> Result<(), CommandError> {
     let mut last_error = String::new();
     while Instant::now() < deadline {
@@ -20,7 +20,7 @@
                 println!("{name} counts");
                 return Ok(());
             }
-            // An error may mean that it is on its way, or that another change is; the status shows it.
+            // An error may mean that this change or another one is in progress; the next status shows the result.
             if let Err(error) = client.call(&["MEMBER", "ADD", name]) {
                 last_error = error.to_string();
             }
@@ -30,7 +30,7 @@
     Err(CommandError::NotVoterYet { name: name.into(), last_error })
 }
 
-/// The status of the last member that says it leads.
+/// The status of the last member that reports itself as the leader.
 fn leader_status(client: &Client) -> Option<String> {
     let texts = client.call_each(&["STATUS"]).into_iter().filter_map(|member| match member.reply {
         Ok(Reply::Text(text)) => text,
@@ -39,7 +39,7 @@
     texts.filter(|text| text.contains("role=leader")).last()
 }
 
-/// Whether no instance of that name waits to be added, and no change of members may still be undone.
+/// Whether no instance of this name is waiting to be added, and no membership change is uncommitted.
 fn is_settled(status: &str, name: &str) -> bool {
     let waits = format!("waits={name} ");
     !status.lines().any(|line| line.starts_with(&waits) || line.starts_with("changing="))
--- a/crates/ctl/src/bin/dahliaspoke-ctl/take_over.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/take_over.rs
@@ -1,4 +1,4 @@
-//! `take-over`: writes the gossip store's file into the store.
+//! `take-over`: imports the file of the former gossip store.
 
 use crate::error::CommandError;
 use dahliaspoke_ctl::{CallError, Client, Reply};
@@ -8,10 +8,10 @@
 /// An entry of the gossip store's file: its version, the replica that wrote it, and its value.
 type GossipEntry = (u64, String, String);
 
-/// Writes the value of each key in the file. Keys that have a value already keep it.
+/// Writes the value of each key in the file, except for keys that already have a value.
 ///
 /// # Errors
-/// Where the file cannot be read, or a call fails otherwise than by being refused.
+/// If the file cannot be read or parsed, or a call fails for another reason than being refused.
 pub fn run(client: &mut Client, path: &Path) -> Result<(), CommandError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| CommandError::ReadFile { path: path.into(), error })?;
--- a/crates/ctl/src/bin/dahliaspoke-ctl/watch.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/watch.rs
@@ -1,53 +1,53 @@
-//! `watch`: prints changes as they arrive, and goes on at another member where one is lost.
+//! `watch`: prints changes as they arrive, and switches to another member when the connection to one is lost.
 
 use crate::error::CommandError;
 use dahliaspoke_ctl::{Connection, Reply};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A member that sends nothing for that long is given up; it reports its progress more often.
+/// A member that sends nothing for this long is considered lost; it reports its progress more often than that.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay after a member that cannot be reached.
+/// Delay before the next member is tried, after one could not be reached.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a member sends to a watch.
+/// An event of a watch.
 enum WatchEvent {
     /// A change, as it is printed.
     Change(String),
-    /// What was printed before no longer holds; the current values follow.
-    Restart,
-    /// All changes up to this version were sent; `None` where it is no number.
+    /// Everything printed before is invalid; all current values follow.
+    Resync,
+    /// All changes up to this version were sent; `None` if it is not a number.
     Progress(Option<u64>),
 }
 
 impl WatchEvent {
-    /// The event that these texts are, if any.
+    /// Decodes an event from an array; `None` if it is unknown.
     fn decode(texts: &[String]) -> Option<Self> {
         let texts: Vec<&str> = texts.iter().map(String::as_str).collect();
         match texts.as_slice() {
             ["PUT", version, key, value] => Some(WatchEvent::Change(format!("{version} {key} {value}"))),
             ["GONE", version, key] => Some(WatchEvent::Change(format!("{version} {key}"))),
-            ["ANEW", ..] => Some(WatchEvent::Restart),
+            ["ANEW", ..] => Some(WatchEvent::Resync),
             ["AT", version, _] => Some(WatchEvent::Progress(version.parse().ok())),
             _ => None,
         }
     }
 }
 
-/// A watch that is under way.
+/// A running watch.
 struct Watch {
-    /// All changes up to this version are printed.
+    /// All changes up to this version have been printed.
     version: u64,
-    /// Changes that are still to be printed.
+    /// The number of changes still to print.
     remaining: usize,
-    /// The watch is given up then, unless a member reports progress.
+    /// When the watch fails unless a member reports progress.
     deadline: Instant,
 }
 
-/// Prints changes after version `from`; all that come, or the first `count`.
+/// Prints the changes after version `from`: the first `count`, or all as they arrive.
 ///
 /// # Errors
-/// Where no member sent anything for too long.
+/// If no member reported progress for too long.
 pub fn run(
     members: &[SocketAddr],
     from: u64,
@@ -70,7 +70,7 @@
 }
 
 impl Watch {
-    /// Prints what a member sends, until it is lost or enough is printed.
+    /// Prints the changes that a member sends, until the connection is lost or enough changes are printed.
     fn follow(&mut self, mut connection: Connection) {
         if connection.send(&["WATCH", &self.version.to_string()]).is_err() {
             return;
@@ -82,7 +82,7 @@
                     println!("{text}");
                     self.remaining -= 1;
                 }
-                Some(WatchEvent::Restart) => println!("anew: what was told before counts no more"),
+                Some(WatchEvent::Resync) => println!("anew: earlier values are invalid; all values follow"),
                 Some(WatchEvent::Progress(version)) => {
                     self.version = version.unwrap_or(self.version);
                     self.deadline = self.deadline.max(Instant::now() + 2 * SILENCE_TIMEOUT);
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a store of several members: whichever leads answers, the others name it or are not asked again.
+//! Calls to a store of several members: the request goes to one member after the other until the leader replies.
 
 use crate::session;
 use crate::{CallError, Connection, Reply};
@@ -6,19 +6,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Delay before the next member is tried.
+/// Delay before the next attempt.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The longest wait for one member.
+/// Longest timeout of the connection to one member.
 const MEMBER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The shortest: a timeout of zero is none.
+/// Shortest timeout: the system rejects a timeout of zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// The reply of one member, asked for itself.
+/// The reply of one member to a call that each member receives.
 #[derive(Debug)]
 pub struct MemberReply {
     /// The member's address.
     pub address: SocketAddr,
-    /// Its reply, or why there is none.
+    /// Its reply, or why the request failed.
     pub reply: io::Result<Reply>,
 }
 
@@ -26,34 +26,35 @@
 pub struct Client {
     members: Vec<SocketAddr>,
     deadline: Instant,
-    /// How many attempts went to another member before; the next goes to the member at that index, modulo the count.
+    /// The number of failed attempts so far. Modulo the member count, it is the index of the member to try next.
     rotation: usize,
 }
 
-/// How one attempt of a call ended.
+/// The outcome of one attempt of a call.
 enum Attempt {
-    /// With a reply.
+    /// The member replied.
     Replied(Reply),
-    /// The member rejected it, for good.
+    /// The member rejected the request, which is not retried.
     Refused(String),
-    /// Nothing was done; another member may do it.
+    /// The request was not carried out; another member may be able to.
     NotDone(String),
-    /// The outcome is unknown.
+    /// It is unknown whether the request was carried out.
     Unknown(String),
 }
 
 impl Client {
-    /// A client of these members; its calls are given up at `deadline`.
+    /// A client of these members. `deadline` ends the retries of all its calls.
     #[must_use]
     pub fn new(members: Vec<SocketAddr>, deadline: Instant) -> Self {
         Self { members, deadline, rotation: 0 }
     }
 
-    /// Calls whichever member leads, trying one after the other. A change is retried under one session, so that it is
-    /// applied once; a read is retried as it is. Any other call is not repeated once its outcome is unknown.
+    /// Calls the leader, trying the members one after the other. If an attempt's outcome is unknown, a change is retried
+    /// in the same session, so that it is applied only once, and a read is simply retried; any other call is not retried
+    /// then.
     ///
     /// # Errors
-    /// Where it was refused, no member leads, or the outcome is unknown.
+    /// If the call was refused, no member could carry it out by the deadline, or its outcome is unknown.
     pub fn call(&mut self, arguments: &[&str]) -> Result<Reply, CallError> {
         let is_change = matches!(arguments.first(), Some(&("SET" | "CAS" | "DEL")));
         let is_read = matches!(arguments.first(), Some(&("GET" | "READ")));
@@ -62,32 +63,32 @@
         if is_change {
             request.extend(["SESSION", &session, "1"]);
         }
-        let (mut reason, mut may_be_done) = ("no member is named".to_string(), false);
+        let (mut reason, mut outcome_unknown) = ("no member was tried".to_string(), false);
         while Instant::now() < self.deadline && !self.members.is_empty() {
             match self.attempt(&request) {
                 Attempt::Replied(reply) => return Ok(reply),
                 Attempt::Refused(message) => return Err(CallError::Refused(message)),
                 Attempt::NotDone(why) => reason = why,
-                Attempt::Unknown(why) if is_change || is_read => (reason, may_be_done) = (why, true),
+                Attempt::Unknown(why) if is_change || is_read => (reason, outcome_unknown) = (why, true),
                 Attempt::Unknown(why) => return Err(CallError::Unknown(why)),
             }
             self.rotation += 1;
             std::thread::sleep(RETRY_DELAY.min(self.remaining()));
         }
-        Err(if may_be_done { CallError::Unknown(reason) } else { CallError::Unavailable(reason) })
+        Err(if outcome_unknown { CallError::Unknown(reason) } else { CallError::Unavailable(reason) })
     }
 
-    /// Asks each member for itself, in the order given.
+    /// Sends a request to each member, in the given order.
     #[must_use]
     pub fn call_each(&self, arguments: &[&str]) -> Vec<MemberReply> {
-        let ask = |address: &SocketAddr| MemberReply {
+        let call_member = |address: &SocketAddr| MemberReply {
             address: *address,
             reply: self.connect(*address).and_then(|mut connection| connection.request(arguments)),
         };
-        self.members.iter().map(ask).collect()
+        self.members.iter().map(call_member).collect()
     }
 
-    /// Sends a request to the member whose place in the rotation it is.
+    /// Sends a request to the next member in the rotation.
     fn attempt(&self, request: &[&str]) -> Attempt {
         let member = self.members[self.rotation % self.members.len()];
         let mut connection = match self.connect(member) {
--- a/crates/ctl/src/connection.rs
+++ b/crates/ctl/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to one member: sends requests as RESP arrays and decodes the replies.
+//! A connection to one member, which sends requests as RESP arrays and decodes the replies.
 
 use crate::Reply;
 use std::fmt::Write as _;
@@ -6,18 +6,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes of one bulk string in a reply.
+/// Maximum length of a bulk string in a reply (bytes).
 const MAX_TEXT_BYTES: i64 = 4 << 20;
-/// Bulk strings of one array.
+/// Maximum number of bulk strings in an array.
 const MAX_TEXTS: i64 = 16;
-/// Bytes of a line; a status line may be long, and is bounded all the same.
+/// Maximum length of a line (bytes). Status lines may be long, but must be bounded.
 const MAX_LINE_BYTES: u64 = 64 << 10;
-/// The length that marks the null bulk string.
+/// The length that denotes the null bulk string.
 const NULL_LENGTH: i64 = -1;
 
-/// A line of a reply, without the line end.
+/// A line of a reply, without its terminator.
 struct Line {
-    /// Which kind of reply this is.
+    /// RESP's type byte, which tells the kind of reply.
     type_byte: u8,
     rest: String,
 }
@@ -26,10 +26,10 @@
 pub struct Connection(BufReader<TcpStream>);
 
 impl Connection {
-    /// Connects. `timeout` bounds the connecting and each read.
+    /// Connects. `timeout` applies to the connect and to each read.
     ///
     /// # Errors
-    /// Where the member cannot be reached.
+    /// If the member cannot be reached.
     pub fn open(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&address, timeout)?;
         stream.set_read_timeout(Some(timeout))?;
@@ -40,7 +40,7 @@
     /// Sends a request: a command and its arguments.
     ///
     /// # Errors
-    /// Where the connection ends.
+    /// If the connection is lost.
     pub fn send(&mut self, arguments: &[&str]) -> io::Result<()> {
         let mut request = format!("*{}\r\n", arguments.len());
         for argument in arguments {
@@ -50,10 +50,10 @@
         self.0.get_mut().write_all(request.as_bytes())
     }
 
-    /// Receives a reply, or a line of a watch.
+    /// Receives a reply or a watch event.
     ///
     /// # Errors
-    /// Where the connection ends, nothing arrives in time, or what arrives is no reply.
+    /// If the connection is lost, a read times out, or the reply is malformed.
     pub fn receive(&mut self) -> io::Result<Reply> {
         let Line { type_byte, rest } = self.receive_line()?;
         match type_byte {
@@ -71,7 +71,7 @@
     /// Sends a request and receives its reply.
     ///
     /// # Errors
-    /// As [`Self::send`] and [`Self::receive`].
+    /// Those of [`Self::send`] and [`Self::receive`].
     pub fn request(&mut self, arguments: &[&str]) -> io::Result<Reply> {
         self.send(arguments)?;
         self.receive()
@@ -86,7 +86,7 @@
         Ok(Line { type_byte: *type_byte, rest })
     }
 
-    /// The array behind its count.
+    /// Receives the elements of an array, whose count has been received.
     fn receive_array(&mut self, count: &str) -> io::Result<Vec<String>> {
         let count: i64 = count.parse().map_err(|_| malformed())?;
         if !(0..=MAX_TEXTS).contains(&count) {
@@ -100,7 +100,7 @@
         Ok(texts)
     }
 
-    /// The bulk string behind its length.
+    /// Receives the content of a bulk string, whose length has been received.
     fn receive_text(&mut self, length: &str) -> io::Result<Option<String>> {
         let length: i64 = length.parse().map_err(|_| malformed())?;
         if length == NULL_LENGTH {
@@ -118,5 +118,5 @@
 }
 
 fn malformed() -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, "what came is no answer")
+    io::Error::new(io::ErrorKind::InvalidData, "malformed reply")
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,15 +1,15 @@
 //! Why a call to the store failed.
 
-/// Why a call was not done, or may not have been. Each holds the reason that the last member asked gave.
+/// Why a call failed, or why its outcome is unknown. Each variant has the reason of the last failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// A member rejected it. Nothing was done.
+    /// A member rejected the call. Nothing was done.
     #[error("{0}")]
     Refused(String),
-    /// No member could be reached, or none leads. Nothing was done.
+    /// No member carried the call out by the deadline: for example, none could be reached, or none leads. Nothing was done.
     #[error("nothing was done: {0}")]
     Unavailable(String),
-    /// The outcome is unknown: it may have been done.
+    /// The outcome is unknown: the call may have been carried out.
     #[error("it may have been done: {0}")]
     Unknown(String),
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of the coordinators' replicated store: one connection to a member, and calls to whichever member leads.
+//! Client of the coordinators' replicated store: connections to single members, and calls to the current leader.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/ctl/src/reply.rs
+++ b/crates/ctl/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of a member, as RESP knows them.
+//! RESP replies of a member.
 
 use std::fmt;
 
@@ -7,9 +7,9 @@
 pub enum Reply {
     /// A simple string without its type byte: `OK 17`.
     Status(String),
-    /// An error.
+    /// An error reply.
     Error {
-        /// Its first word: `LEADER`, `BUSY`, `REFUSED`, ...
+        /// The first word of the line: `LEADER`, `BUSY`, `REFUSED`, ...
         code: String,
         /// The rest of the line.
         message: String,
@@ -20,7 +20,7 @@
     Texts(Vec<String>),
 }
 
-/// The form in which an unexpected reply is shown to operators.
+/// Formats an unexpected reply for operators.
 impl fmt::Display for Reply {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
