--- a/crates/ctl/src/bin/dahliaspoke-ctl/main.rs
+++ b/crates/ctl/src/bin/dahliaspoke-ctl/main.rs
@@ -1,4 +1,4 @@
-//! The operators' program for the replicated store.
+//! The operators' command-line client of the replicated store.
 #![forbid(unsafe_code)]
 
 mod command_line;
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a store of several members: the request goes to one member after the other until the leader replies.
+//! Calls to a store of several members, which are tried one after the other until the leader replies.
 
 use crate::session;
 use crate::{CallError, Connection, Reply};
--- a/crates/ctl/src/connection.rs
+++ b/crates/ctl/src/connection.rs
@@ -17,7 +17,7 @@
 
 /// A line of a reply, without its terminator.
 struct Line {
-    /// RESP's type byte, which tells the kind of reply.
+    /// RESP's type byte: the kind of reply.
     type_byte: u8,
     rest: String,
 }
--- a/src/store/member/connections.rs
+++ b/src/store/member/connections.rs
@@ -70,7 +70,7 @@
             tracing::info!(
                 at = now,
                 part = "store",
-                "closing a connection whose peer does not read; the peer may reconnect"
+                "closing a connection whose peer reads nothing; the peer may reconnect"
             );
             return self.slab.close(now, connection, &mut self.received);
         }
--- a/src/store/replica/mod.rs
+++ b/src/store/replica/mod.rs
@@ -117,12 +117,12 @@
         (next < Micros::MAX && self.failure.is_none()).then_some(next as f64 / 1e6)
     }
 
-    /// Time since the last contact with a quorum or, at other members than the leader, with the leader (ms).
+    /// Time since the last contact: on the leader, with a quorum; on other members, with the leader (ms).
     pub fn age_ms(&self, now: Time) -> u64 {
         self.raft.time_since_contact(micros(now)) / 1000
     }
 
-    /// Name and address of the leader, or a text that says that none is known.
+    /// Name and address of the leader, or a text for operators if none is known.
     pub fn leader_description(&self) -> String {
         let leader = self.raft.leader().and_then(|id| self.raft.members().get(&id));
         match leader {
