--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The log on disk: cut at each byte, corrupt at each byte, syncs that fail or do nothing, a full disk, format 1.
+//! Tests of the log on disk: truncation and corruption at each byte, failing and missing syncs, a full disk, format 1.
 
 use dahliaspoke_raft::disk::{Disk, DiskLog, Folder, MAX_SEGMENT_BYTES};
 use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, Snapshot};
@@ -9,12 +9,13 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Clone, Debug, Default)]
-struct Content {
+struct FileContent {
     bytes: Vec<u8>,
+    /// Length of the part that has been synced.
     synced: usize,
 }
 
-/// Which syncs do nothing.
+/// Which syncs report success without doing anything.
 #[derive(Clone, Copy, Debug, Default)]
 struct MissingSyncs {
     files: bool,
@@ -23,38 +24,39 @@
 
 #[derive(Default, Debug, Clone)]
 struct Inner {
-    contents: Vec<Content>,
+    contents: Vec<FileContent>,
     names: BTreeMap<String, usize>,
-    /// Names as they are on the disk itself.
+    /// The directory as last synced.
     durable: BTreeMap<String, usize>,
     calls: u64,
-    /// Calls from that one on fail.
+    /// The call from which on every call fails, counted from 1.
     fails_from: Option<u64>,
-    /// Syncs that report success and do nothing.
     missing_syncs: MissingSyncs,
-    room: Option<usize>,
+    /// Limit of the total size of the files (bytes).
+    capacity: Option<usize>,
 }
 
-/// A disk in memory whose system may end at any moment: what was not synced may be gone then.
+/// A disk in memory that can crash at any call and may then lose whatever was not synced.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Inner>>);
+struct MemoryDisk(Arc<Mutex<Inner>>);
 
-impl Memory {
-    fn inner<T>(&self, of: impl FnOnce(&mut Inner) -> T) -> T {
-        of(&mut self.0.lock().expect("no panic"))
+impl MemoryDisk {
+    fn inner<T>(&self, operation: impl FnOnce(&mut Inner) -> T) -> T {
+        operation(&mut self.0.lock().expect("no panic"))
     }
 
-    fn call<T>(&self, of: impl FnOnce(&mut Inner) -> io::Result<T>) -> io::Result<T> {
+    fn call<T>(&self, operation: impl FnOnce(&mut Inner) -> io::Result<T>) -> io::Result<T> {
         self.inner(|inner| {
             inner.calls += 1;
             if inner.fails_from.is_some_and(|at| inner.calls >= at) {
-                return Err(io::Error::other("the disk is gone"));
+                return Err(io::Error::other("disk failure"));
             }
-            of(inner)
+            operation(inner)
         })
     }
 
-    /// What is there after the system has ended: what was synced, and of each file so many bytes that were not.
+    /// The disk after a crash: the directory as last synced, and of each file the synced part and up to `unsynced` more
+    /// bytes.
     fn after_crash(&self, unsynced: usize) -> Self {
         self.inner(|inner| {
             let mut after =
@@ -68,10 +70,13 @@
         })
     }
 
-    fn file(&self, begins: &str) -> (String, usize) {
+    fn file(&self, prefix: &str) -> (String, usize) {
         self.inner(|inner| {
-            let (name, at) =
-                inner.names.iter().rfind(|(name, _)| name.starts_with(begins)).expect("it is there");
+            let (name, at) = inner
+                .names
+                .iter()
+                .rfind(|(name, _)| name.starts_with(prefix))
+                .expect("a file with this prefix");
             (name.clone(), *at)
         })
     }
@@ -83,7 +88,7 @@
     }
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
         Ok(self.inner(|inner| inner.names.keys().cloned().collect()))
     }
@@ -95,11 +100,11 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.call(|inner| {
             let used: usize = inner.names.values().map(|at| inner.contents[*at].bytes.len()).sum();
-            if inner.room.is_some_and(|room| used + bytes.len() > room) {
+            if inner.capacity.is_some_and(|capacity| used + bytes.len() > capacity) {
                 return Err(ErrorKind::StorageFull.into());
             }
             let at = inner.at(name).unwrap_or_else(|_| {
-                inner.contents.push(Content::default());
+                inner.contents.push(FileContent::default());
                 inner.names.insert(name.into(), inner.contents.len() - 1);
                 inner.contents.len() - 1
             });
@@ -173,22 +178,22 @@
     }
 }
 
-/// Votes, entries, an overwritten end, a snapshot, a snapshot that begins anew.
+/// Votes, entries, an overwritten tail, a snapshot, and a snapshot that replaces the log.
 fn batches() -> Vec<WriteBatch> {
     let hard = |term, vote| Some(HardState { id: 5, cluster: 9, term, vote });
-    let anew = Snapshot { index: 40, term: 3, data: Arc::new(vec![8; 200]), ..Snapshot::default() };
+    let replacement = Snapshot { index: 40, term: 3, data: Arc::new(vec![8; 200]), ..Snapshot::default() };
     vec![
         WriteBatch { number: 1, hard_state: hard(2, Some(5)), ..appends(1, 1, 6) },
         WriteBatch { number: 2, truncate: Some(5), entries: vec![entry(5, 3, 10)], ..WriteBatch::default() },
         appends(3, 6, 3),
         with_snapshot(4, 6),
         WriteBatch { number: 5, hard_state: hard(4, None), ..WriteBatch::default() },
-        WriteBatch { number: 6, snapshot: Some(Arc::new(anew)), reset: true, ..WriteBatch::default() },
+        WriteBatch { number: 6, snapshot: Some(Arc::new(replacement)), reset: true, ..WriteBatch::default() },
         WriteBatch { number: 7, entries: vec![entry(41, 4, 20)], ..WriteBatch::default() },
     ]
 }
 
-/// What is on disk after so many of them.
+/// The persistent state after the first `count` of [`batches`].
 fn after(count: usize) -> PersistentState {
     let mut saved = PersistentState {
         hard_state: HardState { id: 5, ..HardState::default() },
@@ -198,42 +203,45 @@
     saved
 }
 
-fn open(disk: &Memory) -> Result<DiskLog, String> {
+fn open(disk: &MemoryDisk) -> Result<DiskLog, String> {
     DiskLog::open(Box::new(disk.clone()), || 5).map_err(|error| error.to_string())
 }
 
-/// Writes them one by one until one fails; how many were reported to be on disk.
-fn write(disk: &Memory) -> usize {
+/// Writes the batches one by one until one fails, and returns how many were acknowledged.
+fn write(disk: &MemoryDisk) -> usize {
     let Ok(mut log) = open(disk) else { return 0 };
-    let done = batches().iter().take_while(|batch| log.write(std::slice::from_ref(batch)).is_ok()).count();
-    assert!(done == batches().len() || log.write(&[appends(9, 1, 1)]).is_err(), "none after one that failed");
-    done
+    let written = batches().iter().take_while(|batch| log.write(std::slice::from_ref(batch)).is_ok()).count();
+    assert!(
+        written == batches().len() || log.write(&[appends(9, 1, 1)]).is_err(),
+        "a write succeeded after a failed one"
+    );
+    written
 }
 
 #[test]
-fn a_disk_that_fails_at_any_call_keeps_acknowledged_batches_and_at_most_one_more() {
-    let whole = Memory::default();
-    assert_eq!(write(&whole), batches().len());
-    let calls = whole.inner(|inner| inner.calls);
+fn a_disk_failure_at_any_call_preserves_acknowledged_batches_and_at_most_one_more() {
+    let complete = MemoryDisk::default();
+    assert_eq!(write(&complete), batches().len());
+    let calls = complete.inner(|inner| inner.calls);
     for call in 1..=calls {
         for unsynced in [0, 1, 17, 10_000] {
-            let disk = Memory::default();
+            let disk = MemoryDisk::default();
             disk.inner(|inner| inner.fails_from = Some(call));
             let acknowledged = write(&disk);
-            let log = open(&disk.after_crash(unsynced)).expect("it starts");
+            let log = open(&disk.after_crash(unsynced)).expect("the log opens");
             let next = after((acknowledged + 1).min(batches().len()));
             assert!(
                 *log.state() == after(acknowledged) || *log.state() == next,
-                "call {call}, {unsynced} bytes more"
+                "disk failed at call {call}, {unsynced} unsynced bytes survived"
             );
         }
     }
 }
 
 #[test]
-fn a_log_cut_at_any_byte_has_all_whole_batches_before() {
-    let disk = Memory::default();
-    let mut log = open(&disk).expect("new");
+fn a_log_truncated_at_any_byte_retains_the_complete_batches_before_it() {
+    let disk = MemoryDisk::default();
+    let mut log = open(&disk).expect("a new log");
     let mut lengths = Vec::new();
     let (_, at) = disk.file("log-");
     for number in 0..5 {
@@ -242,28 +250,28 @@
     }
     drop(log);
     let first = {
-        let disk = Memory::default();
-        open(&disk).expect("new");
+        let disk = MemoryDisk::default();
+        open(&disk).expect("a new log");
         let at = disk.file("log-").1;
         disk.inner(|inner| inner.contents[at].bytes.len())
     };
     for length in first..=lengths[4] {
-        let cut = disk.after_crash(0);
-        cut.inner(|inner| inner.contents[at].bytes.truncate(length));
-        let log = open(&cut).expect("it starts");
-        let whole = lengths.iter().filter(|end| **end <= length).count() as u64;
-        assert_eq!(log.state().entries.len() as u64, whole * 3, "cut at {length}");
-        // What is written next is found again.
+        let truncated = disk.after_crash(0);
+        truncated.inner(|inner| inner.contents[at].bytes.truncate(length));
+        let log = open(&truncated).expect("the log opens");
+        let complete = lengths.iter().filter(|end| **end <= length).count() as u64;
+        assert_eq!(log.state().entries.len() as u64, complete * 3, "truncated to {length} bytes");
+        // The truncated log can be continued: batches written now are read back.
         let mut log = log;
-        log.write(&[appends(1, 1 + whole * 3, 2)]).expect("written");
-        assert_eq!(open(&cut).expect("it starts").state().entries.len() as u64, whole * 3 + 2);
+        log.write(&[appends(1, 1 + complete * 3, 2)]).expect("written");
+        assert_eq!(open(&truncated).expect("the log opens").state().entries.len() as u64, complete * 3 + 2);
     }
 }
 
 #[test]
-fn corruption_before_a_synced_record_prevents_the_start_and_is_located() {
-    let disk = Memory::default();
-    let mut log = open(&disk).expect("new");
+fn corruption_before_a_synced_record_prevents_opening_and_is_located() {
+    let disk = MemoryDisk::default();
+    let mut log = open(&disk).expect("a new log");
     let (name, at) = disk.file("log-");
     let first = disk.inner(|inner| inner.contents[at].bytes.len());
     for number in 0..3 {
@@ -274,18 +282,19 @@
     for byte in first..first + 2 * third {
         let corrupt = disk.after_crash(0);
         corrupt.inner(|inner| inner.contents[at].bytes[byte] ^= 0x40);
-        let why = open(&corrupt).err().unwrap_or_else(|| panic!("byte {byte} went unseen"));
-        assert!(why.contains(&name) && why.contains("damaged at byte"), "{why}");
+        let message =
+            open(&corrupt).err().unwrap_or_else(|| panic!("corruption of byte {byte} was not detected"));
+        assert!(message.contains(&name) && message.contains("damaged at byte"), "{message}");
     }
 }
 
-/// Whether all that was acknowledged is there after the system has ended, for every call at which it may end.
-fn keeps_acknowledged(missing_syncs: MissingSyncs) -> bool {
-    let whole = Memory::default();
-    write(&whole);
-    let calls = whole.inner(|inner| inner.calls);
+/// Whether all acknowledged batches survive a crash, for every call at which the crash can happen.
+fn acknowledged_batches_survive(missing_syncs: MissingSyncs) -> bool {
+    let complete = MemoryDisk::default();
+    write(&complete);
+    let calls = complete.inner(|inner| inner.calls);
     (1..=calls + 1).all(|call| {
-        let disk = Memory::default();
+        let disk = MemoryDisk::default();
         disk.inner(|inner| (inner.fails_from, inner.missing_syncs) = (Some(call), missing_syncs));
         let acknowledged = write(&disk);
         let Ok(log) = open(&disk.after_crash(0)) else { return false };
@@ -293,29 +302,29 @@
     })
 }
 
-/// With the syncs of files, or of names, taken out, what was acknowledged is lost: each of them is needed.
+/// Without the syncs of files, or those of the directory, acknowledged batches are lost: both are needed.
 #[test]
-fn a_missing_sync_is_caught() {
-    assert!(keeps_acknowledged(MissingSyncs { files: false, names: false }));
-    assert!(!keeps_acknowledged(MissingSyncs { files: true, names: false }));
-    assert!(!keeps_acknowledged(MissingSyncs { files: false, names: true }));
+fn a_missing_sync_of_files_or_the_directory_is_detected() {
+    assert!(acknowledged_batches_survive(MissingSyncs { files: false, names: false }));
+    assert!(!acknowledged_batches_survive(MissingSyncs { files: true, names: false }));
+    assert!(!acknowledged_batches_survive(MissingSyncs { files: false, names: true }));
 }
 
 #[test]
-fn a_full_disk_stops_the_log_and_keeps_acknowledged_batches() {
-    let disk = Memory::default();
-    disk.inner(|inner| inner.room = Some(900));
+fn a_full_disk_stops_the_log_and_preserves_acknowledged_batches() {
+    let disk = MemoryDisk::default();
+    disk.inner(|inner| inner.capacity = Some(900));
     let acknowledged = write(&disk);
     assert!((1..batches().len()).contains(&acknowledged));
-    disk.inner(|inner| inner.room = None);
-    assert_eq!(*open(&disk.after_crash(0)).expect("it starts").state(), after(acknowledged));
+    disk.inner(|inner| inner.capacity = None);
+    assert_eq!(*open(&disk.after_crash(0)).expect("the log opens").state(), after(acknowledged));
 }
 
 #[test]
 fn long_logs_continue_in_the_next_segment_and_old_files_are_removed() {
     let folder = tempfile::tempdir().expect("a folder");
-    let start = || DiskLog::open(Box::new(Folder::open(folder.path()).expect("a folder")), || 5);
-    let mut log = start().expect("new");
+    let reopen = || DiskLog::open(Box::new(Folder::open(folder.path()).expect("a folder")), || 5);
+    let mut log = reopen().expect("a new log");
     let size = 1 << 20;
     let mut expected = log.state().clone();
     for index in 1..=3 * MAX_SEGMENT_BYTES / size {
@@ -332,7 +341,7 @@
         log.write(&[batch]).expect("written");
     }
     drop(log);
-    assert_eq!(*start().expect("it starts").state(), expected);
+    assert_eq!(*reopen().expect("the log opens").state(), expected);
     let names: Vec<String> = std::fs::read_dir(folder.path())
         .expect("readable")
         .map(|entry| entry.expect("readable").file_name().to_string_lossy().into_owned())
@@ -340,33 +349,33 @@
     assert_eq!(names.len(), 2, "{names:?}");
 }
 
-/// Format 1 had no marks and no synced lengths: a log of that format is read and continued in the present one.
+/// Records of format 1 have no marks and no synced lengths. Such a log is read and continued in the current format.
 #[test]
-fn format_1_is_read_and_continued_in_the_present_format() {
-    // Written by the first form: a checkpoint of member 5, then one entry of term 2 with the bytes 1, 2, 3.
+fn format_1_is_read_and_continued_in_the_current_format() {
+    // Written by a version with format 1: a checkpoint of member 5, then one entry of term 2 with the bytes 1, 2, 3.
     let hex = "4453505101000000\
                0a000000392d1da900050000000000000000\
                0e000000f8d4131c0100000000010102010301020300";
     let bytes: Vec<u8> =
         (0..hex.len() / 2).map(|n| u8::from_str_radix(&hex[2 * n..2 * n + 2], 16).expect("hex")).collect();
-    let mut disk = Memory::default();
+    let mut disk = MemoryDisk::default();
     disk.append("log-0000000000000007", &bytes).expect("written");
-    let log = open(&disk).expect("it is read");
+    let log = open(&disk).expect("the log opens");
     assert_eq!(log.state().hard_state.id, 5);
     let data = EntryKind::Data(Arc::new(vec![1, 2, 3]));
     assert_eq!(log.state().entries, [Entry { index: 1, term: 2, kind: data }]);
     assert_eq!(disk.file("log-").0, "log-0000000000000008");
-    let mut newer = Memory::default();
+    let mut newer = MemoryDisk::default();
     newer.append("log-0000000000000001", b"DSPQ\x03\0\0\0").expect("written");
-    assert!(open(&newer).err().is_some_and(|why| why.contains("unsupported segment format 3")));
+    assert!(open(&newer).err().is_some_and(|message| message.contains("unsupported segment format 3")));
 }
 
 proptest! {
-    /// No bytes in its files make it panic or take what is none.
+    /// No bytes in a segment cause a panic, and arbitrary bytes are not taken for entries.
     #[test]
-    fn arbitrary_bytes_neither_panic_nor_yield_entries(bytes in prop::collection::vec(any::<u8>(), 0..300), headed in any::<bool>()) {
-        let mut disk = Memory::default();
-        if headed {
+    fn arbitrary_bytes_neither_panic_nor_yield_entries(bytes in prop::collection::vec(any::<u8>(), 0..300), with_header in any::<bool>()) {
+        let mut disk = MemoryDisk::default();
+        if with_header {
             disk.append("log-0000000000000001", b"DSPQ\x02\0\0\0").expect("written");
         }
         disk.append("log-0000000000000001", &bytes).expect("written");
--- a/crates/raft/tests/error_texts.rs
+++ b/crates/raft/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! The texts of errors, letter for letter: operators see most of them, and some are sent or stored.
+//! The exact texts of errors: operators see most of them, and some are sent or stored.
 
 use dahliaspoke_raft::codec::DecodeError;
 use dahliaspoke_raft::disk::{DiskLog, Folder, OpenError, OpenErrorKind};
@@ -15,11 +15,11 @@
 }
 
 fn invalid(ops: Vec<Op>) -> String {
-    command(0, 0, ops).validate().expect_err("not valid").to_string()
+    command(0, 0, ops).validate().expect_err("an invalid command").to_string()
 }
 
 #[test]
-fn commands_that_are_not_valid() {
+fn invalid_command_texts() {
     assert_eq!(invalid(vec![]), "a command has 1 to 64 parts, not 0");
     assert_eq!(
         invalid((0..65).map(|n| op(&n.to_string(), 1)).collect()),
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn commands_that_are_rejected() {
-    let mut machine = StateMachine::default();
-    let mut apply = |index, command: &Command| machine.apply(index, &command.to_bytes()).to_string();
+fn rejected_command_texts() {
+    let mut state_machine = StateMachine::default();
+    let mut apply = |index, command: &Command| state_machine.apply(index, &command.to_bytes()).to_string();
     assert_eq!(apply(1, &command(1, 1, vec![op("k", 1)])), "done at 1");
     assert_eq!(apply(2, &command(1, 2, vec![op("k", 1)])), "done at 2");
     assert_eq!(apply(3, &command(1, 1, vec![op("k", 1)])), "a later call of this session was answered");
@@ -52,18 +52,18 @@
     assert_eq!(apply(5, &command(0, 0, vec![expecting])), "k has version 2");
     let full = (0..9).map(|n| op(&format!("large{n}"), 1_000_000)).collect();
     assert_eq!(apply(6, &command(0, 0, full)), "the store is full: 4096 keys and 8388608 bytes at the most");
-    assert_eq!(machine.apply(7, b""), Outcome::Rejected("no message".into()));
+    assert_eq!(state_machine.apply(7, b""), Outcome::Rejected("no message".into()));
 }
 
 #[test]
-fn bytes_that_cannot_be_decoded() {
+fn decode_error_texts() {
     assert_eq!(DecodeError::Version(9).to_string(), "a message of version 9; this program speaks 1");
     assert_eq!(DecodeError::Corrupt.to_string(), "a message whose sum is wrong");
     assert_eq!(DecodeError::Malformed.to_string(), "no message");
 }
 
 #[test]
-fn proposals_and_changes_of_the_membership_that_are_rejected() {
+fn proposal_and_membership_error_texts() {
     let membership = |error: MembershipError| ProposeError::from(error).to_string();
     assert_eq!(ProposeError::Busy.to_string(), "too many pending requests; the request was not carried out");
     assert_eq!(ProposeError::Lost.to_string(), "proposal dropped: not committed and never will be");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn logs_that_cannot_be_opened() {
+fn log_open_error_texts() {
     let text = |kind: OpenErrorKind| OpenError { file: "log-1".into(), kind }.to_string();
     assert_eq!(text(OpenErrorKind::Io(io::Error::other("the disk is gone"))), "log-1: the disk is gone");
     assert_eq!(text(OpenErrorKind::Snapshot(DecodeError::Malformed)), "log-1: no message");
@@ -103,12 +103,12 @@
     assert_eq!(text(OpenErrorKind::MissingEntries), "log-1: damaged: entries are missing");
 }
 
-/// Files that the log finds, and not only the texts.
+/// Opens a real segment, unlike the tests of the texts alone.
 #[test]
-fn a_folder_whose_segments_do_not_begin_whole_is_named() {
+fn a_segment_without_a_checkpoint_is_reported_by_file_name() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("log-0000000000000002"), b"no segment").expect("written");
     let disk = Folder::open(folder.path()).expect("a folder");
-    let error = DiskLog::open(Box::new(disk), || 5).err().expect("it is damaged");
+    let error = DiskLog::open(Box::new(disk), || 5).err().expect("an error");
     assert_eq!(error.to_string(), "log-0000000000000002: damaged: it does not begin with a checkpoint");
 }
--- a/crates/raft/tests/model.rs
+++ b/crates/raft/tests/model.rs
@@ -1,5 +1,5 @@
-//! The pure core under a model checker: every order of deliveries, losses, syncs, crashes and elections within bounds.
-//! `STATES=20000000 cargo test --release -p dahliaspoke-raft --test model -- --nocapture` for the long campaign.
+//! Model checking of the pure core: every order of deliveries, losses, syncs, crashes and elections within bounds.
+//! `STATES=20000000 cargo test --release -p dahliaspoke-raft --test model -- --nocapture` runs the long campaign.
 
 use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, LogPosition, Member, Members, Snapshot};
 use dahliaspoke_raft::message::Message;
@@ -9,15 +9,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// How far it goes.
+/// Limits of the explored state space.
 #[derive(Clone, Copy, Debug)]
 struct Bounds {
     members: usize,
-    /// The last term in which anyone is a candidate.
+    /// The highest term in which a member becomes a candidate.
     term: Term,
     proposals: usize,
     crashes: usize,
-    doubled: usize,
+    /// How many messages may be delivered without leaving the network, so that they are delivered again.
+    duplicated: usize,
     planted_fault: Option<PlantedFault>,
 }
 
@@ -25,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Disk {
     durable: PersistentState,
-    /// Written and not synced, in order.
+    /// Batches that are written but not synced, in order.
     pending: VecDeque<WriteBatch>,
 }
 
@@ -33,13 +34,14 @@
 struct World {
     rafts: Vec<Raft>,
     disks: Vec<Disk>,
-    net: BTreeSet<Message>,
+    /// Messages in flight.
+    network: BTreeSet<Message>,
     /// Entries that some member has applied.
     committed: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, Id>,
     proposed: usize,
     crashed: usize,
-    doubled: usize,
+    duplicated: usize,
     violation: Option<&'static str>,
 }
 
@@ -47,7 +49,7 @@
 enum Step {
     StartElection(usize),
     Deliver(Message),
-    Double(Message),
+    Duplicate(Message),
     Sync(usize),
     Crash(usize),
     Propose(usize),
@@ -55,7 +57,7 @@
 
 impl Bounds {
     fn options(&self) -> Options {
-        // One entry a message: the most orders in which they may come.
+        // One entry per message gives the most delivery orders.
         Options { planted_fault: self.planted_fault, max_append_bytes: 1, ..Options::new(1) }
     }
 
@@ -64,12 +66,12 @@
             match action {
                 Action::Persist(batch) => world.disks[at].pending.push_back(batch),
                 Action::Send(message) => {
-                    world.net.insert(message);
+                    world.network.insert(message);
                 }
                 Action::Apply { entry, .. } => {
-                    let held = world.committed.entry(entry.index).or_insert_with(|| entry.clone());
-                    if *held != entry {
-                        world.violation = Some("two entries count at one place");
+                    let existing = world.committed.entry(entry.index).or_insert_with(|| entry.clone());
+                    if *existing != entry {
+                        world.violation = Some("two entries committed at one index");
                     }
                 }
                 Action::Restore(_) | Action::Read { .. } | Action::Rejected { .. } => {}
@@ -81,12 +83,12 @@
             if leader != raft.id() {
                 world.violation = Some("two leaders in a term");
             }
-            let holds = |(index, entry): (&Index, &Entry)| raft.entry(*index) == Some(entry);
-            if !world.committed.iter().all(holds) {
-                world.violation = Some("a leader lacks an entry that counts");
+            let has_entry = |(index, entry): (&Index, &Entry)| raft.entry(*index) == Some(entry);
+            if !world.committed.iter().all(has_entry) {
+                world.violation = Some("a leader lacks a committed entry");
             }
         }
-        let same = |one: &Raft, other: &Raft| {
+        let logs_match = |one: &Raft, other: &Raft| {
             let mut matched = false;
             let last = one.last().min(other.last());
             (1..=last).rev().all(|index| {
@@ -96,8 +98,8 @@
             })
         };
         let pairs = world.rafts.iter().flat_map(|one| world.rafts.iter().map(move |other| (one, other)));
-        if !pairs.into_iter().all(|(one, other)| same(one, other)) {
-            world.violation = Some("logs that agree at a place differ before it");
+        if !pairs.into_iter().all(|(one, other)| logs_match(one, other)) {
+            world.violation = Some("logs with the same term at an index differ at or before it");
         }
     }
 }
@@ -120,12 +122,12 @@
         vec![World {
             rafts: all.iter().map(|saved| Raft::new(self.options(), saved.clone(), 0)).collect(),
             disks: all.into_iter().map(|durable| Disk { durable, pending: VecDeque::new() }).collect(),
-            net: BTreeSet::new(),
+            network: BTreeSet::new(),
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
             proposed: 0,
             crashed: 0,
-            doubled: 0,
+            duplicated: 0,
             violation: None,
         }]
     }
@@ -145,10 +147,10 @@
                 steps.push(Step::Crash(at));
             }
         }
-        for message in &world.net {
+        for message in &world.network {
             steps.push(Step::Deliver(message.clone()));
-            if world.doubled < self.doubled {
-                steps.push(Step::Double(message.clone()));
+            if world.duplicated < self.duplicated {
+                steps.push(Step::Duplicate(message.clone()));
             }
         }
     }
@@ -161,15 +163,15 @@
                 world.rafts[at].campaign(&mut actions);
                 at
             }
-            Step::Deliver(message) | Step::Double(message) if message.to == 0 => return None,
+            Step::Deliver(message) | Step::Duplicate(message) if message.to == 0 => return None,
             Step::Deliver(message) => {
-                world.net.remove(&message);
+                world.network.remove(&message);
                 let at = message.to as usize - 1;
                 world.rafts[at].handle(0, Event::Message(message), &mut actions);
                 at
             }
-            Step::Double(message) => {
-                world.doubled += 1;
+            Step::Duplicate(message) => {
+                world.duplicated += 1;
                 let at = message.to as usize - 1;
                 world.rafts[at].handle(0, Event::Message(message), &mut actions);
                 at
@@ -206,19 +208,15 @@
     }
 }
 
-fn states(usual: usize) -> usize {
-    std::env::var("STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+fn states(default_count: usize) -> usize {
+    std::env::var("STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(default_count)
 }
 
-/// Explores so many states, breadth first; the first rule that is broken.
-fn check(bounds: Bounds, most: usize) -> Option<&'static str> {
+/// Explores about `max_states` states breadth first and returns the first violation.
+fn check(bounds: Bounds, max_states: usize) -> Option<&'static str> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let checker = bounds.checker().threads(cores).target_state_count(most).spawn_bfs().join();
-    println!(
-        "{bounds:?}: {} states, {} of them different",
-        checker.state_count(),
-        checker.unique_state_count()
-    );
+    let checker = bounds.checker().threads(cores).target_state_count(max_states).spawn_bfs().join();
+    println!("{bounds:?}: {} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     let paths = checker.discoveries();
     let path = paths.values().next()?;
     println!("{} steps: {:?}", path.clone().into_actions().len(), path.clone().into_actions());
@@ -226,28 +224,28 @@
 }
 
 const BOUNDS: Bounds =
-    Bounds { members: 3, term: 3, proposals: 1, crashes: 1, doubled: 1, planted_fault: None };
+    Bounds { members: 3, term: 3, proposals: 1, crashes: 1, duplicated: 1, planted_fault: None };
 
 #[test]
-fn three_members_within_bounds_are_safe() {
+fn three_members_violate_no_safety_property_within_bounds() {
     assert_eq!(check(BOUNDS, states(150_000)), None);
 }
 
 #[test]
 fn a_vote_that_is_not_stored_is_caught() {
-    let bounds = Bounds { term: 2, proposals: 0, crashes: 1, doubled: 0, ..BOUNDS };
+    let bounds = Bounds { term: 2, proposals: 0, crashes: 1, duplicated: 0, ..BOUNDS };
     let violation = check(Bounds { planted_fault: Some(PlantedFault::VoteNotStored), ..bounds }, 5_000_000);
     assert_eq!(violation, Some("two leaders in a term"));
 }
 
 #[test]
-fn an_acknowledgement_before_the_disk_is_caught() {
-    let bounds = Bounds { term: 3, proposals: 0, crashes: 1, doubled: 0, ..BOUNDS };
+fn exploration_catches_an_acknowledgement_of_an_unsynced_entry() {
+    let bounds = Bounds { term: 3, proposals: 0, crashes: 1, duplicated: 0, ..BOUNDS };
     let violation = check(Bounds { planted_fault: Some(PlantedFault::AckNotStored), ..bounds }, 5_000_000);
     assert!(violation.is_some());
 }
 
-/// Steps that are chosen one by one.
+/// A sequence of steps written out by hand.
 struct Scenario {
     bounds: Bounds,
     world: World,
@@ -255,17 +253,17 @@
 
 impl Scenario {
     fn apply(&mut self, step: Step) {
-        self.world = self.bounds.next_state(&self.world, step).expect("it can be done");
+        self.world = self.bounds.next_state(&self.world, step).expect("a possible step");
     }
 
-    /// Delivers all that one has sent to another, and syncs what that writes.
+    /// Delivers all messages from one member to another, and syncs what the receiver writes.
     fn deliver(&mut self, from: usize, to: usize) {
         self.deliver_unsynced(from, to);
         self.sync(to);
     }
 
     fn deliver_unsynced(&mut self, from: usize, to: usize) {
-        let sent: Vec<Message> = self.world.net.iter().cloned().collect();
+        let sent: Vec<Message> = self.world.network.iter().cloned().collect();
         for message in sent.into_iter().filter(|m| (m.from, m.to) == (from as Id + 1, to as Id + 1)) {
             self.apply(Step::Deliver(message));
         }
@@ -277,10 +275,10 @@
         }
     }
 
-    /// Has one elected in that term by the votes of those.
+    /// Elects a member in the given term with the votes of `voters`.
     fn elect(&mut self, at: usize, term: Term, voters: &[usize]) {
-        self.world.net.clear();
-        self.apply(Step::Crash(at)); // it may lead in an older term
+        self.world.network.clear();
+        self.apply(Step::Crash(at)); // it may be the leader of an older term
         while self.world.rafts[at].term() < term {
             self.apply(Step::StartElection(at));
             self.sync(at);
@@ -293,7 +291,7 @@
     }
 }
 
-/// Figure 8 of the paper: an entry of an older term is on a majority and is overwritten all the same.
+/// Figure 8 of the Raft paper: an entry of an older term is stored on a majority and is still overwritten.
 fn figure_8(planted_fault: Option<PlantedFault>) -> Option<&'static str> {
     let bounds = Bounds { members: 5, term: 9, planted_fault, ..BOUNDS };
     let world = bounds.init_states().remove(0);
@@ -304,7 +302,7 @@
     scenario.elect(0, 4, &[1, 2]);
     scenario.deliver(0, 1);
     scenario.deliver(1, 0);
-    scenario.deliver(0, 2); // it does not fit there
+    scenario.deliver(0, 2); // rejected: the preceding entry is missing
     scenario.deliver(2, 0);
     scenario.deliver(0, 2); // the entry of the older term
     scenario.deliver(2, 0);
@@ -313,12 +311,12 @@
 }
 
 #[test]
-fn a_commit_of_an_older_term_is_caught() {
+fn committing_an_entry_of_an_older_term_by_counting_replicas_is_caught() {
     assert_eq!(figure_8(None), None);
-    assert_eq!(figure_8(Some(PlantedFault::CommitOlderTerm)), Some("a leader lacks an entry that counts"));
+    assert_eq!(figure_8(Some(PlantedFault::CommitOlderTerm)), Some("a leader lacks a committed entry"));
 }
 
-/// A follower loses an entry that its leader has committed on its acknowledgement, and elects one that never had it.
+/// A follower acknowledges an entry, loses it in a crash, and then votes for a candidate that never had it.
 fn unsynced_acknowledgement(planted_fault: Option<PlantedFault>) -> Option<&'static str> {
     let bounds = Bounds { term: 9, planted_fault, ..BOUNDS };
     let world = bounds.init_states().remove(0);
@@ -335,5 +333,5 @@
 fn an_acknowledgement_of_an_unsynced_entry_is_caught() {
     assert_eq!(unsynced_acknowledgement(None), None);
     let violation = unsynced_acknowledgement(Some(PlantedFault::AckNotStored));
-    assert_eq!(violation, Some("a leader lacks an entry that counts"));
+    assert_eq!(violation, Some("a leader lacks a committed entry"));
 }
--- a/crates/raft/tests/sim/clients.rs
+++ b/crates/raft/tests/sim/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that read, write and compare-and-set a few keys, and repeat a call until they know what became of it.
+//! Clients that read, write and compare-and-set a few keys, and repeat a call until its outcome is known.
 
 use super::{Simulation, Task, MILLISECOND};
 use dahliaspoke_raft::raft::Event;
@@ -6,24 +6,24 @@
 use dahliaspoke_raft::Micros;
 use dahliaspoke_test_harness::history::{Answer, Call, Operation};
 
-/// Keys that the clients share.
+/// Number of keys, shared by all clients.
 const KEYS: u64 = 2;
-/// A client waits so long for an answer (us).
+/// How long a client waits for an answer (us).
 const CALL_TIMEOUT: Micros = 400 * MILLISECOND;
-/// A client repeats a call so often before it gives up.
+/// How often a client repeats a call before it gives up.
 const MAX_REPEATS: u32 = 30;
-/// How the session of a client that gave up differs from the next one.
+/// The difference between the session of a client that gave up and its next session.
 const SESSION_STEP: u64 = 100;
 
 pub struct Client {
     session: u64,
     serial: u64,
     open: Option<OpenCall>,
-    /// The proposal that it waits for.
+    /// Id of its latest proposal.
     proposal_id: u64,
-    /// Until when it waits (us).
+    /// When the latest proposal times out (us).
     deadline: Micros,
-    /// The node that it asks.
+    /// Position of the node that calls are sent to.
     pub guessed_leader: usize,
 }
 
@@ -50,11 +50,11 @@
     pub fn run_client(&mut self, at: usize) {
         self.schedule(2 * MILLISECOND + self.now % 7 * MILLISECOND, Task::RunClient(at));
         let timed_out = self.clients[at].deadline <= self.now;
-        let waits = self.waiting.values().any(|client| *client == at);
-        if self.clients[at].open.is_some() && waits && !timed_out {
+        let is_waiting = self.waiting.values().any(|client| *client == at);
+        if self.clients[at].open.is_some() && is_waiting && !timed_out {
             return;
         }
-        if waits {
+        if is_waiting {
             let proposal_id = self.clients[at].proposal_id;
             self.waiting.remove(&proposal_id);
             self.answer(at, proposal_id, None);
@@ -72,7 +72,7 @@
         let call = match self.random_below(3) {
             0 => Call::Read,
             1 => Call::Write(value),
-            // The version that some client was told last: it may be old.
+            // The version that any client received last, which may be stale.
             _ => Call::CompareAndSwap(self.known_versions.get(&key).copied().unwrap_or_default(), value),
         };
         let started = self.now;
@@ -106,7 +106,7 @@
         self.clients[at].guessed_leader = self.random_below(self.plan.members as u64) as usize;
     }
 
-    /// A read that a node was allowed to do.
+    /// Answers a confirmed read from the state machine of the node.
     pub fn answer_read(&mut self, node: usize, proposal_id: u64) {
         let Some(client) = self.waiting.remove(&proposal_id) else { return };
         let key = self.clients[client].open.as_ref().map_or(0, |open| open.key);
@@ -115,7 +115,7 @@
         self.answer(client, proposal_id, Some(Answer::Value(value)));
     }
 
-    /// A client has an answer. Without one it repeats the call, and gives up in the end.
+    /// Handles the answer to a client's call. Without an answer the call is repeated up to [`MAX_REPEATS`] times.
     pub fn answer(&mut self, at: usize, proposal_id: u64, answer: Option<Answer>) {
         if self.clients[at].proposal_id != proposal_id {
             return;
@@ -135,7 +135,7 @@
             self.report.answered += 1;
         } else {
             self.report.unanswered += 1;
-            // It is another client from here on.
+            // The outcome is unknown, so the client continues in a new session.
             let client = &mut self.clients[at];
             client.session += SESSION_STEP;
             client.serial = 0;
@@ -149,7 +149,7 @@
         self.history.entry(open.key).or_default().push(op);
     }
 
-    /// Calls that are open at the end may have been done.
+    /// Records the calls that are still open at the end as calls with an unknown outcome.
     pub fn close_history(&mut self) {
         for at in 0..self.clients.len() {
             if let Some(open) = self.clients[at].open.take() {
--- a/crates/raft/tests/sim/faults.rs
+++ b/crates/raft/tests/sim/faults.rs
@@ -1,16 +1,16 @@
-//! Faults of nodes, disks, clocks and links, and members that join and leave.
+//! Faults of nodes, disks, clocks and links, and membership changes.
 
 use super::network::{Link, Route};
 use super::{id_of, Simulation, Task, MILLISECOND};
 use dahliaspoke_raft::raft::{Event, MembershipChange};
 
-/// The share of faults that are crashes, at one crash a second.
+/// The share of faults that are crashes at one crash per second.
 const CRASH_SHARE: f64 = 0.35;
 
 impl Simulation {
     pub fn inject_fault(&mut self) {
-        let wait = 50 + self.random_below(700);
-        self.schedule(wait * MILLISECOND, Task::InjectFault);
+        let delay = 50 + self.random_below(700);
+        self.schedule(delay * MILLISECOND, Task::InjectFault);
         let members = self.plan.members as u64;
         let (node, other) = (self.random_below(members) as usize, self.random_below(members) as usize);
         if self.happens(self.plan.crashes * CRASH_SHARE) {
@@ -21,7 +21,7 @@
             return;
         }
         match self.random_below(8) {
-            0 => self.stop_node(node),
+            0 => self.stall_node(node),
             1 => self.nodes[node].clock_ahead += self.random_below(2000) * MILLISECOND,
             2 => self.nodes[node].disk_ms = 1 + self.random_below(60),
             3 => self.block_outgoing(node),
@@ -33,12 +33,12 @@
         self.maybe_transfer_leadership(node);
     }
 
-    fn stop_node(&mut self, node: usize) {
+    fn stall_node(&mut self, node: usize) {
         let duration = 400 * MILLISECOND + self.random_below(1500) * MILLISECOND;
-        self.nodes[node].stopped_until = self.now + duration;
+        self.nodes[node].stalled_until = self.now + duration;
     }
 
-    /// A node hears the others and is not heard.
+    /// Blocks all messages from a node, which still receives those of the others.
     fn block_outgoing(&mut self, from: usize) {
         let duration = 300 * MILLISECOND + self.random_below(2000) * MILLISECOND;
         for to in 0..self.plan.members {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Two sides that lose all messages to each other.
+    /// Splits the nodes into two random sides that lose all messages to each other.
     fn partition(&mut self) {
         let members = self.plan.members;
         let side = self.random_below(1 << members);
@@ -59,7 +59,7 @@
         self.schedule(duration, Task::HealLinks);
     }
 
-    /// Messages from and to a node are lost, doubled and late.
+    /// Loses, duplicates and delays messages from and to a node.
     fn disturb_links(&mut self, node: usize) {
         let link = Link { loss: 0.3, duplication: 0.3, delay_ms: 40, blocked_until: 0 };
         for other in 0..self.plan.members {
@@ -69,17 +69,17 @@
     }
 
     fn maybe_transfer_leadership(&mut self, to: usize) {
-        let Some(leader) = self.leading() else { return };
+        let Some(leader) = self.find_leader() else { return };
         if to != leader && self.happens(0.1) {
             self.handle_event(leader, Event::TransferLeadership(id_of(to)));
         }
     }
 
-    /// Brings in a node that is missing, and now and then takes one out.
+    /// Adds a missing node, or, in a plan with churn, occasionally removes a node.
     pub fn change_membership(&mut self) {
         self.schedule(60 * MILLISECOND, Task::ChangeMembership);
-        let Some(leader) = self.leading() else { return };
-        let mut change = self.missing_node(leader);
+        let Some(leader) = self.find_leader() else { return };
+        let mut change = self.change_to_add_a_node(leader);
         if change.is_none() && self.plan.churn && self.happens(0.1) {
             let node = self.random_below(self.plan.members as u64) as usize;
             change = Some(MembershipChange::Remove(id_of(node)));
@@ -92,8 +92,8 @@
         }
     }
 
-    /// The change that brings in the first node that is no member, or no voter.
-    fn missing_node(&self, leader: usize) -> Option<MembershipChange> {
+    /// The change that adds the first node that is not a member, or promotes the first that is not a voter.
+    fn change_to_add_a_node(&self, leader: usize) -> Option<MembershipChange> {
         let members = self.members_at(leader)?;
         (0..self.plan.members).find_map(|node| match members.get(&id_of(node)) {
             None => Some(MembershipChange::AddLearner {
--- a/crates/raft/tests/sim/mod.rs
+++ b/crates/raft/tests/sim/mod.rs
@@ -1,5 +1,6 @@
-//! Members of the pure core in virtual time: links that lose, double, reorder and hold messages, disks that forget what
-//! was not synced, members that stop, crash, jump in time, join and leave; clients with a history. All of it from a seed.
+//! A deterministic simulation of a cluster in virtual time, driven by a seed. Links lose, duplicate, reorder and delay
+//! messages, disks lose unsynced writes, nodes stall, crash, have their clocks jump, join and leave, and the calls of clients
+//! are recorded as a history.
 #![allow(dead_code)]
 
 mod clients;
@@ -26,33 +27,33 @@
 /// The result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// The first promise that was broken.
+    /// The first invariant that was violated.
     pub violation: Option<String>,
-    /// Calls whose outcome the client learnt.
+    /// Calls whose outcome became known to the client.
     pub answered: usize,
-    /// Calls that the client gave up.
+    /// Calls that the client gave up, with their outcome unknown.
     pub unanswered: usize,
-    /// Terms with a leader.
+    /// Number of terms with a leader.
     pub terms: usize,
     pub crashes: usize,
-    /// Snapshots that members restored.
+    /// Number of snapshots that nodes restored from the leader.
     pub snapshots: usize,
-    /// Changes of the membership that were proposed.
+    /// Number of membership changes that were proposed.
     pub changes: usize,
 }
 
-/// What a run is to be.
+/// The parameters of a run.
 #[derive(Clone, Copy)]
 pub struct Plan {
     pub seed: u64,
-    /// Members in the end, the first one included.
+    /// Number of nodes, the first one included; all are to become members.
     pub members: usize,
-    /// Virtual time (us).
+    /// Length in virtual time (us).
     pub duration: Micros,
     pub planted_fault: Option<PlantedFault>,
-    /// Members join and leave all the time.
+    /// Whether members are removed and added again during the run.
     pub churn: bool,
-    /// Crashes a second of virtual time.
+    /// Approximate number of crashes per second of virtual time.
     pub crashes: f64,
 }
 
@@ -64,10 +65,10 @@
     }
 }
 
-/// What happens at a point in time. Nodes and clients stand by position.
+/// A scheduled event. Nodes and clients are given by position.
 enum Task {
     Deliver(Message),
-    /// The oldest write of a node may have reached its disk.
+    /// Completes the oldest write of a node if it is due.
     CompleteWrite(usize),
     Tick(usize),
     Start(usize),
@@ -80,20 +81,20 @@
 struct Simulation {
     plan: Plan,
     now: Micros,
-    /// Tasks by time; those of the same time in the order in which they were scheduled.
+    /// Tasks by time; tasks of the same time run in the order in which they were scheduled.
     queue: BTreeMap<(Micros, u64), Task>,
     scheduled: u64,
     rng: Pcg64Mcg,
     nodes: Vec<Node>,
     links: BTreeMap<Route, Link>,
     clients: Vec<Client>,
-    /// Clients by the proposal that they wait for.
+    /// Waiting clients by the id of their proposal.
     waiting: BTreeMap<u64, usize>,
     last_proposal_id: u64,
     last_value: u64,
     /// Calls by key.
     history: BTreeMap<usize, Vec<Operation>>,
-    /// The version of each key that a client was told last.
+    /// The version of each key that was last returned to any client.
     known_versions: BTreeMap<usize, Index>,
     leaders: BTreeMap<Term, Id>,
     /// Entries that some node has applied.
@@ -111,15 +112,15 @@
     id as usize - 1
 }
 
-/// Runs a plan to its end, or to the first promise that is broken.
+/// Runs a plan to its end, or to the first violation of an invariant.
 pub fn run(plan: Plan) -> Report {
     let mut simulation = Simulation::new(plan);
     simulation.run();
     simulation.close_history();
     let mut report = std::mem::take(&mut simulation.report);
-    let unexplained = simulation.history.iter().find(|(_, ops)| !is_linearizable(ops));
-    if let Some((key, _)) = unexplained.filter(|_| report.violation.is_none()) {
-        report.violation = Some(format!("no order explains the calls on key {key}"));
+    let not_linearizable = simulation.history.iter().find(|(_, ops)| !is_linearizable(ops));
+    if let Some((key, _)) = not_linearizable.filter(|_| report.violation.is_none()) {
+        report.violation = Some(format!("the history of key {key} is not linearizable"));
     }
     report.terms = simulation.leaders.len();
     report
--- a/crates/raft/tests/sim/network.rs
+++ b/crates/raft/tests/sim/network.rs
@@ -6,12 +6,12 @@
 use dahliaspoke_raft::raft::Event;
 use dahliaspoke_raft::Micros;
 
-/// The fastest delivery (us).
+/// Minimum delay of a message (us).
 const MIN_DELAY: Micros = 200;
-/// What is added to it at the most without a fault (us).
+/// Upper limit of the random delay that is added without a fault (us).
 const MAX_JITTER: Micros = 1500;
 
-/// From one node to another, by position.
+/// One direction of a link; nodes are given by position.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Route {
     pub from: usize,
@@ -25,9 +25,9 @@
     pub loss: f64,
     /// Share of messages that are delivered twice.
     pub duplication: f64,
-    /// What is added to the delay at the most (ms).
+    /// Upper limit of the additional random delay (ms).
     pub delay_ms: u64,
-    /// Nothing is delivered until then; it is late, not lost (us).
+    /// Messages are not delivered before this time (us); they are delayed, not lost.
     pub blocked_until: Micros,
 }
 
@@ -43,7 +43,7 @@
             let delay = (MIN_DELAY + self.random_below(MAX_JITTER))
                 + self.random_below(link.delay_ms + 1) * MILLISECOND;
             let delay = delay.max(link.blocked_until.saturating_sub(self.now));
-            // As on a wire: encoded and decoded.
+            // Encoded and decoded as on a real network.
             let received = decode(&encode(message)).expect("it was encoded here");
             self.schedule(delay, Task::Deliver(received));
         }
@@ -51,9 +51,9 @@
 
     pub fn deliver(&mut self, message: Message) {
         let to = node_of(message.to);
-        let stopped_until = self.nodes[to].stopped_until;
-        if stopped_until > self.now {
-            self.schedule(stopped_until - self.now, Task::Deliver(message));
+        let stalled_until = self.nodes[to].stalled_until;
+        if stalled_until > self.now {
+            self.schedule(stalled_until - self.now, Task::Deliver(message));
         } else {
             self.handle_event(to, Event::Message(message));
         }
--- a/crates/raft/tests/sim/node.rs
+++ b/crates/raft/tests/sim/node.rs
@@ -1,4 +1,4 @@
-//! A node: the core with a disk, a clock and a state machine of its own.
+//! A node: the core with its own disk, clock and state machine.
 
 use super::{node_of, Simulation, Task, MILLISECOND};
 use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, Members, Snapshot};
@@ -10,27 +10,27 @@
 use dahliaspoke_test_harness::history::Answer;
 use std::collections::VecDeque;
 
-/// How often a node looks whether a tick is due (us).
+/// How often a node checks whether a tick is due (us).
 const TICK_INTERVAL: Micros = 10 * MILLISECOND;
-/// A node keeps a snapshot at each of so many entries.
+/// A node takes a snapshot every this many entries.
 const SNAPSHOT_INTERVAL: Index = 16;
-/// Writes that a crash may leave on the disk though they were not synced.
+/// Up to this many writes in flight are on the disk after a crash, although they were not synced.
 const MAX_SURVIVING_WRITES: u64 = 2;
-/// A node that crashed starts again within this time (ms).
+/// A crashed node restarts within this time (ms).
 const MAX_RESTART_MS: u64 = 900;
 
 pub struct Node {
-    /// None while it is down.
+    /// `None` while the node is down.
     pub raft: Option<Raft>,
     pub disk: PersistentState,
-    /// Writes on their way to the disk, in order.
+    /// Writes in flight to the disk, in order.
     writes: VecDeque<PendingWrite>,
     pub state_machine: StateMachine,
-    /// Stopped until then; what arrives waits (us).
-    pub stopped_until: Micros,
-    /// Its clock is ahead by so much (us).
+    /// Stalled until this time (us); messages are delivered afterwards.
+    pub stalled_until: Micros,
+    /// How far its clock is ahead of the simulation (us).
     pub clock_ahead: Micros,
-    /// A write takes about so long (ms).
+    /// Approximate duration of a write (ms).
     pub disk_ms: u64,
 }
 
@@ -47,7 +47,7 @@
             disk: PersistentState { hard_state, ..PersistentState::default() },
             writes: VecDeque::new(),
             state_machine: StateMachine::default(),
-            stopped_until: 0,
+            stalled_until: 0,
             clock_ahead: 0,
             disk_ms: 3,
         }
@@ -58,7 +58,7 @@
     }
 }
 
-/// Small sizes, so that short runs reach all limits.
+/// Small limits, so that short runs reach all of them.
 fn options(seed: u64, planted_fault: Option<PlantedFault>) -> Options {
     Options {
         retained_entries: 4,
@@ -88,7 +88,7 @@
         self.schedule(MILLISECOND, Task::Tick(at));
     }
 
-    /// A node ends; some of what was on its way to the disk may be there.
+    /// Crashes a node; some of its writes in flight may still reach the disk.
     pub fn crash(&mut self, at: usize) {
         if self.nodes[at].raft.take().is_none() {
             return;
@@ -98,9 +98,9 @@
         for write in node.writes.drain(..).take(surviving) {
             node.disk.apply(&write.batch);
         }
-        node.stopped_until = 0;
+        node.stalled_until = 0;
         self.report.crashes += 1;
-        // Calls that it had are never answered: the client's time runs out.
+        // The node never answers its pending calls; the clients time out.
         let downtime = self.random_below(MAX_RESTART_MS) * MILLISECOND;
         self.schedule(downtime, Task::Start(at));
     }
@@ -108,12 +108,12 @@
     pub fn tick(&mut self, at: usize) {
         let deadline = self.nodes[at].raft.as_ref().map(Raft::next_deadline);
         let is_due = deadline.is_some_and(|deadline| deadline <= self.clock(at));
-        if is_due && self.nodes[at].stopped_until <= self.now {
+        if is_due && self.nodes[at].stalled_until <= self.now {
             self.handle_event(at, Event::Tick);
         }
-        let stopped = self.nodes[at].stopped_until.saturating_sub(self.now);
+        let remaining_stall = self.nodes[at].stalled_until.saturating_sub(self.now);
         if self.nodes[at].raft.is_some() {
-            self.schedule(stopped.max(TICK_INTERVAL), Task::Tick(at));
+            self.schedule(remaining_stall.max(TICK_INTERVAL), Task::Tick(at));
         }
     }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// There is one leader in a term at the most.
+    /// Checks that a term has at most one leader.
     fn check_leader(&mut self, at: usize) {
         let Some(raft) = self.nodes[at].raft.as_ref().filter(|raft| raft.leads()) else { return };
         let (term, own) = (raft.term(), raft.id());
@@ -182,7 +182,7 @@
         let index = entry.index;
         let first = self.applied.entry(index).or_insert_with(|| entry.clone());
         if *first != entry {
-            let violation = format!("two entries count at {index}: {entry:?} and {first:?}");
+            let violation = format!("two entries committed at index {index}: {entry:?} and {first:?}");
             return self.report_violation(violation);
         }
         let mut outcome = None;
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Has a node keep a snapshot, which names the members of the last entry about them.
+    /// Takes a snapshot on a node, and checks that it has the members of the last membership entry up to there.
     fn snapshot(&mut self, at: usize, index: Index) {
         let data = self.nodes[at].state_machine.save();
         self.handle_event(at, Event::Snapshot { index, data });
@@ -219,8 +219,8 @@
         }
     }
 
-    /// The node that leads, as far as it knows itself.
-    pub fn leading(&self) -> Option<usize> {
+    /// The first node that considers itself the leader.
+    pub fn find_leader(&self) -> Option<usize> {
         self.nodes.iter().position(Node::leads)
     }
 
--- a/crates/raft/tests/snapshot_chunks.rs
+++ b/crates/raft/tests/snapshot_chunks.rs
@@ -1,4 +1,4 @@
-//! A large snapshot is transferred in chunks.
+//! Transfer of a large snapshot in chunks.
 
 use dahliaspoke_raft::entry::{Entry, EntryKind, HardState, LogPosition, Member, Members, Snapshot};
 use dahliaspoke_raft::raft::{Action, Event, Options, PersistentState, Raft};
@@ -13,15 +13,17 @@
     let data = Arc::new((0..5_000_000u32).map(|n| (n % 251) as u8).collect::<Vec<_>>());
     let snapshot = Arc::new(Snapshot { index: 60, term: 1, members: members.clone(), data });
     let first = Entry { index: 1, term: 1, kind: EntryKind::Members(members) };
-    let late = PersistentState { hard_state: hard(3), entries: vec![first], ..PersistentState::default() };
-    let full = |id| PersistentState {
+    let lagging = PersistentState { hard_state: hard(3), entries: vec![first], ..PersistentState::default() };
+    let up_to_date = |id| PersistentState {
         hard_state: hard(id),
         snapshot: snapshot.clone(),
         base: LogPosition { index: 60, term: 1 },
         entries: Vec::new(),
     };
-    let mut rafts: Vec<Raft> =
-        [full(1), full(2), late].into_iter().map(|saved| Raft::new(Options::new(1), saved, 0)).collect();
+    let mut rafts: Vec<Raft> = [up_to_date(1), up_to_date(2), lagging]
+        .into_iter()
+        .map(|saved| Raft::new(Options::new(1), saved, 0))
+        .collect();
     let mut actions = Vec::new();
     rafts[0].campaign(&mut actions);
     let mut queue: VecDeque<(usize, Action)> = actions.drain(..).map(|action| (0, action)).collect();
@@ -52,6 +54,6 @@
             break;
         }
     }
-    assert!(restored, "{sent} messages");
-    assert!(sent < 120, "{sent} messages for some 80 chunks");
+    assert!(restored, "the snapshot was not restored after {sent} messages");
+    assert!(sent < 120, "{sent} messages for about 80 chunks");
 }
--- a/crates/raft/tests/state_machine.rs
+++ b/crates/raft/tests/state_machine.rs
@@ -19,19 +19,19 @@
     state_machine.apply(index, &command.to_bytes())
 }
 
-/// Session, serial, and parts: key, value, expected version.
-type Drawn = (u64, u64, Vec<(u8, Option<u8>, Option<u64>)>);
+/// Session, serial, and operations: key, value, expected version.
+type GeneratedCommand = (u64, u64, Vec<(u8, Option<u8>, Option<u64>)>);
 
-fn draw() -> impl Strategy<Value = Vec<Drawn>> {
+fn generated_commands() -> impl Strategy<Value = Vec<GeneratedCommand>> {
     let op = (0u8..4, prop::option::of(any::<u8>()), prop::option::weighted(0.4, 0u64..20));
     prop::collection::vec((0u64..3, 1u64..6, prop::collection::vec(op, 1..3)), 1..40)
 }
 
 proptest! {
-    /// Commands do what a map would, once a serial, all or nothing; a snapshot in the middle changes nothing, and a
-    /// watcher that reads the history has what the map has.
+    /// Commands have the same effect as on a plain map, at most once per serial and all or nothing. A snapshot and
+    /// restore in between changes nothing, and a watcher that reads the history ends up with the contents of the map.
     #[test]
-    fn commands_do_what_a_map_would(commands in draw(), cut in 0usize..40) {
+    fn commands_behave_like_operations_on_a_plain_map(commands in generated_commands(), restore_at in 0usize..40) {
         let mut state_machine = StateMachine::default();
         let mut map: BTreeMap<String, (u64, String)> = BTreeMap::new();
         let mut last: BTreeMap<u64, (u64, Outcome)> = BTreeMap::new();
@@ -44,23 +44,23 @@
             }).collect();
             let command = command(session, serial, ops.clone());
             let outcome = apply(&mut state_machine, index, &command);
-            if at == cut {
-                state_machine = StateMachine::restore(&state_machine.save()).expect("it was written here");
+            if at == restore_at {
+                state_machine = StateMachine::restore(&state_machine.save()).expect("a snapshot that was just saved");
             }
-            let twice = ops.len() == 2 && ops[0].key == ops[1].key;
-            let other = ops.iter().find_map(|op| {
-                let version = map.get(&op.key).map_or(0, |held| held.0);
+            let has_duplicate_key = ops.len() == 2 && ops[0].key == ops[1].key;
+            let mismatch = ops.iter().find_map(|op| {
+                let version = map.get(&op.key).map_or(0, |stored| stored.0);
                 op.expect.filter(|e| *e != version).map(|_| Outcome::VersionMismatch { key: op.key.clone(), version })
             });
             let known = last.get(&session).filter(|_| session > 0);
             match known {
-                Some((held, remembered)) if *held == serial => prop_assert_eq!(&outcome, remembered),
-                Some((held, _)) if *held > serial => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
+                Some((stored, remembered)) if *stored == serial => prop_assert_eq!(&outcome, remembered),
+                Some((stored, _)) if *stored > serial => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
                 None if session > 0 && serial > 1 => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
                 _ => {
-                    match (twice, other) {
+                    match (has_duplicate_key, mismatch) {
                         (true, _) => prop_assert!(matches!(outcome, Outcome::Rejected(_))),
-                        (false, Some(other)) => prop_assert_eq!(&outcome, &other),
+                        (false, Some(mismatch)) => prop_assert_eq!(&outcome, &mismatch),
                         (false, None) => {
                             prop_assert_eq!(&outcome, &Outcome::Done(index));
                             for op in ops {
@@ -74,7 +74,7 @@
                     last.insert(session, (serial, outcome));
                 }
             }
-            for changed in state_machine.changes_since(seen).expect("nothing is forgotten yet") {
+            for changed in state_machine.changes_since(seen).expect("the complete history") {
                 match &changed.value {
                     Some(value) => watcher.insert(changed.key.clone(), value.to_string()),
                     None => watcher.remove(&changed.key),
@@ -82,13 +82,13 @@
             }
             seen = state_machine.applied();
         }
-        let held: Vec<_> = state_machine.all("").map(|(k, v)| (k.clone(), (v.version, v.text.to_string()))).collect();
-        prop_assert_eq!(&held, &map.clone().into_iter().collect::<Vec<_>>());
+        let stored: Vec<_> = state_machine.all("").map(|(k, v)| (k.clone(), (v.version, v.text.to_string()))).collect();
+        prop_assert_eq!(&stored, &map.clone().into_iter().collect::<Vec<_>>());
         let plain: BTreeMap<_, _> = map.into_iter().map(|(key, (_, value))| (key, value)).collect();
         prop_assert_eq!(watcher, plain);
     }
 
-    /// Bytes that are no command change nothing and are rejected, by every member alike.
+    /// Bytes that are not a command are rejected on every member and change nothing.
     #[test]
     fn arbitrary_bytes_neither_panic_nor_change_anything(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut state_machine = StateMachine::default();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_store_is_full_and_shrinks_again() {
+fn a_full_store_rejects_values_until_a_key_is_deleted() {
     let mut state_machine = StateMachine::default();
     let value = "x".repeat(MAX_VALUE_BYTES);
     let mut index = 0;
@@ -126,19 +126,19 @@
 }
 
 #[test]
-fn a_watcher_whose_changes_are_forgotten_starts_anew() {
+fn changes_older_than_the_retained_history_are_unavailable() {
     let mut state_machine = StateMachine::default();
-    let most = MAX_HISTORY_CHANGES as u64;
-    for index in 1..=most + 10 {
+    let limit = MAX_HISTORY_CHANGES as u64;
+    for index in 1..=limit + 10 {
         apply(&mut state_machine, index, &command(0, 0, vec![set("k", &index.to_string(), None)]));
     }
     assert!(state_machine.changes_since(9).is_none());
     assert_eq!(state_machine.changes_since(10).map(Iterator::count), Some(MAX_HISTORY_CHANGES));
-    assert_eq!(state_machine.changes_since(most + 10).map(Iterator::count), Some(0));
+    assert_eq!(state_machine.changes_since(limit + 10).map(Iterator::count), Some(0));
 }
 
 #[test]
-fn sessions_are_bounded_and_an_unknown_one_is_rejected() {
+fn sessions_are_bounded_and_an_evicted_one_is_rejected() {
     let mut state_machine = StateMachine::default();
     for n in 1..=MAX_SESSIONS as u64 + 1 {
         apply(&mut state_machine, n, &command(n, 1, vec![set("k", "v", None)]));
@@ -148,6 +148,6 @@
     };
     assert_eq!(again(&mut state_machine, 2, 1), Outcome::Done(2));
     assert!(
-        matches!(again(&mut state_machine, 1, 2), Outcome::Rejected(why) if why.contains("may have been done"))
+        matches!(again(&mut state_machine, 1, 2), Outcome::Rejected(reason) if reason.contains("may have been done"))
     );
 }
--- a/crates/raft/tests/stored_formats.rs
+++ b/crates/raft/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! What a released version has written or sent is read to the same values, and the same values are written to the same
-//! bytes. `data/stored` is a member's folder as that version left it. The lines of hexadecimal digits were printed by it.
+//! Data that a released version has stored or sent is decoded to the same values, and these values are encoded to the same
+//! bytes. `data/stored` is a member's folder written by that version; the hexadecimal strings were printed by it.
 
 use dahliaspoke_raft::codec::{decode, encode};
 use dahliaspoke_raft::disk::{Disk, DiskLog, Folder};
@@ -17,7 +17,7 @@
 const MEMBER_ID: u64 = 4_734_359_629_016_498_958;
 const CLUSTER: u64 = 16_627_621_791_545_446_368;
 
-/// A copy of the stored folder: the log is opened for writing.
+/// A copy of the stored folder, because opening the log may write to it.
 fn stored_folder() -> tempfile::TempDir {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/stored");
     let folder = tempfile::tempdir().expect("a folder");
@@ -29,7 +29,7 @@
 
 fn open_log(folder: &Path) -> DiskLog {
     let disk = Folder::open(folder).expect("a folder");
-    DiskLog::open(Box::new(disk), || panic!("it has a number")).expect("it is read")
+    DiskLog::open(Box::new(disk), || panic!("the log has a member id")).expect("the log opens")
 }
 
 fn stored_members() -> Members {
@@ -41,7 +41,7 @@
     Op { key: key.into(), value: Some(value.into()), expect: None }
 }
 
-/// The commands of the entries 3 to 14.
+/// The commands in entries 3 to 14.
 fn stored_commands() -> Vec<Command> {
     let plain = |op| Command { session: 0, serial: 0, ops: vec![op] };
     let mut commands: Vec<Command> =
@@ -68,7 +68,7 @@
     entries
 }
 
-/// A key with what it holds.
+/// A key with its value and version.
 struct StoredValue {
     key: &'static str,
     version: u64,
@@ -103,16 +103,16 @@
     stored("maintenance/e2", 8, "planned"),
 ];
 
-fn assert_values(machine: &StateMachine, expected: &[StoredValue]) {
-    let held: Vec<(String, Value)> = machine.all("").map(|(k, v)| (k.clone(), v.clone())).collect();
+fn assert_values(state_machine: &StateMachine, expected: &[StoredValue]) {
+    let actual: Vec<(String, Value)> = state_machine.all("").map(|(k, v)| (k.clone(), v.clone())).collect();
     let value = |value: &StoredValue| Value { version: value.version, text: value.text.into() };
     let expected: Vec<(String, Value)> =
         expected.iter().map(|stored| (stored.key.into(), value(stored))).collect();
-    assert_eq!(held, expected);
+    assert_eq!(actual, expected);
 }
 
 #[test]
-fn a_folder_of_the_released_version_is_read_whole() {
+fn a_folder_of_the_released_version_is_read_completely() {
     let folder = stored_folder();
     let before = std::fs::read(folder.path().join(SEGMENT_NAME)).expect("readable");
     let log = open_log(folder.path());
@@ -125,43 +125,44 @@
     assert_eq!(saved.snapshot.members, stored_members());
     assert_eq!(saved.base, LogPosition { index: 0, term: 0 });
     assert_eq!(saved.entries, stored_entries());
-    // Nothing was cut off and no other segment was begun.
+    // Nothing was truncated and no new segment was started.
     assert_eq!(std::fs::read(folder.path().join(SEGMENT_NAME)).expect("readable"), before);
     assert_eq!(std::fs::read_dir(folder.path()).expect("readable").count(), 2);
 }
 
 #[test]
-fn the_state_machine_goes_on_from_a_snapshot_of_the_released_version() {
+fn the_state_machine_continues_from_a_snapshot_of_the_released_version() {
     let folder = stored_folder();
     let log = open_log(folder.path());
     let saved: &PersistentState = log.state();
-    let mut machine = StateMachine::restore(&saved.snapshot.data).expect("it is read");
-    assert_eq!(machine.applied(), 9);
-    assert_values(&machine, &VALUES_AT_SNAPSHOT);
-    let changes: Vec<KeyChange> = machine.changes_since(7).expect("remembered").cloned().collect();
+    let mut state_machine = StateMachine::restore(&saved.snapshot.data).expect("a valid snapshot");
+    assert_eq!(state_machine.applied(), 9);
+    assert_values(&state_machine, &VALUES_AT_SNAPSHOT);
+    let changes: Vec<KeyChange> =
+        state_machine.changes_since(7).expect("the history is retained").cloned().collect();
     let change =
         |version, key: &str, value: &str| KeyChange { version, key: key.into(), value: Some(value.into()) };
     assert_eq!(changes, [change(8, "maintenance/e2", "planned"), change(9, "again", "once")]);
-    // The same state is written to the same bytes.
-    assert_eq!(machine.save(), saved.snapshot.data);
+    // The restored state is saved as the same bytes.
+    assert_eq!(state_machine.save(), saved.snapshot.data);
     let mut outcomes = Vec::new();
     for entry in saved.entries.iter().filter(|entry| entry.index > saved.snapshot.index) {
         let EntryKind::Data(data) = &entry.kind else { panic!("not a command: {entry:?}") };
-        outcomes.push(machine.apply(entry.index, data));
+        outcomes.push(state_machine.apply(entry.index, data));
     }
     let mut expected: Vec<Outcome> = (10..14).map(Outcome::Done).collect();
     expected.push(Outcome::VersionMismatch { key: "key0".into(), version: 3 });
     assert_eq!(outcomes, expected);
-    assert_values(&machine, &VALUES_AT_END);
-    assert_eq!(machine.applied(), 14);
-    // The session of the snapshot is remembered: the same call again is answered and not done.
+    assert_values(&state_machine, &VALUES_AT_END);
+    assert_eq!(state_machine.applied(), 14);
+    // The snapshot includes the session: a repeated call is answered without being applied again.
     let again = Command { session: 7, serial: 1, ops: vec![set("again", "twice")] };
-    assert_eq!(machine.apply(15, &again.to_bytes()), Outcome::Done(9));
-    assert_values(&machine, &VALUES_AT_END);
+    assert_eq!(state_machine.apply(15, &again.to_bytes()), Outcome::Done(9));
+    assert_values(&state_machine, &VALUES_AT_END);
 }
 
 #[test]
-fn a_snapshot_file_is_written_to_the_same_bytes() {
+fn a_snapshot_is_encoded_to_the_bytes_of_the_released_file() {
     let folder = stored_folder();
     let log = open_log(folder.path());
     let file = std::fs::read(folder.path().join(SNAPSHOT_NAME)).expect("readable");
@@ -169,15 +170,15 @@
     assert_eq!(decode::<Snapshot>(&file).as_ref(), Ok(&*log.state().snapshot));
 }
 
-/// What the released version stored one batch at a time is stored to the same bytes again.
+/// Writes the batches of the released version again, one at a time as that version did.
 #[test]
-fn the_same_batches_are_written_to_the_same_bytes() {
+fn batches_are_written_to_the_bytes_of_the_released_segment() {
     let stored = stored_folder();
     let expected = std::fs::read(stored.path().join(SEGMENT_NAME)).expect("readable");
     let saved = open_log(stored.path()).state().clone();
     let folder = tempfile::tempdir().expect("a folder");
     let disk = Folder::open(folder.path()).expect("a folder");
-    let mut log = DiskLog::open(Box::new(disk), || MEMBER_ID).expect("new");
+    let mut log = DiskLog::open(Box::new(disk), || MEMBER_ID).expect("a new log");
     let hard = |vote, term| Some(HardState { id: MEMBER_ID, cluster: CLUSTER, term, vote });
     let entry = |index: usize| vec![saved.entries[index - 1].clone()];
     let mut batches =
@@ -192,7 +193,7 @@
     assert_eq!(hex(&written), hex(&expected));
 }
 
-/// A segment of the first format, before records were marked: a checkpoint of member 5, then one entry of term 2.
+/// A segment of format 1, whose records have no marks: a checkpoint of member 5, then one entry of term 2.
 const SEGMENT_OF_FORMAT_1: &str = "4453505101000000\
     0a000000392d1da900050000000000000000\
     0e000000f8d4131c0100000000010102010301020300";
@@ -201,7 +202,7 @@
 fn a_segment_of_format_1_is_read() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut disk = Folder::open(folder.path()).expect("a folder");
-    disk.append("log-0000000000000007", &bytes_of(SEGMENT_OF_FORMAT_1)).expect("written");
+    disk.append("log-0000000000000007", &parse_hex(SEGMENT_OF_FORMAT_1)).expect("written");
     drop(disk);
     let log = open_log(folder.path());
     let data = EntryKind::Data(Arc::new(vec![1, 2, 3]));
@@ -217,7 +218,7 @@
     bytes.iter().fold(String::new(), |text, byte| text + &format!("{byte:02x}"))
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
@@ -239,11 +240,11 @@
 fn assert_message(body: MessageBody, encoded: &str) {
     let message = Message { cluster: 99, from: 1, to: 300, term: 5, body };
     assert_eq!(hex(&encode(&message)), encoded, "{message:?}");
-    assert_eq!(decode::<Message>(&bytes_of(encoded)), Ok(message));
+    assert_eq!(decode::<Message>(&parse_hex(encoded)), Ok(message));
 }
 
 #[test]
-fn messages_of_elections_are_as_released() {
+fn election_messages_have_the_released_encoding() {
     let last = LogPosition { index: 300, term: 4 };
     assert_message(MessageBody::PreVote { last }, "01af3c57af6301ac020500ac0204");
     assert_message(MessageBody::PreVoteReply { granted: true }, "018323679b6301ac02050101");
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn messages_of_replication_are_as_released() {
+fn replication_messages_have_the_released_encoding() {
     let entries = entries_of_each_kind();
     let previous = LogPosition { index: 6, term: 2 };
     let append = MessageBody::Append(AppendEntries { previous, commit: 5, round: 1000, entries });
@@ -263,7 +264,7 @@
 }
 
 #[test]
-fn messages_of_snapshots_are_as_released() {
+fn snapshot_messages_have_the_released_encoding() {
     let position = LogPosition { index: 9, term: 4 };
     let data = vec![9, 8, 7];
     let chunk = SnapshotChunk { position, total_bytes: 70_000, offset: 65_536, data, round: 1001 };
@@ -273,5 +274,5 @@
     let snapshot = Snapshot { index: 9, term: 4, members: two_members(), data: Arc::new(vec![5, 6]) };
     let encoded = "015acb493d090402010263300f3132372e302e302e313a313734303001ac020263310000020506";
     assert_eq!(hex(&encode(&snapshot)), encoded);
-    assert_eq!(decode::<Snapshot>(&bytes_of(encoded)), Ok(snapshot));
+    assert_eq!(decode::<Snapshot>(&parse_hex(encoded)), Ok(snapshot));
 }
