--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -18,7 +18,9 @@
 /// Which syncs report success without doing anything.
 #[derive(Clone, Copy, Debug, Default)]
 struct MissingSyncs {
+    /// Those of [`Disk::sync`].
     files: bool,
+    /// Those of [`Disk::sync_names`].
     names: bool,
 }
 
@@ -371,7 +373,7 @@
 }
 
 proptest! {
-    /// No bytes in a segment cause a panic, and arbitrary bytes are not taken for entries.
+    /// Arbitrary bytes in a segment neither cause a panic nor are decoded as entries.
     #[test]
     fn arbitrary_bytes_neither_panic_nor_yield_entries(bytes in prop::collection::vec(any::<u8>(), 0..300), with_header in any::<bool>()) {
         let mut disk = MemoryDisk::default();
--- a/crates/raft/tests/sim/clients.rs
+++ b/crates/raft/tests/sim/clients.rs
@@ -82,7 +82,7 @@
 
     fn propose(&mut self, at: usize) {
         let Some(OpenCall { key, call, .. }) = self.clients[at].open.clone() else { return };
-        if self.happens(0.1) {
+        if self.random_bool(0.1) {
             self.guess_leader(at);
         }
         self.last_proposal_id += 1;
@@ -123,7 +123,7 @@
         let Some(open) = self.clients[at].open.take() else { return };
         if answer.is_none() && open.repeats < MAX_REPEATS {
             self.clients[at].open = Some(OpenCall { repeats: open.repeats + 1, ..open });
-            if self.happens(0.5) {
+            if self.random_bool(0.5) {
                 self.guess_leader(at);
             }
             return;
--- a/crates/raft/tests/sim/faults.rs
+++ b/crates/raft/tests/sim/faults.rs
@@ -13,9 +13,9 @@
         self.schedule(delay * MILLISECOND, Task::InjectFault);
         let members = self.plan.members as u64;
         let (node, other) = (self.random_below(members) as usize, self.random_below(members) as usize);
-        if self.happens(self.plan.crashes * CRASH_SHARE) {
+        if self.random_bool(self.plan.crashes * CRASH_SHARE) {
             self.crash(node);
-            if self.happens(0.3) {
+            if self.random_bool(0.3) {
                 self.crash(other);
             }
             return;
@@ -70,7 +70,7 @@
 
     fn maybe_transfer_leadership(&mut self, to: usize) {
         let Some(leader) = self.find_leader() else { return };
-        if to != leader && self.happens(0.1) {
+        if to != leader && self.random_bool(0.1) {
             self.handle_event(leader, Event::TransferLeadership(id_of(to)));
         }
     }
@@ -80,7 +80,7 @@
         self.schedule(60 * MILLISECOND, Task::ChangeMembership);
         let Some(leader) = self.find_leader() else { return };
         let mut change = self.change_to_add_a_node(leader);
-        if change.is_none() && self.plan.churn && self.happens(0.1) {
+        if change.is_none() && self.plan.churn && self.random_bool(0.1) {
             let node = self.random_below(self.plan.members as u64) as usize;
             change = Some(MembershipChange::Remove(id_of(node)));
         }
--- a/crates/raft/tests/sim/mod.rs
+++ b/crates/raft/tests/sim/mod.rs
@@ -1,6 +1,6 @@
 //! A deterministic simulation of a cluster in virtual time, driven by a seed. Links lose, duplicate, reorder and delay
-//! messages, disks lose unsynced writes, nodes stall, crash, have their clocks jump, join and leave, and the calls of clients
-//! are recorded as a history.
+//! messages, disks lose unsynced writes, clocks jump, and nodes stall, crash, join and leave. The calls of clients are
+//! recorded as a history.
 #![allow(dead_code)]
 
 mod clients;
@@ -168,7 +168,8 @@
         self.rng.next_u64() % bound.max(1)
     }
 
-    fn happens(&mut self, probability: f64) -> bool {
+    /// True with the given probability.
+    fn random_bool(&mut self, probability: f64) -> bool {
         ((self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64) < probability
     }
 
--- a/crates/raft/tests/sim/network.rs
+++ b/crates/raft/tests/sim/network.rs
@@ -35,9 +35,9 @@
     pub fn send(&mut self, from: usize, message: &Message) {
         let route = Route { from, to: node_of(message.to) };
         let link = self.links.get(&route).copied().unwrap_or_default();
-        let copies = 1 + usize::from(self.happens(link.duplication));
+        let copies = 1 + usize::from(self.random_bool(link.duplication));
         for _ in 0..copies {
-            if self.happens(link.loss) {
+            if self.random_bool(link.loss) {
                 continue;
             }
             let delay = (MIN_DELAY + self.random_below(MAX_JITTER))
--- a/crates/raft/tests/sim/node.rs
+++ b/crates/raft/tests/sim/node.rs
@@ -12,7 +12,7 @@
 
 /// How often a node checks whether a tick is due (us).
 const TICK_INTERVAL: Micros = 10 * MILLISECOND;
-/// A node takes a snapshot every this many entries.
+/// Number of entries between two snapshots of a node.
 const SNAPSHOT_INTERVAL: Index = 16;
 /// Up to this many writes in flight are on the disk after a crash, although they were not synced.
 const MAX_SURVIVING_WRITES: u64 = 2;
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with a store, and faults between them. `TROUBLES=250` plays the rotation for some ten
-//! minutes; it prints its figures with `--nocapture`.
+//! Several processes with a replicated store, and faults of the processes and the links between them. `TROUBLES=250` runs
+//! the rotation of faults for about ten minutes; `--nocapture` shows its figures.
 
 mod members;
 
@@ -16,79 +16,84 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What the gossip before did not keep (`docs/store-design.md`): an acknowledged write outlives the one that took it.
+/// Guards against a write that is acknowledged before a majority stores it: the former gossip lost such a write with the
+/// member that had accepted it (`docs/store-design.md`).
 #[test]
-fn an_acknowledged_write_outlives_the_disk_of_the_member_that_took_it() {
+fn an_acknowledged_write_survives_the_loss_of_the_leaders_disk() {
     let mut fleet = start(3, 3);
-    for turn in 0..3 {
-        let took = until("a leader", || leader(&mut fleet));
-        let (key, value) = (format!("k{turn}"), format!("v{turn}"));
-        let others: Vec<usize> = (0..3).filter(|at| *at != took).collect();
-        // One link stalls: a majority is left.
-        fleet.set_pace(took, others[0], Pace::Hold);
-        let done = request(fleet.addresses[took]["store"], &["SET", &key, &value]);
+    for round in 0..3 {
+        let leader_id = until("a leader", || leader(&mut fleet));
+        let (key, value) = (format!("k{round}"), format!("v{round}"));
+        let others: Vec<usize> = (0..3).filter(|at| *at != leader_id).collect();
+        // One link stalls; a majority remains reachable.
+        fleet.set_pace(leader_id, others[0], Pace::Hold);
+        let done = request(fleet.addresses[leader_id]["store"], &["SET", &key, &value]);
         assert!(done.is_some_and(|done| done.starts_with("+OK")));
-        fleet.apply(&Step::StartEmpty(took), |_, _| true);
+        fleet.apply(&Step::StartEmpty(leader_id), |_, _| true);
         fleet.heal();
         assert_eq!(get(&mut fleet, &key), value);
-        // It lost its disk: it is another member of the same name, and comes in anew.
-        replace_member(&mut fleet, &format!("c{took}"));
+        // Without its disk it is a new member of the same name, which has to be added again.
+        replace_member(&mut fleet, &format!("c{leader_id}"));
     }
 }
 
-/// What clients share while a script plays.
+/// State shared by the clients while a script runs.
 #[derive(Default)]
-struct Board {
-    doors: Mutex<Vec<Option<SocketAddr>>>,
-    over: AtomicBool,
+struct Workload {
+    /// Addresses of the store by position; `None` for a process that is down.
+    endpoints: Mutex<Vec<Option<SocketAddr>>>,
+    stop: AtomicBool,
+    /// Number of calls started.
     calls: AtomicU64,
+    /// Operations by key.
     ops: Mutex<BTreeMap<usize, Vec<Operation>>>,
-    micros: Mutex<Vec<u64>>,
+    /// Latencies of answered calls (us).
+    latencies_us: Mutex<Vec<u64>>,
 }
 
-/// Keys change after so many calls, so that histories stay short.
-const CALLS_A_KEY: u64 = 150;
+/// The clients move on to the next key after this many calls, which keeps histories short.
+const CALLS_PER_KEY: u64 = 150;
 
-/// A client: reads, writes and swaps, said again in its session until it is told.
-fn client(board: &Board, clock: Clock, number: u64) {
-    let (mut session, mut serial, mut guess, mut told) = (number, 0, number as usize, 0);
-    let mut lines: BTreeMap<SocketAddr, Connection> = BTreeMap::new();
-    while !board.over.load(Ordering::SeqCst) {
-        let call = board.calls.fetch_add(1, Ordering::SeqCst);
-        let key = (call / CALLS_A_KEY) as usize;
+/// A client: reads, writes and compares-and-swaps, with up to 40 tries of each call in its session until it is answered.
+fn client(workload: &Workload, clock: Clock, number: u64) {
+    let (mut session, mut serial, mut endpoint_index, mut observed) = (number, 0, number as usize, 0);
+    let mut connections: BTreeMap<SocketAddr, Connection> = BTreeMap::new();
+    while !workload.stop.load(Ordering::SeqCst) {
+        let call = workload.calls.fetch_add(1, Ordering::SeqCst);
+        let key = (call / CALLS_PER_KEY) as usize;
         let (name, value) = (format!("k{key}"), format!("{number}.{call}"));
         serial += 1;
         let call = match (call + number) % 3 {
             0 => Call::Read,
             1 => Call::Write(value),
-            _ => Call::CompareAndSwap(told, value),
+            _ => Call::CompareAndSwap(observed, value),
         };
         let called = clock.now();
         let mut answered = None;
         for _ in 0..40 {
-            let doors = board.doors.lock().expect("no panic").clone();
-            let Some(store) = doors[guess % doors.len()] else {
-                guess += 1;
+            let endpoints = workload.endpoints.lock().expect("no panic").clone();
+            let Some(store) = endpoints[endpoint_index % endpoints.len()] else {
+                endpoint_index += 1;
                 continue;
             };
-            let words = match &call {
+            let arguments = match &call {
                 Call::Read => vec!["READ".to_string(), name.clone()],
                 Call::Write(value) => vec!["SET".into(), name.clone(), value.clone()],
                 Call::CompareAndSwap(version, value) => {
                     vec!["CAS".into(), name.clone(), version.to_string(), value.clone()]
                 }
             };
-            let mut words: Vec<&str> = words.iter().map(String::as_str).collect();
+            let mut arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
             let (id, count) = (session.to_string(), serial.to_string());
             if call != Call::Read {
-                words.extend(["SESSION", &id, &count]);
+                arguments.extend(["SESSION", &id, &count]);
             }
-            let patience = Duration::from_millis(1500);
-            let mut door = lines.remove(&store).or_else(|| Connection::open(store, patience).ok());
-            let began = Instant::now();
-            let answer = door.as_mut().and_then(|door| door.request(&words).ok());
+            let timeout = Duration::from_millis(1500);
+            let mut endpoint = connections.remove(&store).or_else(|| Connection::open(store, timeout).ok());
+            let started = Instant::now();
+            let answer = endpoint.as_mut().and_then(|endpoint| endpoint.request(&arguments).ok());
             if answer.is_some() {
-                lines.extend(door.map(|door| (store, door)));
+                connections.extend(endpoint.map(|endpoint| (store, endpoint)));
             }
             answered = match answer {
                 Some(Reply::Texts(texts)) => {
@@ -103,23 +108,23 @@
                 _ => None,
             };
             if answered.is_some() {
-                board.micros.lock().expect("no panic").push(began.elapsed().as_micros() as u64);
+                workload.latencies_us.lock().expect("no panic").push(started.elapsed().as_micros() as u64);
                 break;
             }
-            guess += 1;
+            endpoint_index += 1;
             std::thread::sleep(Duration::from_millis(15));
         }
         if let Some(history::Answer::Written(version) | history::Answer::Value(Some((version, _)))) =
             &answered
         {
-            told = *version;
+            observed = *version;
         }
         if answered.is_none() {
-            // Nobody knows what became of it: another client goes on.
+            // The outcome is unknown, so the client continues in a new session.
             (session, serial) = (session + 1000, 0);
         }
         let answered = answered.map(|answer| (clock.now(), answer));
-        board.ops.lock().expect("no panic").entry(key).or_default().push(Operation {
+        workload.ops.lock().expect("no panic").entry(key).or_default().push(Operation {
             called,
             answered,
             call,
@@ -127,53 +132,57 @@
     }
 }
 
-/// Plays a script with four clients; all histories must be linearizable, and the last writes must be there.
-fn play(fleet: &mut Fleet, script: &Script) -> (usize, Vec<Duration>) {
-    let board = Arc::new(Board::default());
+/// Runs a script with four clients and checks that all histories are linearizable. Returns the number of answered calls,
+/// and for each leader that was killed or suspended the time until another member led.
+fn run_script(fleet: &mut Fleet, script: &Script) -> (usize, Vec<Duration>) {
+    let workload = Arc::new(Workload::default());
     let clock = Clock::default();
-    let post = |fleet: &mut Fleet| {
-        let doors: Vec<_> = fleet.addresses.iter().map(|doors| doors.get("store").copied()).collect();
-        *board.doors.lock().expect("no panic") = doors;
+    let publish_endpoints = |fleet: &mut Fleet| {
+        let endpoints: Vec<_> =
+            fleet.addresses.iter().map(|endpoints| endpoints.get("store").copied()).collect();
+        *workload.endpoints.lock().expect("no panic") = endpoints;
     };
-    post(fleet);
+    publish_endpoints(fleet);
     let clients: Vec<_> = (1..=4)
         .map(|number| {
-            let board = board.clone();
-            std::thread::spawn(move || client(&board, clock, number))
+            let workload = workload.clone();
+            std::thread::spawn(move || client(&workload, clock, number))
         })
         .collect();
     let mut elections = Vec::new();
     for step in &script.0 {
-        let led = leader(fleet);
-        let began = Instant::now();
-        fleet.apply(step, |fleet, what| {
-            let before = board.calls.load(Ordering::SeqCst);
-            assert_eq!(what, "served");
-            // Somebody leads, and calls are answered.
-            let serves = leader(fleet).is_some();
-            until("calls are made", || (board.calls.load(Ordering::SeqCst) > before + 2).then_some(()));
-            serves
+        let leader_id = leader(fleet);
+        let started = Instant::now();
+        fleet.apply(step, |fleet, condition| {
+            let before = workload.calls.load(Ordering::SeqCst);
+            assert_eq!(condition, "served");
+            // There is a leader, and the clients make progress.
+            let has_leader = leader(fleet).is_some();
+            until("the clients make calls", || {
+                (workload.calls.load(Ordering::SeqCst) > before + 2).then_some(())
+            });
+            has_leader
         });
-        if let (Step::Kill(at) | Step::Suspend(at), true) = (step, led.is_some()) {
-            if led == Some(*at) {
-                until("another leads", || leader(fleet).filter(|now| now != at));
-                elections.push(began.elapsed());
+        if let (Step::Kill(at) | Step::Suspend(at), true) = (step, leader_id.is_some()) {
+            if leader_id == Some(*at) {
+                until("another member leads", || leader(fleet).filter(|now| now != at));
+                elections.push(started.elapsed());
             }
         }
-        post(fleet);
+        publish_endpoints(fleet);
     }
-    board.over.store(true, Ordering::SeqCst);
+    workload.stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|client| client.join().expect("no panic"));
-    let ops = board.ops.lock().expect("no panic");
+    let ops = workload.ops.lock().expect("no panic");
     let count = ops.values().flatten().filter(|op| op.answered.is_some()).count();
     for (key, ops) in ops.iter() {
-        assert!(is_linearizable(ops), "no order explains the calls on k{key}; the script was:\n{script}");
+        assert!(is_linearizable(ops), "the history of k{key} is not linearizable; the script was:\n{script}");
     }
-    let mut micros = std::mem::take(&mut *board.micros.lock().expect("no panic"));
-    micros.sort_unstable();
-    let at = |part: f64| micros[((micros.len() - 1) as f64 * part) as usize];
+    let mut latencies_us = std::mem::take(&mut *workload.latencies_us.lock().expect("no panic"));
+    latencies_us.sort_unstable();
+    let at = |quantile: f64| latencies_us[((latencies_us.len() - 1) as f64 * quantile) as usize];
     println!(
-        "{count} calls answered, {} not; half within {} us, 99% within {} us",
+        "{count} calls answered, {} not; p50 {} us, p99 {} us",
         ops.values().flatten().count() - count,
         at(0.5),
         at(0.99)
@@ -182,18 +191,18 @@
 }
 
 #[test]
-fn members_killed_and_links_at_fault_in_rotation_keep_histories_linearizable() {
-    let troubles = env_number("TROUBLES", 100) as usize;
+fn histories_stay_linearizable_under_rotating_process_and_link_faults() {
+    let faults = env_number("TROUBLES", 100) as usize;
     let seed = env_number("SEED", 1);
     let mut fleet = start(5, 5);
-    let script = Script::rotation(seed, 5, troubles, "served");
+    let script = Script::rotation(seed, 5, faults, "served");
     println!("seed {seed}:\n{script}");
-    let (answered, mut elections) = play(&mut fleet, &script);
+    let (answered, mut elections) = run_script(&mut fleet, &script);
     elections.sort_unstable();
-    let at = |part: f64| elections[((elections.len() - 1) as f64 * part) as usize];
+    let at = |quantile: f64| elections[((elections.len() - 1) as f64 * quantile) as usize];
     if !elections.is_empty() {
         println!(
-            "a leader lost {} times; another led after {:?}, 99% within {:?}",
+            "{} leaders lost; time until another member led: p50 {:?}, p99 {:?}",
             elections.len(),
             at(0.5),
             at(0.99)
@@ -202,20 +211,20 @@
     assert!(answered > 100);
 }
 
-/// Each point between receiving and answering, at the leader and at another member.
+/// Kills the leader or a follower at each point between receiving a request and answering it.
 #[test]
 fn a_member_killed_at_any_point_loses_no_acknowledged_write() {
     let mut fleet = start(3, 3);
     let points = ["received", "write", "synced", "send", "apply", "answer"];
-    for (turn, point) in points.into_iter().enumerate() {
+    for (round, point) in points.into_iter().enumerate() {
         for leads in [true, false] {
-            let led = until("a leader", || leader(&mut fleet));
-            let victim = if leads { led } else { (led + 1) % 3 };
-            fleet.apply(&Step::KillAt(victim, format!("store.{point}@{}", 2 + turn)), |_, _| true);
+            let leader_id = until("a leader", || leader(&mut fleet));
+            let victim = if leads { leader_id } else { (leader_id + 1) % 3 };
+            fleet.apply(&Step::KillAt(victim, format!("store.{point}@{}", 2 + round)), |_, _| true);
             if leads {
-                // It leads again, if it lives so long.
+                // The restarted member becomes leader again, unless it reaches its kill point first.
                 let name = format!("c{victim}");
-                until(&format!("{name} leads or ends"), || {
+                until(&format!("{name} leads or exits"), || {
                     if !fleet.processes[victim].is_running() {
                         return Some(());
                     }
@@ -225,16 +234,16 @@
                 });
             }
             let (key, mut last) = (format!("{point}.{leads}"), 0);
-            // Only a leader answers; all else comes to its point sooner or later.
-            let comes = leads || point != "answer";
-            while last < 8 || comes && fleet.processes[victim].is_running() {
+            // Only a leader reaches `answer`; each other point is reached sooner or later by any member.
+            let is_reached = leads || point != "answer";
+            while last < 8 || is_reached && fleet.processes[victim].is_running() {
                 last += 1;
-                assert!(last < 10_000, "c{victim} does not come to {point}");
+                assert!(last < 10_000, "c{victim} did not reach {point}");
                 if last > 100 {
-                    // It comes back more slowly than a busy machine writes.
+                    // Slows the writes down: on a busy machine they can be faster than the restart of the victim.
                     std::thread::sleep(Duration::from_millis(5));
                 }
-                let session = format!("{}", 1000 * (2 * turn + usize::from(leads)) + last);
+                let session = format!("{}", 1000 * (2 * round + usize::from(leads)) + last);
                 set(&mut fleet, &session, &key, &last.to_string());
             }
             assert_eq!(get(&mut fleet, &key), last.to_string());
@@ -244,113 +253,115 @@
     }
 }
 
-/// The minor side may say no, or that nobody knows; it never says yes, and it serves nothing old.
+/// The minority may reject a write or report its outcome as unknown. It must not acknowledge one, nor serve stale reads.
 #[test]
 fn a_partition_with_the_leader_in_the_minority_heals_without_a_lost_write() {
     let mut fleet = start(5, 5);
     set(&mut fleet, "1", "k", "before");
     for round in 0..2 {
-        let led = until("a leader", || leader(&mut fleet));
-        let minor = [led, (led + 1) % 5];
-        let major: Vec<usize> = (0..5).filter(|at| !minor.contains(at)).collect();
-        fleet.partition(&minor, &major);
-        let said = request(fleet.addresses[led]["store"], &["SET", "k", "minor"]).expect("an answer");
-        assert!(said.starts_with("-UNKNOWN") || said.starts_with("-LEADER"), "{said}");
+        let leader_id = until("a leader", || leader(&mut fleet));
+        let minority = [leader_id, (leader_id + 1) % 5];
+        let majority: Vec<usize> = (0..5).filter(|at| !minority.contains(at)).collect();
+        fleet.partition(&minority, &majority);
+        let received =
+            request(fleet.addresses[leader_id]["store"], &["SET", "k", "minor"]).expect("an answer");
+        assert!(received.starts_with("-UNKNOWN") || received.starts_with("-LEADER"), "{received}");
         let value = format!("major{round}");
-        // On a slow disk the side may elect more than once: each try goes to whoever leads it at that moment.
-        until("the major side has a leader and writes", || {
+        // With a slow disk there may be more than one election, so each attempt looks up the current leader.
+        until("the majority has a leader and accepts a write", || {
             let leads = |at: &usize| status(&fleet, *at).contains("role=leader");
-            let leader = major.iter().copied().find(leads)?;
-            let door = fleet.addresses[leader]["store"];
-            request(door, &["SET", "k", &value])?.starts_with("+OK").then_some(())
+            let leader = majority.iter().copied().find(leads)?;
+            let endpoint = fleet.addresses[leader]["store"];
+            request(endpoint, &["SET", "k", &value])?.starts_with("+OK").then_some(())
         });
-        for at in minor {
+        for at in minority {
             let read = request(fleet.addresses[at]["store"], &["GET", "k"]).expect("an answer");
-            assert!(read.starts_with("-LEADER"), "the minor side serves {read}");
+            assert!(read.starts_with("-LEADER"), "the minority answered a read with {read}");
         }
         fleet.heal();
         assert_eq!(get(&mut fleet, "k"), value);
     }
 }
 
-/// A process may sleep between any two lines: one that led, slept and woke must not serve what is old.
+/// A process can be suspended at any instruction. A former leader that resumes must not serve stale reads.
 #[test]
 fn a_leader_that_was_suspended_serves_no_stale_read() {
     let mut fleet = start(3, 3);
     set(&mut fleet, "1", "k", "old");
     for round in 0..3 {
-        let led = until("a leader", || leader(&mut fleet));
-        // Calls that it finds when it wakes.
-        let mut doors: Vec<Connection> = (0..4)
+        let leader_id = until("a leader", || leader(&mut fleet));
+        // Requests that are waiting when it resumes.
+        let mut endpoints: Vec<Connection> = (0..4)
             .map(|_| {
-                Connection::open(fleet.addresses[led]["store"], Duration::from_secs(20)).expect("connected")
+                Connection::open(fleet.addresses[leader_id]["store"], Duration::from_secs(20))
+                    .expect("connected")
             })
             .collect();
-        doors.iter_mut().for_each(|door| drop(door.request(&["STATUS"]).expect("up")));
-        fleet.processes[led].suspend();
-        doors.iter_mut().for_each(|door| door.send(&["GET", "k"]).expect("sent"));
-        until("another leads", || leader(&mut fleet));
+        endpoints.iter_mut().for_each(|endpoint| drop(endpoint.request(&["STATUS"]).expect("up")));
+        fleet.processes[leader_id].suspend();
+        endpoints.iter_mut().for_each(|endpoint| endpoint.send(&["GET", "k"]).expect("sent"));
+        until("another member leads", || leader(&mut fleet));
         let value = format!("new{round}");
         set(&mut fleet, &format!("{}", 10 + round), "k", &value);
-        fleet.processes[led].resume();
-        for door in &mut doors {
-            let said = reply_text(door.receive().expect("an answer"));
-            assert!(said.starts_with("-LEADER"), "{said}");
+        fleet.processes[leader_id].resume();
+        for endpoint in &mut endpoints {
+            let received = reply_text(endpoint.receive().expect("an answer"));
+            assert!(received.starts_with("-LEADER"), "{received}");
         }
     }
 }
 
-/// A follower sleeps for longer than any wait of the others, and wakes: it serves nothing old, catches up, and no election
-/// comes of it. A machine that is busy may lose its leader by itself, so one wake of three has to show that. `SLEEP` is in
-/// seconds.
+/// A follower that is suspended for longer than any timeout of the others must not serve stale reads when it resumes; it
+/// catches up, and causes no election. On a busy machine the leader may change for other reasons, so one resume of three
+/// without an election is enough. `SLEEP` is in seconds.
 #[test]
 fn a_follower_suspended_for_half_a_minute_catches_up_without_an_election() {
     let mut fleet = start(3, 3);
     let term = |fleet: &Fleet, at: usize| {
         status(fleet, at).split_whitespace().find_map(|word| word.strip_prefix("term=").map(str::to_string))
     };
-    let (mut writes, mut undisturbed) = (0, 0);
+    let (mut writes, mut without_election) = (0, 0);
     for seconds in [env_number("SLEEP", 30), 2, 2] {
-        let led = until("a leader", || leader(&mut fleet));
-        let sleeper = (led + 1) % 3;
-        wait_until_caught_up(&mut fleet, sleeper);
-        let mut found =
-            Connection::open(fleet.addresses[sleeper]["store"], Duration::from_secs(60)).expect("connected");
-        found.request(&["STATUS"]).expect("up");
-        fleet.processes[sleeper].suspend();
-        // A call that it finds when it wakes.
-        found.send(&["GET", "k"]).expect("sent");
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(seconds) {
+        let leader_id = until("a leader", || leader(&mut fleet));
+        let suspended = (leader_id + 1) % 3;
+        wait_until_caught_up(&mut fleet, suspended);
+        let mut connection = Connection::open(fleet.addresses[suspended]["store"], Duration::from_secs(60))
+            .expect("connected");
+        connection.request(&["STATUS"]).expect("up");
+        fleet.processes[suspended].suspend();
+        // A request that is waiting when it resumes.
+        connection.send(&["GET", "k"]).expect("sent");
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_secs(seconds) {
             writes += 1;
             set(&mut fleet, &writes.to_string(), "k", &format!("v{writes}"));
         }
         let now = until("a leader", || leader(&mut fleet));
         let before = term(&fleet, now);
-        fleet.processes[sleeper].resume();
-        let said = reply_text(found.receive().expect("an answer"));
-        assert!(said.starts_with("-LEADER"), "{said}");
-        wait_until_caught_up(&mut fleet, sleeper);
+        fleet.processes[suspended].resume();
+        let received = reply_text(connection.receive().expect("an answer"));
+        assert!(received.starts_with("-LEADER"), "{received}");
+        wait_until_caught_up(&mut fleet, suspended);
         assert_eq!(get(&mut fleet, "k"), format!("v{writes}"));
-        undisturbed += usize::from(leader(&mut fleet) == Some(now) && term(&fleet, now) == before);
+        without_election += usize::from(leader(&mut fleet) == Some(now) && term(&fleet, now) == before);
     }
-    println!("{writes} writes while it slept, {undisturbed} of three wakes without an election");
-    assert!(undisturbed > 0, "an election came of each wake");
+    println!("{writes} writes during suspension, {without_election} of three resumes without an election");
+    assert!(without_election > 0, "each resume was followed by an election");
 }
 
-/// Of many that clock, some read nothing: they are let go, the others have every change in order.
+/// Watchers that do not read from their connection are disconnected; the others receive every change in order.
 #[test]
 fn watchers_that_read_nothing_are_disconnected_and_others_miss_no_change() {
     let mut fleet = start(3, 3);
-    let led = until("a leader", || leader(&mut fleet));
-    let door = fleet.addresses[led]["store"];
-    let patience = Duration::from_secs(30);
-    let (reads, hears_nothing) = (env_number("READING", 8), env_number("DEAF", 4));
+    let leader_id = until("a leader", || leader(&mut fleet));
+    let endpoint = fleet.addresses[leader_id]["store"];
+    let timeout = Duration::from_secs(30);
+    let (reading_count, stalled_count) = (env_number("READING", 8), env_number("DEAF", 4));
     let mut reading: Vec<Connection> =
-        (0..reads).map(|_| Connection::open(door, patience).expect("connected")).collect();
-    let mut deaf: Vec<Connection> =
-        (0..hears_nothing).map(|_| Connection::open(door, patience).expect("connected")).collect();
-    for watcher in reading.iter_mut().chain(&mut deaf) {
+        (0..reading_count).map(|_| Connection::open(endpoint, timeout).expect("connected")).collect();
+    let mut stalled: Vec<Connection> =
+        (0..stalled_count).map(|_| Connection::open(endpoint, timeout).expect("connected")).collect();
+    for watcher in reading.iter_mut().chain(&mut stalled) {
         watcher.send(&["WATCH", "0"]).expect("sent");
     }
     let large = "x".repeat(1 << 20);
@@ -377,68 +388,72 @@
         let seen = reader.join().expect("no panic");
         assert_eq!(seen, (0..=24).map(|n| n.to_string()).collect::<Vec<_>>());
     }
-    let gone = || {
-        let said = fleet.processes[led].output();
-        said.iter().filter(|line| line.contains("reads nothing")).count()
+    let removed = || {
+        let received = fleet.processes[leader_id].output();
+        received.iter().filter(|line| line.contains("reads nothing")).count()
     };
-    until("those that read nothing are let go", || (gone() == hears_nothing as usize).then_some(()));
+    until("watchers that read nothing are disconnected", || {
+        (removed() == stalled_count as usize).then_some(())
+    });
 }
 
-/// The operators' program finds whoever leads, and says a change again until it knows: it counts once.
+/// The operators' client finds the leader and repeats a change until its outcome is known; the change is made only once.
 #[test]
-fn client_calls_reach_the_leader() {
+fn client_calls_reach_the_leader_and_take_effect_once() {
     let mut fleet = start(3, 3);
     let members: Vec<SocketAddr> = (0..3).map(|at| fleet.addresses[at]["store"]).collect();
     let mut version = 0;
-    for turn in 0..6 {
+    for round in 0..6 {
         let give_up = Instant::now() + Duration::from_secs(30);
         let mut store = Client::new(members.clone(), give_up);
-        if turn % 2 == 1 {
-            let led = until("a leader", || leader(&mut fleet));
-            let name = format!("c{}", (led + 1) % 3);
-            assert!(request(members[led], &["MEMBER", "TRANSFER", &name]).is_some());
+        if round % 2 == 1 {
+            let leader_id = until("a leader", || leader(&mut fleet));
+            let name = format!("c{}", (leader_id + 1) % 3);
+            assert!(request(members[leader_id], &["MEMBER", "TRANSFER", &name]).is_some());
         }
         let expected = version.to_string();
-        let done = store.call(&["CAS", "counter", &expected, &turn.to_string()]).expect("done");
+        let done = store.call(&["CAS", "counter", &expected, &round.to_string()]).expect("done");
         let Reply::Status(word) = done else { panic!("{done:?}") };
         version = word.strip_prefix("OK ").and_then(|v| v.parse::<u64>().ok()).expect("a version");
         assert!(store
             .call(&["CAS", "counter", &expected, "again"])
             .is_err_and(|why| why.to_string().contains("version")));
     }
-    // Without a majority nothing is done, and that is said.
+    // Without a majority the call fails with an error.
     fleet.processes[1].kill();
     fleet.processes[2].kill();
     let give_up = Instant::now() + Duration::from_secs(2);
-    let said = Client::new(members, give_up).call(&["SET", "counter", "lost"]);
-    assert!(said.is_err(), "{said:?}");
+    let received = Client::new(members, give_up).call(&["SET", "counter", "lost"]);
+    assert!(received.is_err(), "{received:?}");
 }
 
-/// One that is heard by nobody, and hears, does not lead; when it is heard again it follows.
+/// A leader whose outgoing messages are blocked while it still receives is replaced. Once its messages get through again,
+/// the late ones do no harm.
 #[test]
-fn a_leader_whose_messages_are_held_up_is_replaced() {
+fn a_leader_whose_outgoing_messages_are_blocked_is_replaced() {
     let mut fleet = start(3, 3);
     for round in 0..3 {
-        let led = until("a leader", || leader(&mut fleet));
-        for to in (0..3).filter(|to| *to != led) {
-            fleet.set_pace(led, to, Pace::Hold);
+        let leader_id = until("a leader", || leader(&mut fleet));
+        for to in (0..3).filter(|to| *to != leader_id) {
+            fleet.set_pace(leader_id, to, Pace::Hold);
         }
-        until("another leads", || leader(&mut fleet).filter(|now| *now != led));
+        until("another member leads", || leader(&mut fleet).filter(|now| *now != leader_id));
         set(&mut fleet, &format!("{round}1"), "k", &format!("v{round}"));
-        let door = fleet.addresses[led]["store"];
-        assert!(request(door, &["GET", "k"]).is_some_and(|said| said.starts_with("-LEADER")));
-        // What it said meanwhile arrives late.
+        let endpoint = fleet.addresses[leader_id]["store"];
+        assert!(request(endpoint, &["GET", "k"]).is_some_and(|received| received.starts_with("-LEADER")));
+        // Its blocked messages now arrive late.
         fleet.heal();
         assert_eq!(get(&mut fleet, "k"), format!("v{round}"));
     }
 }
 
-/// A disk that is full: the member takes no part any more and says so; the others go on.
+/// A member whose disk is full stops taking part and reports the failure, while the others continue. It catches up after a
+/// restart with free space.
 #[test]
-fn a_member_whose_disk_is_full_reports_failure_and_the_others_go_on() {
+fn a_member_whose_disk_is_full_reports_failure_and_the_others_continue() {
     let mut fleet = start(3, 3);
-    let led = until("a leader", || leader(&mut fleet));
-    let full = (led + 1) % 3;
+    let leader_id = until("a leader", || leader(&mut fleet));
+    let full = (leader_id + 1) % 3;
     fleet.processes[full].kill();
     fleet.processes[full].shell_prefix = Some("trap '' XFSZ; ulimit -f 64;".into()); // blocks of 512 bytes
     fleet.start_process(full, None);
@@ -446,14 +461,14 @@
     let mut n = 0;
     while !status(&fleet, full).contains("role=failed") {
         n += 1;
-        assert!(n < 200, "its disk takes all");
+        assert!(n < 200, "the disk does not fill up");
         set(&mut fleet, &format!("{n}"), &format!("k{}", n % 5), &large);
     }
     assert!(status(&fleet, full).contains("failed=File too large"), "{}", status(&fleet, full));
-    let said = request(fleet.addresses[full]["store"], &["GET", "k1"]).expect("an answer");
-    assert!(said.starts_with("-REFUSED") || said.starts_with("-LEADER"), "{said}");
+    let received = request(fleet.addresses[full]["store"], &["GET", "k1"]).expect("an answer");
+    assert!(received.starts_with("-REFUSED") || received.starts_with("-LEADER"), "{received}");
     set(&mut fleet, "1000", "after", "still");
-    // With room again it comes back by itself, with what it had told.
+    // Restarted with free space, it rejoins by itself and catches up.
     fleet.processes[full].kill();
     fleet.processes[full].shell_prefix = None;
     fleet.start_process(full, None);
@@ -461,73 +476,79 @@
     assert_eq!(get(&mut fleet, "after"), "still");
 }
 
-/// One that was away for longer than the log goes back gets the machine in pieces, and goes on from there.
+/// A member that was down while the entries it lacks were removed from the log receives a snapshot in chunks and continues
+/// from there.
 #[test]
-fn a_member_that_was_down_for_long_catches_up_by_a_snapshot() {
+fn a_member_that_was_down_for_long_catches_up_from_a_snapshot() {
     let mut fleet = start(3, 3);
-    let led = until("a leader", || leader(&mut fleet));
-    let away = (led + 1) % 3;
+    let leader_id = until("a leader", || leader(&mut fleet));
+    let down = (leader_id + 1) % 3;
     set(&mut fleet, "1", "old", "x");
-    fleet.processes[away].kill();
+    fleet.processes[down].kill();
     let large = "y".repeat(100_000);
     for n in 0..60 {
         set(&mut fleet, &format!("{}", 100 + n), &format!("k{}", n % 20), &large);
     }
-    until("a key is gone", || {
-        let led = leader(&mut fleet)?;
-        request(fleet.addresses[led]["store"], &["DEL", "old"])?.starts_with("+OK").then_some(())
+    until("the key is deleted", || {
+        let leader_id = leader(&mut fleet)?;
+        request(fleet.addresses[leader_id]["store"], &["DEL", "old"])?.starts_with("+OK").then_some(())
     });
-    fleet.start_process(away, None);
-    wait_until_caught_up(&mut fleet, away);
-    let name = format!("c{away}");
-    until("it leads", || {
+    fleet.start_process(down, None);
+    wait_until_caught_up(&mut fleet, down);
+    let name = format!("c{down}");
+    until("the restarted member leads", || {
         let now = leader(&mut fleet)?;
         request(fleet.addresses[now]["store"], &["MEMBER", "TRANSFER", &name]);
-        (now == away).then_some(())
+        (now == down).then_some(())
     });
     assert_eq!(get(&mut fleet, "old"), "");
     assert_eq!(get(&mut fleet, "k7"), large);
-    assert!(status(&fleet, away).contains("member=c0 "), "it knows the members");
+    assert!(status(&fleet, down).contains("member=c0 "), "the restarted member does not know the members");
 }
 
-/// A leader that is taken out by its own change leads until that counts, and then another does; while a link to the
-/// other side is cut, no change of members counts on the minor side.
+/// A leader that removes itself leads until the change is committed, and then another member does. During a partition no
+/// membership change is committed by the minority.
 #[test]
-fn members_change_during_a_partition_and_a_leader_removes_itself() {
+fn only_the_majority_changes_members_and_a_leader_can_remove_itself() {
     let mut fleet = start(5, 5);
-    let led = until("a leader", || leader(&mut fleet));
-    let (minor, major) = ([led, (led + 1) % 5], [(led + 2) % 5, (led + 3) % 5, (led + 4) % 5]);
-    fleet.partition(&minor, &major);
-    let out = format!("c{}", minor[1]);
-    let said = request(fleet.addresses[led]["store"], &["MEMBER", "REMOVE", &out]).expect("an answer");
-    assert!(said.starts_with("-UNKNOWN") || said.starts_with("-LEADER"), "{said}");
-    // One that took it says that it does not count yet.
-    let told = until("it tells", || Some(status(&fleet, led)).filter(|told| !told.is_empty()));
-    assert_eq!(told.contains("changing="), said.starts_with("-UNKNOWN"), "{said}: {told}");
-    let other = until("the major side has a leader", || {
-        major.iter().copied().find(|at| status(&fleet, *at).contains("role=leader"))
+    let leader_id = until("a leader", || leader(&mut fleet));
+    let (minority, majority) =
+        ([leader_id, (leader_id + 1) % 5], [(leader_id + 2) % 5, (leader_id + 3) % 5, (leader_id + 4) % 5]);
+    fleet.partition(&minority, &majority);
+    let follower_name = format!("c{}", minority[1]);
+    let received = request(fleet.addresses[leader_id]["store"], &["MEMBER", "REMOVE", &follower_name])
+        .expect("an answer");
+    assert!(received.starts_with("-UNKNOWN") || received.starts_with("-LEADER"), "{received}");
+    // A leader that accepted the change reports it as not yet committed.
+    let observed = until("the old leader reports its status", || {
+        Some(status(&fleet, leader_id)).filter(|observed| !observed.is_empty())
+    });
+    assert_eq!(observed.contains("changing="), received.starts_with("-UNKNOWN"), "{received}: {observed}");
+    let other = until("the majority has a leader", || {
+        majority.iter().copied().find(|at| status(&fleet, *at).contains("role=leader"))
     });
-    let gone = format!("c{}", minor[1]);
-    until("the major side takes one out", || {
-        request(fleet.addresses[other]["store"], &["MEMBER", "REMOVE", &gone])?
+    let removed = format!("c{}", minority[1]);
+    until("the majority removes a member", || {
+        request(fleet.addresses[other]["store"], &["MEMBER", "REMOVE", &removed])?
             .starts_with("+OK")
             .then_some(())
     });
     fleet.heal();
     set(&mut fleet, "1", "k", "v");
-    let led = until("a leader", || leader(&mut fleet));
-    assert!(!status(&fleet, led).contains(&format!("member={gone} ")));
-    let own = format!("c{led}");
-    until("it takes itself out", || {
+    let leader_id = until("a leader", || leader(&mut fleet));
+    assert!(!status(&fleet, leader_id).contains(&format!("member={removed} ")));
+    let leader_name = format!("c{leader_id}");
+    until("the leader removes itself", || {
         let now = leader(&mut fleet)?;
-        let said = request(fleet.addresses[now]["store"], &["MEMBER", "REMOVE", &own])?;
-        (said.starts_with("+OK") || said.contains("no member")).then_some(())
+        let received = request(fleet.addresses[now]["store"], &["MEMBER", "REMOVE", &leader_name])?;
+        (received.starts_with("+OK") || received.contains("no member")).then_some(())
     });
-    until("another leads", || leader(&mut fleet).filter(|now| *now != led));
+    until("another member leads", || leader(&mut fleet).filter(|now| *now != leader_id));
     assert_eq!(get(&mut fleet, "k"), "v");
 }
 
-/// Over slow links a change of members takes a while: it is told as done once no split can undo it.
+/// A membership change must not be reported as done while a partition could still undo it. Slow links make the change take
+/// long enough to show that.
 #[test]
 fn a_member_change_is_reported_as_done_only_once_it_is_committed() {
     let mut fleet = start(3, 3);
@@ -535,47 +556,48 @@
         fleet.set_pace(a, b, Pace::Delay(50));
         fleet.set_pace(b, a, Pace::Delay(50));
     }
-    let led = until("a leader", || leader(&mut fleet));
-    let anew = (led + 1) % 3;
-    fleet.apply(&Step::StartEmpty(anew), |_, _| true);
-    let name = format!("c{anew}");
+    let leader_id = until("a leader", || leader(&mut fleet));
+    let replaced = (leader_id + 1) % 3;
+    fleet.apply(&Step::StartEmpty(replaced), |_, _| true);
+    let name = format!("c{replaced}");
     replace_member(&mut fleet, &name);
-    let led = until("a leader", || leader(&mut fleet));
-    let others: Vec<usize> = (0..3).filter(|at| *at != led).collect();
-    fleet.partition(&[led], &others);
-    // No change is under way that could be undone now.
-    let said = request(fleet.addresses[led]["store"], &["MEMBER", "REMOVE", &name]).expect("an answer");
-    assert!(!said.starts_with("-REFUSED"), "{said}");
+    let leader_id = until("a leader", || leader(&mut fleet));
+    let others: Vec<usize> = (0..3).filter(|at| *at != leader_id).collect();
+    fleet.partition(&[leader_id], &others);
+    // A refusal would mean that the reported change was still under way.
+    let received =
+        request(fleet.addresses[leader_id]["store"], &["MEMBER", "REMOVE", &name]).expect("an answer");
+    assert!(!received.starts_with("-REFUSED"), "{received}");
 }
 
-/// Figures, not a verdict: `cargo test --release --test agreement writes -- --ignored --nocapture`.
+/// Prints figures and checks no bounds: `cargo test --release --test agreement writes -- --ignored --nocapture`.
 #[test]
 #[ignore]
 fn writes_per_second_at_one_three_and_five_members() {
     for members in [1, 3, 5] {
         let mut fleet = start(members, members);
-        let led = until("a leader", || leader(&mut fleet));
+        let leader_id = until("a leader", || leader(&mut fleet));
         for clients in [1, 8] {
-            let (store, seconds) = (fleet.addresses[led]["store"], env_number("SECONDS", 5));
+            let (store, seconds) = (fleet.addresses[leader_id]["store"], env_number("SECONDS", 5));
             let write = |client: u64| {
-                let mut door = Connection::open(store, Duration::from_secs(5)).expect("connected");
-                let (mut micros, began) = (Vec::new(), Instant::now());
-                while began.elapsed() < Duration::from_secs(seconds) {
+                let mut endpoint = Connection::open(store, Duration::from_secs(5)).expect("connected");
+                let (mut latencies_us, started) = (Vec::new(), Instant::now());
+                while started.elapsed() < Duration::from_secs(seconds) {
                     let (at, value) = (Instant::now(), "x".repeat(100));
-                    door.send(&["SET", &format!("k{client}"), &value]).expect("sent");
-                    let Ok(Reply::Status(_)) = door.receive() else { panic!("not done") };
-                    micros.push(at.elapsed().as_micros());
+                    endpoint.send(&["SET", &format!("k{client}"), &value]).expect("sent");
+                    let Ok(Reply::Status(_)) = endpoint.receive() else { panic!("the write failed") };
+                    latencies_us.push(at.elapsed().as_micros());
                 }
-                micros
+                latencies_us
             };
             let mut all: Vec<u128> = std::thread::scope(|scope| {
                 let workers: Vec<_> = (0..clients).map(|client| scope.spawn(move || write(client))).collect();
                 workers.into_iter().flat_map(|worker| worker.join().expect("no panic")).collect()
             });
             all.sort_unstable();
-            let at = |part: f64| all[((all.len() - 1) as f64 * part) as usize];
+            let at = |quantile: f64| all[((all.len() - 1) as f64 * quantile) as usize];
             println!(
-                "{members} members, {clients} clients: {} writes a second, half within {} us, 99% within {} us",
+                "{members} members, {clients} clients: {} writes per second, p50 {} us, p99 {} us",
                 all.len() as u64 / seconds,
                 at(0.5),
                 at(0.99)
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -1,4 +1,4 @@
-//! Settings that change in service while queries run. `CHANGES=200` for the long campaign.
+//! Settings changes at run time while queries are served. `CHANGES=200` runs the long campaign.
 
 mod members;
 
@@ -15,7 +15,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Those that watch take settings in service, and each change is one step of the same order at all of them.
+/// Each change of the settings takes effect at every process that watches the store, in the same order and without a
+/// restart.
 #[test]
 fn settings_take_effect_at_all_watchers_without_a_restart() {
     let mut fleet = start(3, 6);
@@ -25,27 +26,30 @@
     let count = env_number("CHANGES", 20) as usize;
     let mut longest = Duration::ZERO;
     for n in 1..=count {
-        let led = until("a leader", || leader(&mut fleet));
-        // A link at fault, and a member away, in turn: those that watch it go to another.
-        let away = (led + 1 + n % 2) % 3;
+        let leader_id = until("a leader", || leader(&mut fleet));
+        // Every fourth change happens while a member is down; its watchers connect to another member.
+        let down = (leader_id + 1 + n % 2) % 3;
         if n % 4 == 0 {
-            fleet.processes[away].kill();
+            fleet.processes[down].kill();
         }
         let version = set(&mut fleet, &n.to_string(), "settings", &settings(n));
-        let began = Instant::now();
-        let counts = format!("settings of version {version} count");
-        for at in (0..6).filter(|at| n % 4 != 0 || *at != away) {
-            let said =
-                || fleet.processes[at].output().iter().any(|line| line.contains(&counts)).then_some(());
-            until(&format!("c{at} has the settings {n}"), said);
+        let started = Instant::now();
+        let expected_line = format!("settings of version {version} count");
+        for at in (0..6).filter(|at| n % 4 != 0 || *at != down) {
+            let is_logged = || {
+                fleet.processes[at].output().iter().any(|line| line.contains(&expected_line)).then_some(())
+            };
+            until(&format!("c{at} applies settings {n}"), is_logged);
         }
-        longest = longest.max(began.elapsed());
+        longest = longest.max(started.elapsed());
         if n % 4 == 0 {
-            fleet.start_process(away, None);
+            fleet.start_process(down, None);
         }
     }
-    println!("{count} changes of settings; the longest until all that were up had one: {longest:?}");
-    // All are at the same version in the end, and each has taken the last settings.
+    println!(
+        "{count} settings changes; longest time until one took effect at all running processes: {longest:?}"
+    );
+    // In the end all processes are at the same store version.
     let versions = |fleet: &Fleet| -> Vec<String> {
         let version = |at: usize| {
             let stats = statistics(fleet.addresses[at]["console"]);
@@ -53,7 +57,7 @@
         };
         (0..6).map(version).collect()
     };
-    until("all know the same", || {
+    until("all processes are at the same version", || {
         let versions = versions(&fleet);
         versions.iter().all(|v| *v == versions[0]).then_some(())
     });
@@ -62,7 +66,7 @@
     assert!(wrong.starts_with("-ERR settings: "), "{wrong}");
 }
 
-/// Engines of the simulator, as the daemon's settings know their classes.
+/// Simulated engines with a class of the daemon's settings.
 fn engines(count: usize) -> Vec<EngineServer> {
     let scenario = Scenario::default();
     let mut class = scenario.classes[0].clone();
@@ -72,7 +76,7 @@
     (0..count).map(|n| start(n).expect("a port")).collect()
 }
 
-/// Sends load to coordinators for so many seconds.
+/// Sends queries to coordinators for `seconds` at a rate of `rate` per second.
 fn load(to: Vec<SocketAddr>, seconds: f64, rate: f64) -> Summary {
     let class =
         TrafficClass { name: "lookup".into(), share: 1.0, timeout_ms: 3000, work_ms: 4.0, has_key: false };
@@ -83,23 +87,25 @@
     sockets::run(driver, &target, Duration::from_secs(20)).summary()
 }
 
-/// Queries go on as they would without a store: none is lost, each has one answer, while settings change, a member is
-/// killed and another stopped. The half without a store is played to compare.
+/// No query fails and each has one answer while settings change, a member of the store is killed and another is suspended.
+/// The same load is also run without a store for comparison.
 #[test]
-fn queries_go_on_while_settings_change_and_members_fail() {
+fn queries_are_served_while_settings_change_and_members_fail() {
     let seconds = env_number("SECONDS", 4) as f64;
     let engines = engines(4);
-    let known: Vec<(&str, SocketAddr)> = engines.iter().map(|e| (e.id.as_str(), e.address)).collect();
-    let doors = |fleet: &Fleet| -> Vec<SocketAddr> {
-        fleet.addresses[3..].iter().map(|doors| doors["http"]).collect()
+    let engine_addresses: Vec<(&str, SocketAddr)> =
+        engines.iter().map(|e| (e.id.as_str(), e.address)).collect();
+    let endpoints = |fleet: &Fleet| -> Vec<SocketAddr> {
+        fleet.addresses[3..].iter().map(|endpoints| endpoints["http"]).collect()
     };
-    let config = |at: usize| daemon::config_with_directory(&known).replace("\"n1\"", &format!("\"c{at}\""));
+    let config =
+        |at: usize| daemon::config_with_directory(&engine_addresses).replace("\"n1\"", &format!("\"c{at}\""));
     let plain = Fleet::start(program(), 9, "http", "store", |at, _| vec![("config.json".into(), config(at))]);
-    let without = load(doors(&plain), seconds, 200.0);
+    let without_store = load(endpoints(&plain), seconds, 200.0);
     drop(plain);
     let mut fleet = start_with(3, 9, config);
-    let to = doors(&fleet);
-    let (with, changes) = std::thread::scope(|scope| {
+    let to = endpoints(&fleet);
+    let (with_store, changes) = std::thread::scope(|scope| {
         let load = scope.spawn(move || load(to, seconds, 200.0));
         let mut changes = 0;
         while !load.is_finished() {
@@ -118,59 +124,61 @@
         }
         (load.join().expect("no panic"), changes)
     });
-    for (name, s) in [("without a store", &without), ("with one", &with)] {
+    for (name, s) in [("without a store", &without_store), ("with a store", &with_store)] {
         println!(
             "{name}: {} due, {} served, {} refused, {} failed; half within {:.1} ms, 99% within {:.1} ms",
             s.due, s.served, s.rejected, s.failed, s.millis[0], s.millis[2]
         );
     }
-    println!("{changes} changes of settings meanwhile");
-    assert_eq!((with.failed, without.failed), (0, 0));
-    assert_eq!(with.served + with.rejected, with.due);
+    println!("{changes} settings changes during the load");
+    assert_eq!((with_store.failed, without_store.failed), (0, 0));
+    assert_eq!(with_store.served + with_store.rejected, with_store.due);
     assert!(changes > 3);
 }
 
-/// Engines fail, reset and are full, members of the store are killed and settings change: one answer each, and nothing
-/// that may have run is sent again but as its class allows. A load without its key is never repeated.
+/// While engines fail, reset connections and are full, members of the store are killed and settings change, each query has
+/// one answer, and a query that may have run is repeated only as its class allows: a load without a key never is.
 #[test]
-fn each_query_has_one_answer_and_repeats_keep_within_its_class() {
+fn each_query_has_one_answer_and_is_repeated_only_as_its_class_allows() {
     use dahliaspoke_test_harness::queries::EngineBehaviour::{Fail, Full, Reset, Serve};
     let engines = StubEngines::start(4);
-    let known: Vec<(&str, SocketAddr)> = engines.list.iter().map(|(id, at)| (id.as_str(), *at)).collect();
-    let config = |at: usize| daemon::config_with_directory(&known).replace("\"n1\"", &format!("\"c{at}\""));
+    let engine_addresses: Vec<(&str, SocketAddr)> =
+        engines.list.iter().map(|(id, at)| (id.as_str(), *at)).collect();
+    let config =
+        |at: usize| daemon::config_with_directory(&engine_addresses).replace("\"n1\"", &format!("\"c{at}\""));
     let mut fleet = start_with(3, 6, config);
-    let doors: Vec<SocketAddr> = fleet.addresses[3..].iter().map(|doors| doors["http"]).collect();
-    let (audit, over) = (QueryAudit::default(), AtomicBool::new(false));
+    let endpoints: Vec<SocketAddr> = fleet.addresses[3..].iter().map(|endpoints| endpoints["http"]).collect();
+    let (audit, stop) = (QueryAudit::default(), AtomicBool::new(false));
     std::thread::scope(|scope| {
         for client in 0..6u64 {
-            let (audit, over, doors) = (&audit, &over, &doors);
+            let (audit, stop, endpoints) = (&audit, &stop, &endpoints);
             scope.spawn(move || {
                 for n in 0.. {
-                    if over.load(Ordering::SeqCst) {
+                    if stop.load(Ordering::SeqCst) {
                         return;
                     }
                     let (class, repeats) =
                         if n % 3 == 0 { ("load", Repeats::Never) } else { ("lookup", Repeats::Any) };
-                    let door = doors[(client + n) as usize % doors.len()];
-                    audit.send(door, class, repeats, client << 32 | n);
+                    let endpoint = endpoints[(client + n) as usize % endpoints.len()];
+                    audit.send(endpoint, class, repeats, client << 32 | n);
                 }
             });
         }
-        for turn in 0..16 {
-            let manner = [Fail, Reset, Full, Serve][turn % 4];
-            engines.set_behaviour(turn % 3, manner);
-            let away = turn / 2 % 3;
-            if turn % 2 == 0 {
-                fleet.processes[away].kill();
+        for round in 0..16 {
+            let behaviour = [Fail, Reset, Full, Serve][round % 4];
+            engines.set_behaviour(round % 3, behaviour);
+            let down = round / 2 % 3;
+            if round % 2 == 0 {
+                fleet.processes[down].kill();
             } else {
-                fleet.start_process(away, None);
+                fleet.start_process(down, None);
             }
-            let give_up = format!("\"giveUp\":{}", 3.0 + turn as f64 / 100.0);
+            let give_up = format!("\"giveUp\":{}", 3.0 + round as f64 / 100.0);
             let settings = daemon::SETTINGS.replace("\"giveUp\":3", &give_up);
-            set(&mut fleet, &(turn + 1).to_string(), "settings", &settings);
+            set(&mut fleet, &(round + 1).to_string(), "settings", &settings);
             std::thread::sleep(Duration::from_millis(50));
         }
-        over.store(true, Ordering::SeqCst);
+        stop.store(true, Ordering::SeqCst);
     });
     let Verdict { violations: wrong, served, rejected: refused, failed } = audit.verdict(&engines);
     println!("{served} served, {refused} refused, {failed} failed");
