--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -6,7 +6,7 @@
 
 use dahliaspoke_body_store::plan::{Budgets, ClassLimits};
 use dahliaspoke_body_store::storage::{slot_offset, ChunkStorage, SegmentFile, StorageFolder};
-use dahliaspoke_body_store::{Body, BodyEvent, BodyStore, Pace, ReadOutcome};
+use dahliaspoke_body_store::{Body, BodyEvent, BodyStore, ReadOutcome, Timing};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::fs::File;
@@ -62,7 +62,7 @@
 enum Mode {
     Memory,
     File,
-    Passed,
+    PassThrough,
 }
 
 fn open_store(mode: Mode, storage: Option<Arc<dyn ChunkStorage>>) -> BodyStore {
@@ -76,7 +76,8 @@
     };
     let file_bytes = if mode == Mode::File { 1024 * MB } else { 0 };
     let budgets = Budgets { memory_bytes: 512 * MB, file_bytes, window_chunks: 64, classes: vec![class] };
-    BodyStore::new(budgets, Pace { hangs: 60.0, again: 1.0 }, storage, 2).expect("a descriptor")
+    BodyStore::new(budgets, Timing { write_timeout: 60.0, file_retry_delay: 1.0 }, storage, 2)
+        .expect("a descriptor")
 }
 
 /// Waits for the disk where there is nothing else to do.
@@ -102,7 +103,7 @@
 fn send_and_read(store: &mut BodyStore, mode: Mode, length: u64, piece: &[u8], reads: usize) {
     let (body, _) = store.admit(0.0, 0, length, 1.0).expect("room");
     let mut left = length as usize;
-    if mode == Mode::Passed {
+    if mode == Mode::PassThrough {
         let reader = store.open_reader(0.0, &body).expect("here");
         loop {
             let count = store.capacity(body.id()).min(left).min(piece.len());
@@ -169,7 +170,7 @@
             black_box(buffer.to_vec());
         });
         for (name, mode, reads) in [
-            ("passed on", Mode::Passed, 1),
+            ("passed on", Mode::PassThrough, 1),
             ("memory", Mode::Memory, 1),
             ("memory, replayed", Mode::Memory, 2),
         ] {
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod storage;
 pub mod store;
 
-pub use store::{Body, BodyEvent, BodyStore, Bytes, Pace, ReadOutcome, Reader, ReaderId};
+pub use store::{Body, BodyEvent, BodyStore, Bytes, ReadOutcome, Reader, ReaderId, Timing};
--- a/crates/body-store/src/plan/admission.rs
+++ b/crates/body-store/src/plan/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: whether a body is taken, and in which tier it begins.
 
-use super::{BodyId, BodyState, Plan, Rejection, Tier, FILE_WINDOW_CHUNKS, PASSED_WINDOW_CHUNKS};
+use super::{BodyId, BodyState, Plan, Rejection, Tier, FILE_WINDOW_CHUNKS, PASS_THROUGH_WINDOW_CHUNKS};
 
 /// Largest share of the memory that one body may use: a few large ones must not send all others to files.
 const MAX_BODY_SHARE: f64 = 0.25;
@@ -99,9 +99,9 @@
         if self.file_has_capacity(now, class, length) {
             return Some(Tier::File);
         }
-        let passes =
-            self.usage.limits(class).pass_through && self.usage.has_arrival_window(PASSED_WINDOW_CHUNKS);
-        passes.then_some(Tier::Passed)
+        let passes = self.usage.limits(class).pass_through
+            && self.usage.has_arrival_window(PASS_THROUGH_WINDOW_CHUNKS);
+        passes.then_some(Tier::PassThrough)
     }
 
     fn file_has_capacity(&self, now: f64, class: usize, length: u64) -> bool {
@@ -115,12 +115,12 @@
         body.window_chunks = match body.tier {
             Tier::Memory => 0,
             Tier::File => FILE_WINDOW_CHUNKS,
-            Tier::Passed => PASSED_WINDOW_CHUNKS,
+            Tier::PassThrough => PASS_THROUGH_WINDOW_CHUNKS,
         };
         let admission = Admission { id: self.last_id, tier: body.tier };
-        self.usage.take_arrival_window(body.window_chunks);
+        self.usage.reserve_arrival_window(body.window_chunks);
         self.usage.add(body.class, body.tier, body.length);
-        self.usage.count_taken(body.class, body.tier);
+        self.usage.count_admission(body.class, body.tier);
         self.bodies.insert(self.last_id, body);
         admission
     }
--- a/crates/body-store/src/plan/body.rs
+++ b/crates/body-store/src/plan/body.rs
@@ -11,7 +11,7 @@
     /// In a file.
     File,
     /// Nowhere: it is passed on to the engine as it arrives.
-    Passed,
+    PassThrough,
 }
 
 /// The state of a body that the plan has admitted.
--- a/crates/body-store/src/plan/limits.rs
+++ b/crates/body-store/src/plan/limits.rs
@@ -3,7 +3,7 @@
 /// Window of a body on its way to a file (chunks): one is filled while one is written.
 pub const FILE_WINDOW_CHUNKS: usize = 2;
 /// Window of a body that is passed on (chunks): one is filled; the others hold what a retry needs as long as nothing ran.
-pub const PASSED_WINDOW_CHUNKS: usize = 5;
+pub const PASS_THROUGH_WINDOW_CHUNKS: usize = 5;
 /// Window of a reader of a file (chunks): two are read ahead, two are on their way to the engine.
 pub const REPLAY_WINDOW_CHUNKS: usize = 4;
 
--- a/crates/body-store/src/plan/mod.rs
+++ b/crates/body-store/src/plan/mod.rs
@@ -7,7 +7,7 @@
 //! | --- | --- |
 //! | [`Tier::Memory`] | replayed at once, as often as the request's class allows |
 //! | [`Tier::File`] | the same, read back from a file |
-//! | [`Tier::Passed`] | passed on as it arrives and not kept: sent again only while every byte is still in its window |
+//! | [`Tier::PassThrough`] | passed on as it arrives and not kept: sent again only while every byte is still in its window |
 //!
 //! Invariants (`tests/plan.rs` tries to break them):
 //!
@@ -27,7 +27,9 @@
 
 pub use admission::Admission;
 pub use body::{BodyId, BodyState, Tier};
-pub use limits::{Budgets, ClassLimits, FILE_WINDOW_CHUNKS, PASSED_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS};
+pub use limits::{
+    Budgets, ClassLimits, FILE_WINDOW_CHUNKS, PASS_THROUGH_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
+};
 pub use usage::{ClassCounters, PerTier, UsedBytes, UsedWindows};
 
 use std::collections::HashMap;
@@ -100,7 +102,7 @@
     pub fn mark_complete(&mut self, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id) else { return };
         body.complete = true;
-        if body.tier != Tier::Passed {
+        if body.tier != Tier::PassThrough {
             self.usage.release_arrival_window(std::mem::take(&mut body.window_chunks));
         }
     }
@@ -112,16 +114,16 @@
 
     /// An arriving body cannot be written to its file. Returns whether it is passed on from here, in the window that it has;
     /// if not, it cannot be taken. A complete body is left as it is.
-    pub fn fall_back_to_passing(&mut self, id: BodyId) -> bool {
+    pub fn fall_back_to_pass_through(&mut self, id: BodyId) -> bool {
         let arriving = |body: &&mut BodyState| body.tier == Tier::File && !body.complete;
         let Some(body) = self.bodies.get_mut(&id).filter(arriving) else { return false };
         if body.length_unknown || !self.usage.limits(body.class).pass_through {
             return false;
         }
-        body.tier = Tier::Passed;
+        body.tier = Tier::PassThrough;
         body.retains_file = true;
-        self.usage.add(body.class, Tier::Passed, body.length);
-        self.usage.counters_mut(body.class).dropped += 1;
+        self.usage.add(body.class, Tier::PassThrough, body.length);
+        self.usage.counters_mut(body.class).fell_back += 1;
         true
     }
 
@@ -129,7 +131,7 @@
     #[must_use]
     pub fn can_read(&self, id: BodyId) -> bool {
         self.bodies.get(&id).is_some_and(|body| match body.tier {
-            Tier::Passed => body.readers == 0,
+            Tier::PassThrough => body.readers == 0,
             Tier::Memory | Tier::File => body.complete,
         })
     }
@@ -138,7 +140,7 @@
     /// passed on has its own.
     pub fn start_read(&mut self, id: BodyId) -> bool {
         let Some(body) = self.bodies.get_mut(&id) else { return false };
-        if body.tier == Tier::File && !self.usage.try_take_replay_window() {
+        if body.tier == Tier::File && !self.usage.try_reserve_replay_window() {
             return false;
         }
         body.readers += 1;
--- a/crates/body-store/src/plan/usage.rs
+++ b/crates/body-store/src/plan/usage.rs
@@ -12,8 +12,8 @@
     pub memory: u64,
     /// For [`Tier::File`].
     pub file: u64,
-    /// For [`Tier::Passed`].
-    pub passed: u64,
+    /// For [`Tier::PassThrough`].
+    pub pass_through: u64,
 }
 
 impl PerTier {
@@ -23,7 +23,7 @@
         match tier {
             Tier::Memory => self.memory,
             Tier::File => self.file,
-            Tier::Passed => self.passed,
+            Tier::PassThrough => self.pass_through,
         }
     }
 
@@ -31,7 +31,7 @@
         match tier {
             Tier::Memory => &mut self.memory,
             Tier::File => &mut self.file,
-            Tier::Passed => &mut self.passed,
+            Tier::PassThrough => &mut self.pass_through,
         }
     }
 }
@@ -48,7 +48,7 @@
 /// Windows in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsedWindows {
-    /// Of arriving bodies and those that are passed on (chunks).
+    /// Of arriving bodies and those that are passed through (chunks).
     pub arrivals: usize,
     /// Of readers of files (chunks).
     pub replays: usize,
@@ -57,16 +57,16 @@
 /// What has happened to bodies of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Bytes that are held now. A body that is being demoted, or is passed on after it began in a file, counts twice.
-    pub held_bytes: PerTier,
+    /// Bytes that are held now. A body that is being demoted, or is passed through after it began in a file, counts twice.
+    pub current_bytes: PerTier,
     /// Bodies that are held now, counted in the same way.
-    pub held_bodies: PerTier,
+    pub current_bodies: PerTier,
     /// Bodies admitted, by the tier that they began in.
-    pub taken: PerTier,
+    pub admitted: PerTier,
     /// Bodies moved from memory to a file.
     pub demoted: u64,
-    /// Bodies that began in a file and had to be passed on.
-    pub dropped: u64,
+    /// Bodies that began in a file and had to be passed through.
+    pub fell_back: u64,
     /// Readers after the first of a body.
     pub replayed: u64,
     /// Bodies rejected for want of capacity.
@@ -122,49 +122,49 @@
         let (budget, share, used) = match tier {
             Tier::Memory => (self.budgets.memory_bytes, limits.memory_share, self.used.memory),
             Tier::File => (self.budgets.file_bytes, limits.file_share, self.used.file),
-            Tier::Passed => return true,
+            Tier::PassThrough => return true,
         };
         let class_budget = (share * budget as f64) as u64;
-        let class_used = self.counters[class].held_bytes.get(tier);
+        let class_used = self.counters[class].current_bytes.get(tier);
         used + length <= budget && class_used + length <= class_budget
     }
 
     /// Counts a body into a tier.
     pub(super) fn add(&mut self, class: usize, tier: Tier, length: u64) {
         let counters = &mut self.counters[class];
-        *counters.held_bytes.get_mut(tier) += length;
-        *counters.held_bodies.get_mut(tier) += 1;
+        *counters.current_bytes.get_mut(tier) += length;
+        *counters.current_bodies.get_mut(tier) += 1;
         match tier {
             Tier::Memory => self.used.memory += length,
             Tier::File => self.used.file += length,
-            Tier::Passed => {}
+            Tier::PassThrough => {}
         }
     }
 
     /// Counts a body out of a tier.
     pub(super) fn remove(&mut self, class: usize, tier: Tier, length: u64) {
         let counters = &mut self.counters[class];
-        *counters.held_bytes.get_mut(tier) -= length;
-        *counters.held_bodies.get_mut(tier) -= 1;
+        *counters.current_bytes.get_mut(tier) -= length;
+        *counters.current_bodies.get_mut(tier) -= 1;
         match tier {
             Tier::Memory => self.used.memory -= length,
             Tier::File => self.used.file -= length,
-            Tier::Passed => {}
+            Tier::PassThrough => {}
         }
     }
 
     /// Counts a body as admitted in a tier.
-    pub(super) fn count_taken(&mut self, class: usize, tier: Tier) {
-        *self.counters[class].taken.get_mut(tier) += 1;
+    pub(super) fn count_admission(&mut self, class: usize, tier: Tier) {
+        *self.counters[class].admitted.get_mut(tier) += 1;
     }
 
     /// Whether an arriving body may have a window of so many chunks.
     pub(super) fn has_arrival_window(&self, chunks: usize) -> bool {
-        let most = (ARRIVAL_WINDOW_SHARE * self.budgets.window_chunks as f64) as usize;
-        self.windows.arrivals + chunks <= most && self.has_window(chunks)
+        let max_chunks = (ARRIVAL_WINDOW_SHARE * self.budgets.window_chunks as f64) as usize;
+        self.windows.arrivals + chunks <= max_chunks && self.has_window(chunks)
     }
 
-    pub(super) fn take_arrival_window(&mut self, chunks: usize) {
+    pub(super) fn reserve_arrival_window(&mut self, chunks: usize) {
         self.windows.arrivals += chunks;
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Takes a window for a reader, if one is free.
-    pub(super) fn try_take_replay_window(&mut self) -> bool {
+    pub(super) fn try_reserve_replay_window(&mut self) -> bool {
         let free = self.has_window(REPLAY_WINDOW_CHUNKS);
         if free {
             self.windows.replays += REPLAY_WINDOW_CHUNKS;
--- a/crates/body-store/src/store/arrival.rs
+++ b/crates/body-store/src/store/arrival.rs
@@ -61,7 +61,7 @@
         let capacity = match body.tier {
             Tier::Memory => missing,
             Tier::File => content.file_capacity(),
-            Tier::Passed => content.passing_capacity(body, &self.readers),
+            Tier::PassThrough => content.passing_capacity(body, &self.readers),
         };
         let room = capacity.min(missing);
         content.sender_waits = room == 0 && missing > 0;
@@ -71,7 +71,7 @@
     /// Whether all of a body is here and kept.
     #[must_use]
     pub fn is_stored(&self, id: BodyId) -> bool {
-        self.plan.body(id).is_some_and(|body| body.complete && body.tier != Tier::Passed)
+        self.plan.body(id).is_some_and(|body| body.complete && body.tier != Tier::PassThrough)
     }
 
     /// The largest body that a class may have (bytes).
@@ -150,7 +150,7 @@
         let Some(chunk) = content.end_chunk() else { return };
         match body.tier {
             Tier::File if !content.unwritable => self.write_chunk(now, id, chunk),
-            Tier::Passed => self.discard_read_chunks(id),
+            Tier::PassThrough => self.discard_read_chunks(id),
             Tier::File | Tier::Memory => {}
         }
     }
@@ -167,7 +167,7 @@
             return;
         }
         self.plan.mark_complete(id);
-        if tier != Tier::Passed {
+        if tier != Tier::PassThrough {
             self.events.push_back(BodyEvent::Stored(id));
         }
         self.start_waiting_readers();
--- a/crates/body-store/src/store/content.rs
+++ b/crates/body-store/src/store/content.rs
@@ -16,7 +16,7 @@
     Written { bytes: Bytes, slot: Slot },
     /// In the slot.
     File(Slot),
-    /// Passed on and not kept.
+    /// Passed through and not kept.
     Discarded,
 }
 
--- a/crates/body-store/src/store/file_tier.rs
+++ b/crates/body-store/src/store/file_tier.rs
@@ -48,7 +48,7 @@
     pub(super) fn on_written(&mut self, now: f64, write: ChunkWrite, succeeded: bool) {
         let id = write.body;
         if !succeeded {
-            self.plan.suspend_files(now + self.pace.again);
+            self.plan.suspend_files(now + self.timing.file_retry_delay);
         }
         let Some((content, body)) = self.contents.get_mut(&id).zip(self.plan.body(id)) else {
             self.release_slots(now, id, vec![write.slot]);
@@ -89,13 +89,13 @@
     pub(super) fn next_write_timeout(&self) -> Option<f64> {
         let is_watched = |body| self.contents.get(&body).is_some_and(|content| !content.unwritable);
         let oldest = self.io.as_ref()?.pending_writes().find(|write| is_watched(write.body))?;
-        Some(oldest.submitted_at + self.pace.hangs)
+        Some(oldest.submitted_at + self.timing.write_timeout)
     }
 
     /// Gives up every write under way if one of them hangs: its bytes may be in the file, or never will.
     pub(super) fn give_up_hanging_writes(&mut self, now: f64) {
         while self.next_write_timeout().is_some_and(|timeout| timeout <= now) {
-            self.plan.suspend_files(now + self.pace.again);
+            self.plan.suspend_files(now + self.timing.file_retry_delay);
             let written = self.contents.iter().filter(|(_, content)| content.pending_writes > 0);
             let ids: Vec<BodyId> = written.map(|(id, _)| *id).collect();
             for id in ids {
--- a/crates/body-store/src/store/mod.rs
+++ b/crates/body-store/src/store/mod.rs
@@ -41,17 +41,17 @@
 
 /// Times of the store (seconds).
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Timing {
     /// A write that takes longer than this counts as one that hangs.
-    pub hangs: f64,
+    pub write_timeout: f64,
     /// Files are tried again so long after one could not be written.
-    pub again: f64,
+    pub file_retry_delay: f64,
 }
 
 /// All bodies. Times are seconds on the caller's clock.
 pub struct BodyStore {
     plan: Plan,
-    pace: Pace,
+    timing: Timing,
     /// `None` without files.
     io: Option<IoThreads>,
     waker: Arc<OwnedFd>,
@@ -71,7 +71,7 @@
     /// Where the system has no descriptor for the waker.
     pub fn new(
         budgets: Budgets,
-        pace: Pace,
+        timing: Timing,
         storage: Option<Arc<dyn ChunkStorage>>,
         threads: usize,
     ) -> io::Result<Self> {
@@ -79,7 +79,7 @@
         let file_bytes = if storage.is_some() { budgets.file_bytes } else { 0 };
         Ok(Self {
             plan: Plan::new(Budgets { file_bytes, ..budgets }),
-            pace,
+            timing,
             io: storage.map(|storage| IoThreads::start(&storage, threads, &waker)),
             waker,
             contents: HashMap::new(),
--- a/crates/body-store/src/store/passing.rs
+++ b/crates/body-store/src/store/passing.rs
@@ -33,7 +33,7 @@
 
 impl BodyStore {
     pub(super) fn is_passed(&self, id: BodyId) -> bool {
-        self.plan.body(id).is_some_and(|body| body.tier == Tier::Passed)
+        self.plan.body(id).is_some_and(|body| body.tier == Tier::PassThrough)
     }
 
     /// Discards chunks of a body that is passed on, as far as its window is exceeded: those that its reader has had, the oldest
@@ -62,7 +62,7 @@
     /// The file of an arriving body cannot be written, and no write is under way: the body is passed on from here, or lost.
     pub(super) fn leave_file(&mut self, id: BodyId) {
         let Some(content) = self.contents.get_mut(&id) else { return };
-        if !self.plan.fall_back_to_passing(id) {
+        if !self.plan.fall_back_to_pass_through(id) {
             content.lost = true;
             self.events.push_back(BodyEvent::Lost(id));
             return;
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -172,7 +172,7 @@
     fn fall_back(&mut self, index: usize) -> TestCaseResult {
         let Some(id) = self.pick(index, |_| true) else { return Ok(()) };
         let before = self.state(id);
-        let fell = self.plan.fall_back_to_passing(id);
+        let fell = self.plan.fall_back_to_pass_through(id);
         let arriving = before.tier == Tier::File && !before.complete && !before.length_unknown;
         let may = arriving && self.budgets.classes[before.class].pass_through;
         prop_assert_eq!(fell, may, "one that is complete stays");
@@ -254,11 +254,11 @@
             assert!(used.file as f64 <= max_file, "a class over its files");
         }
         for (counters, used) in self.plan.counters().iter().zip(&by_class) {
-            let held = UsedBytes { memory: counters.held_bytes.memory, file: counters.held_bytes.file };
+            let held = UsedBytes { memory: counters.current_bytes.memory, file: counters.current_bytes.file };
             assert_eq!(held, *used, "what operators are told");
         }
         for body in self.bodies.iter().filter_map(|id| self.plan.body(*id)) {
-            assert!(body.tier != Tier::Passed || body.readers <= 1, "a passed body has one reader");
+            assert!(body.tier != Tier::PassThrough || body.readers <= 1, "a passed body has one reader");
         }
     }
 }
@@ -278,7 +278,7 @@
         let plan = &history.plan;
         prop_assert_eq!((plan.used(), plan.windows()), (UsedBytes::default(), UsedWindows::default()));
         let nothing = PerTier::default();
-        prop_assert!(plan.counters().iter().all(|c| c.held_bytes == nothing && c.held_bodies == nothing));
+        prop_assert!(plan.counters().iter().all(|c| c.current_bytes == nothing && c.current_bodies == nothing));
     }
 }
 
@@ -292,7 +292,7 @@
     // Loads may have half of the memory; what is more goes to files, then is passed on.
     let tiers: Vec<_> = (0..20).map(|_| tier(&mut plan, 1, 2 * MB)).collect();
     let count = |wanted| tiers.iter().filter(|t| **t == Ok(wanted)).count();
-    assert_eq!((count(Tier::Memory), count(Tier::File) + count(Tier::Passed)), (2, 11));
+    assert_eq!((count(Tier::Memory), count(Tier::File) + count(Tier::PassThrough)), (2, 11));
     assert_eq!(tiers.last(), Some(&Err(Rejection::NoCapacity)), "windows run out");
     assert_eq!(tier(&mut plan, 0, 2 * MB), Ok(Tier::Memory), "a look-up still has its place");
 }
@@ -309,7 +309,7 @@
 fn where_files_fail_a_body_is_passed_on_or_refused_by_its_class() {
     let mut plan = Plan::new(budgets());
     plan.suspend_files(5.0);
-    assert_eq!(tier(&mut plan, 1, 3 * MB), Ok(Tier::Passed));
+    assert_eq!(tier(&mut plan, 1, 3 * MB), Ok(Tier::PassThrough));
     assert_eq!(tier(&mut plan, 2, 3 * MB), Err(Rejection::NoCapacity), "this class is not passed on");
     assert_eq!(plan.admit(5.0, 2, 3 * MB, 9.0).map(|b| b.tier), Ok(Tier::File), "tried again");
 }
--- a/crates/body-store/tests/store/faulty_disks.rs
+++ b/crates/body-store/tests/store/faulty_disks.rs
@@ -38,17 +38,17 @@
         while let Some(wake) = fixture.store.next_event() {
             spent |= wake == BodyEvent::BytesDropped(body.id());
         }
-        assert!(fixture.store.resident_bytes() <= (PASSED_WINDOW_CHUNKS * CHUNK_BYTES) as u64);
+        assert!(fixture.store.resident_bytes() <= (PASS_THROUGH_WINDOW_CHUNKS * CHUNK_BYTES) as u64);
     }
     assert!(out == coming, "not altered");
     assert!(spent, "the caller is told that it cannot be repeated");
     drop(reader);
     assert!(fixture.store.open_reader(0.0, &body).is_none(), "and it cannot");
     assert!(fixture.read(&kept) == Ok(whole), "what was whole is still there");
-    assert_eq!(fixture.store.counters()[0].dropped, 1);
+    assert_eq!(fixture.store.counters()[0].fell_back, 1);
     // Files are left alone for a while; then tried again.
-    assert_eq!(fixture.admit(0, MB as usize).map(|b| b.1), Ok(Tier::Passed));
-    fixture.now += PACE.again;
+    assert_eq!(fixture.admit(0, MB as usize).map(|b| b.1), Ok(Tier::PassThrough));
+    fixture.now += TIMING.file_retry_delay;
     fixture.disk.full.store(false, Ordering::SeqCst);
     assert_eq!(fixture.admit(0, MB as usize).map(|b| b.1), Ok(Tier::File));
     drop((body, kept));
@@ -65,7 +65,7 @@
 fn the_real_full_device_is_met_the_same_way() {
     let file = std::fs::OpenOptions::new().read(true).write(true).open("/dev/full").expect("it is there");
     let store = Arc::new(SegmentFile::from_file(file));
-    let mut store = BodyStore::new(budgets(MB), PACE, Some(store), 2).expect("a descriptor");
+    let mut store = BodyStore::new(budgets(MB), TIMING, Some(store), 2).expect("a descriptor");
     let (body, tier) = store.admit(0.0, 0, MB, 9.0).expect("room");
     assert_eq!(tier, Tier::File);
     store.append(0.0, body.id(), &random_bytes(5, CHUNK_BYTES));
@@ -103,14 +103,14 @@
         (FILE_WINDOW_CHUNKS * CHUNK_BYTES) as u64,
         "one chunk waits for the disk beside the next"
     );
-    assert!(fixture.store.next_deadline().is_some_and(|at| at == PACE.hangs));
-    fixture.now = PACE.hangs;
+    assert!(fixture.store.next_deadline().is_some_and(|at| at == TIMING.write_timeout));
+    fixture.now = TIMING.write_timeout;
     fixture.store.on_timer(fixture.now);
     assert_eq!(fixture.store.next_event(), Some(BodyEvent::Lost(body.id())), "it is given up: nothing ran");
     drop(body);
     // While it hangs, others pass it by.
     assert_eq!(fixture.admit(0, 100_000).map(|b| b.1), Ok(Tier::Memory));
-    assert_eq!(fixture.admit(0, 2 * MB as usize).map(|b| b.1), Ok(Tier::Passed));
+    assert_eq!(fixture.admit(0, 2 * MB as usize).map(|b| b.1), Ok(Tier::PassThrough));
     fixture.disk.hang(false);
     fixture.assert_all_released();
 }
--- a/crates/body-store/tests/store/fixture.rs
+++ b/crates/body-store/tests/store/fixture.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 pub const MB: u64 = 1 << 20;
-pub const PACE: Pace = Pace { hangs: 2.0, again: 1.0 };
+pub const TIMING: Timing = Timing { write_timeout: 2.0, file_retry_delay: 1.0 };
 
 /// A disk in memory that does what the test wants.
 #[derive(Default)]
@@ -110,7 +110,7 @@
 /// A store with that much memory (bytes) and two I/O threads.
 pub fn fixture(memory: u64) -> Fixture {
     let disk = Arc::new(FaultyDisk::default());
-    let store = BodyStore::new(budgets(memory), PACE, Some(disk.clone()), 2).expect("a descriptor");
+    let store = BodyStore::new(budgets(memory), TIMING, Some(disk.clone()), 2).expect("a descriptor");
     Fixture { store, disk, now: 0.0 }
 }
 
@@ -145,7 +145,7 @@
                     return Some(wake);
                 }
             }
-            let passed = self.store.plan().body(body.id()).is_some_and(|b| b.tier == Tier::Passed);
+            let passed = self.store.plan().body(body.id()).is_some_and(|b| b.tier == Tier::PassThrough);
             if bytes.is_empty() && passed || room == 0 && self.is_stuck() {
                 return None;
             }
--- a/crates/body-store/tests/store/random_histories.rs
+++ b/crates/body-store/tests/store/random_histories.rs
@@ -137,7 +137,8 @@
         let windows = store.plan().windows();
         let window_bytes = ((windows.arrivals + windows.replays) * CHUNK_BYTES) as u64;
         // What fell back is read from its file in the window that it came with.
-        let fallen = store.counters()[0].held_bodies.passed * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
+        let fallen =
+            store.counters()[0].current_bodies.pass_through * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
         let bound = MEMORY_BYTES + window_bytes + fallen;
         prop_assert!(store.resident_bytes() <= bound, "{} over {bound}", store.resident_bytes());
         Ok(())
--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -5,10 +5,10 @@
 use crate::net::{EventHandler, Ready, Time};
 use dahliaspoke::policy::{ClassSettings, Idempotency, Settings};
 use dahliaspoke_body_store::plan::{
-    Budgets, ClassCounters, ClassLimits, Tier, PASSED_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
+    Budgets, ClassCounters, ClassLimits, Tier, PASS_THROUGH_WINDOW_CHUNKS, REPLAY_WINDOW_CHUNKS,
 };
 use dahliaspoke_body_store::storage::{ChunkStorage, SegmentFile, StorageFolder, CHUNK_BYTES};
-use dahliaspoke_body_store::{BodyStore, Pace};
+use dahliaspoke_body_store::{BodyStore, Timing};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 /// Share of `memory_mb` that windows have; bodies have the rest.
 const WINDOW_SHARE: f64 = 0.25;
 /// Fewest chunks for windows (chunks): half of them hold a body that is passed on beside a replay.
-const MIN_WINDOW_CHUNKS: f64 = 2.0 * (PASSED_WINDOW_CHUNKS + REPLAY_WINDOW_CHUNKS) as f64;
+const MIN_WINDOW_CHUNKS: f64 = 2.0 * (PASS_THROUGH_WINDOW_CHUNKS + REPLAY_WINDOW_CHUNKS) as f64;
 /// Threads that call the disk.
 const IO_THREADS: usize = 2;
 /// Files are tried again so long after one could not be written (s).
@@ -255,8 +255,11 @@
             (Some(_), Some(path)) => Some(open_storage(path)?),
             _ => None,
         };
-        let pace = Pace { hangs: self.disk_hangs_ms.get_ref() / MS_PER_SECOND, again: FILE_RETRY_DELAY };
-        let store = BodyStore::new(self.budgets(settings), pace, storage, IO_THREADS);
+        let timing = Timing {
+            write_timeout: self.disk_hangs_ms.get_ref() / MS_PER_SECOND,
+            file_retry_delay: FILE_RETRY_DELAY,
+        };
+        let store = BodyStore::new(self.budgets(settings), timing, storage, IO_THREADS);
         Ok(Rc::new(RefCell::new(store.map_err(BodyStoreError::Waker)?)))
     }
 
@@ -300,13 +303,13 @@
 
 /// Reports the statistics of one class, name and value each.
 pub fn report_counters(class: &str, counters: &ClassCounters, mut report: impl FnMut(&str, u64)) {
-    for (tier, name) in [(Tier::Memory, "memory"), (Tier::File, "file"), (Tier::Passed, "passed")] {
-        report(&format!("bodies.{name}.held.{class}"), counters.held_bodies.get(tier));
-        report(&format!("bodies.{name}.bytes.{class}"), counters.held_bytes.get(tier));
-        report(&format!("bodies.{name}.taken.{class}"), counters.taken.get(tier));
+    for (tier, name) in [(Tier::Memory, "memory"), (Tier::File, "file"), (Tier::PassThrough, "passed")] {
+        report(&format!("bodies.{name}.held.{class}"), counters.current_bodies.get(tier));
+        report(&format!("bodies.{name}.bytes.{class}"), counters.current_bytes.get(tier));
+        report(&format!("bodies.{name}.taken.{class}"), counters.admitted.get(tier));
     }
     report(&format!("bodies.demoted.{class}"), counters.demoted);
-    report(&format!("bodies.dropped.{class}"), counters.dropped);
+    report(&format!("bodies.dropped.{class}"), counters.fell_back);
     report(&format!("bodies.replayed.{class}"), counters.replayed);
     report(&format!("bodies.refused.{class}"), counters.rejected);
     report(&format!("bodies.too_large.{class}"), counters.too_large);
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -50,7 +50,7 @@
             utf8: Utf8Checker::default(),
             deadline,
             completed_at: None,
-            passed_on: tier == Tier::Passed,
+            passed_on: tier == Tier::PassThrough,
             store_full: false,
             request: None,
         }
