--- a/crates/body-store/src/io_threads/mod.rs
+++ b/crates/body-store/src/io_threads/mod.rs
@@ -1,5 +1,6 @@
-//! Threads that call the disk, so that the event loop never waits for it. Tasks go to them through a queue; their completions
-//! come back through a channel, and an eventfd wakes the loop.
+//! Threads for blocking disk I/O, so that the event loop never waits for a disk. Tasks are
+//! submitted through a queue; completions are returned through a channel, and an eventfd wakes the
+//! event loop.
 
 mod queue;
 mod slots;
@@ -16,14 +17,14 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 
-/// What an eventfd takes to wake whoever waits for it.
+/// The value that is written to an eventfd to make it readable.
 const WAKE: [u8; 8] = 1u64.to_ne_bytes();
 
 /// A task that has not completed.
 struct PendingTask {
     /// Seconds on the caller's clock.
     submitted_at: f64,
-    /// The body that is written, if it is a write.
+    /// The body, if the task is a write.
     written_body: Option<BodyId>,
 }
 
@@ -31,27 +32,28 @@
 pub struct PendingWrite {
     /// When it was submitted (seconds on the caller's clock).
     pub submitted_at: f64,
-    /// The body that it is for.
+    /// The body whose chunk is written.
     pub body: BodyId,
 }
 
 struct Completed {
-    number: u64,
+    task_id: u64,
     completion: Completion,
 }
 
-/// The threads, the tasks that they were given, and the slots of their storage.
+/// The threads, their pending tasks, and the allocation of slots.
 pub struct IoThreads {
     queue: Arc<TaskQueue>,
     completed: Receiver<Completed>,
-    /// By number, in the order of their submission.
+    /// By task id, which is the order of submission.
     pending: BTreeMap<u64, PendingTask>,
-    last_number: u64,
+    last_task_id: u64,
     slots: SlotAllocator,
 }
 
 impl IoThreads {
-    /// Starts `count` threads, at least one. `waker` is an eventfd that becomes readable with each completion.
+    /// Starts `count` threads, at least one. `waker` is an eventfd that becomes readable with each
+    /// completion.
     pub fn start(storage: &Arc<dyn ChunkStorage>, count: usize, waker: &Arc<OwnedFd>) -> Self {
         let queue = Arc::new(TaskQueue::default());
         let (report, completed) = channel();
@@ -64,28 +66,28 @@
             };
             std::thread::spawn(move || worker.run());
         }
-        Self { queue, completed, pending: BTreeMap::new(), last_number: 0, slots: SlotAllocator::default() }
+        Self { queue, completed, pending: BTreeMap::new(), last_task_id: 0, slots: SlotAllocator::default() }
     }
 
     /// Queues a task; `now` in seconds on the caller's clock.
     pub fn submit(&mut self, now: f64, task: IoTask) {
-        self.last_number += 1;
+        self.last_task_id += 1;
         let pending = PendingTask { submitted_at: now, written_body: task.written_body() };
-        self.pending.insert(self.last_number, pending);
-        self.queue.push(QueuedTask { number: self.last_number, task });
+        self.pending.insert(self.last_task_id, pending);
+        self.queue.push(QueuedTask { task_id: self.last_task_id, task });
     }
 
-    /// The next completion, if there is one. Slots that were released can be allocated from then on.
+    /// The next completion, if there is one. The slots that it released can be allocated again.
     pub fn next_completion(&mut self) -> Option<Completion> {
-        let Completed { number, completion } = self.completed.try_recv().ok()?;
-        self.pending.remove(&number);
+        let Completed { task_id, completion } = self.completed.try_recv().ok()?;
+        self.pending.remove(&task_id);
         if let Completion::Released { slots } = &completion {
             self.slots.release(slots);
         }
         Some(completion)
     }
 
-    /// A slot that holds nothing.
+    /// Allocates a free slot.
     pub fn allocate_slot(&mut self) -> Slot {
         self.slots.allocate()
     }
@@ -95,7 +97,7 @@
         self.pending.is_empty()
     }
 
-    /// Writes that have not completed, the oldest first.
+    /// The pending writes, the oldest first.
     pub fn pending_writes(&self) -> impl Iterator<Item = PendingWrite> + '_ {
         self.pending.values().filter_map(|task| {
             task.written_body.map(|body| PendingWrite { submitted_at: task.submitted_at, body })
@@ -103,7 +105,7 @@
     }
 }
 
-/// What one thread works with.
+/// The state of one thread.
 struct Worker {
     storage: Arc<dyn ChunkStorage>,
     queue: Arc<TaskQueue>,
@@ -112,15 +114,15 @@
 }
 
 impl Worker {
-    /// Runs tasks until nobody receives their completions.
+    /// Runs tasks until the receiver of their completions is dropped.
     fn run(&self) {
         loop {
-            let QueuedTask { number, task } = self.queue.pop();
+            let QueuedTask { task_id, task } = self.queue.pop();
             let completion = task.run(&*self.storage);
-            if self.report.send(Completed { number, completion }).is_err() {
+            if self.report.send(Completed { task_id, completion }).is_err() {
                 return;
             }
-            let _ = rustix::io::write(&self.waker, &WAKE); // one that is full is readable already
+            let _ = rustix::io::write(&self.waker, &WAKE); // if its counter is full, it is readable already
         }
     }
 }
--- a/crates/body-store/src/io_threads/queue.rs
+++ b/crates/body-store/src/io_threads/queue.rs
@@ -4,13 +4,13 @@
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// A task with its number.
+/// A task and its id.
 pub(super) struct QueuedTask {
-    pub(super) number: u64,
+    pub(super) task_id: u64,
     pub(super) task: IoTask,
 }
 
-/// Tasks that no thread has begun, in the order of their submission.
+/// Tasks that no thread has started, in the order of submission.
 #[derive(Default)]
 pub(super) struct TaskQueue {
     tasks: Mutex<VecDeque<QueuedTask>>,
@@ -23,7 +23,7 @@
         self.not_empty.notify_one();
     }
 
-    /// Takes the oldest task; blocks while there is none.
+    /// Removes the oldest task; blocks while the queue is empty.
     pub(super) fn pop(&self) -> QueuedTask {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
--- a/crates/body-store/src/io_threads/slots.rs
+++ b/crates/body-store/src/io_threads/slots.rs
@@ -1,13 +1,13 @@
-//! Which slots of the storage are free.
+//! Allocation of the storage's slots.
 
 use crate::storage::Slot;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Hands out slots, the lowest free one first, so that the file stays short.
+/// Allocates the lowest free slot first, so that the file stays short.
 #[derive(Default)]
 pub(super) struct SlotAllocator {
-    /// Slots that were used and are free.
+    /// Slots that were used before and are free now.
     free: BinaryHeap<Reverse<Slot>>,
     /// The lowest slot that was never used.
     next_unused: Slot,
--- a/crates/body-store/src/io_threads/task.rs
+++ b/crates/body-store/src/io_threads/task.rs
@@ -1,4 +1,4 @@
-//! What an I/O thread is asked to do, and what it reports.
+//! Tasks of the I/O threads, and their completions.
 
 use crate::plan::BodyId;
 use crate::storage::{ChunkStorage, Slot};
@@ -12,7 +12,7 @@
     pub body: BodyId,
     /// Index of the chunk in it.
     pub chunk: usize,
-    /// The slot that it is written to.
+    /// The slot to write to.
     pub slot: Slot,
 }
 
@@ -23,7 +23,7 @@
     pub body: BodyId,
     /// Index of the chunk in it.
     pub chunk: usize,
-    /// The slot that it is read from.
+    /// The slot to read from.
     pub slot: Slot,
 }
 
@@ -31,14 +31,14 @@
 pub enum IoTask {
     /// Writes a chunk to its slot.
     Write {
-        /// Which chunk.
+        /// Identifies the chunk.
         write: ChunkWrite,
         /// Its content.
         bytes: Bytes,
     },
     /// Reads a chunk from its slot.
     Read {
-        /// Which chunk.
+        /// Identifies the chunk.
         read: ChunkRead,
         /// As long as the chunk.
         buffer: Vec<u8>,
@@ -52,20 +52,20 @@
     },
 }
 
-/// How a task ended.
+/// The result of a task.
 pub enum Completion {
-    /// A chunk was written, or was not.
+    /// The write of a chunk succeeded or failed.
     Written {
-        /// Which chunk.
+        /// Identifies the chunk.
         write: ChunkWrite,
         /// What the storage returned.
         result: io::Result<()>,
     },
-    /// A chunk was read, or was not.
+    /// The read of a chunk succeeded or failed.
     Read {
-        /// Which chunk.
+        /// Identifies the chunk.
         read: ChunkRead,
-        /// Its content, not verified yet.
+        /// Its content, not verified against its checksum yet.
         result: io::Result<Vec<u8>>,
     },
     /// Slots were released.
@@ -76,7 +76,7 @@
 }
 
 impl IoTask {
-    /// The body that is written, if this is a write.
+    /// The body, if this is a write.
     pub(super) fn written_body(&self) -> Option<BodyId> {
         match self {
             Self::Write { write, .. } => Some(write.body),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Calls the storage; blocks for as long as the disk takes.
+    /// Calls the storage; blocks until the call returns.
     pub(super) fn run(self, storage: &dyn ChunkStorage) -> Completion {
         match self {
             Self::Write { write, bytes } => {
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -1,12 +1,14 @@
-//! Keeps the bodies of requests, so that a retry can send them again: in memory, in files, or not at all.
+//! Stores request bodies so that a retry can send them again: in memory, in files, or not at all.
 //!
-//! - [`plan`] decides where a body is kept and which one moves when capacity runs short. Pure, without I/O or clock.
-//! - [`store`] carries that out: chunks in memory and in files, readers that replay them. [`BodyStore`] is the way in. The
-//!   event loop never waits for a disk.
-//! - `io_threads` are the threads that call the disk, and their tasks.
-//! - [`storage`] is the disk: slots for chunks in a file without a name.
+//! - [`plan`] decides which tier a body is stored in and which body moves when capacity runs short.
+//!   It is pure: no I/O, no clock.
+//! - [`store`] carries out these decisions: it keeps chunks in memory and in files, and replays
+//!   them to readers. [`BodyStore`] is the entry point. The event loop never blocks on a disk.
+//! - `io_threads` runs the threads that do the blocking disk I/O, and their tasks.
+//! - [`storage`] is the storage on disk: slots for chunks in an unnamed file.
 //!
-//! Who owns a body holds a [`Body`]; it is kept until the last clone of that is dropped.
+//! A [`Body`] is the owning handle of a stored body, which is released when the last clone of the
+//! handle is dropped.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/body-store/src/plan/admission.rs
+++ b/crates/body-store/src/plan/admission.rs
@@ -1,27 +1,30 @@
-//! Admission: whether a body is taken, and in which tier it begins.
+//! Admission: whether a body is accepted, and its initial tier.
 
 use super::{BodyId, BodyState, Plan, Rejection, Tier, FILE_WINDOW_CHUNKS, PASS_THROUGH_WINDOW_CHUNKS};
 
-/// Largest share of the memory that one body may use: a few large ones must not send all others to files.
+/// Largest share of the memory that one body may use, so that a few large bodies do not push all
+/// others to files.
 const MAX_BODY_SHARE: f64 = 0.25;
-/// By which factor the reservation of a body of unknown length grows.
+/// Factor by which the reservation of a body of unknown length grows.
 const GROWTH_FACTOR: u64 = 2;
 
-/// A body that was admitted.
+/// The result of a successful admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admission {
     /// The body.
     pub id: BodyId,
-    /// The tier that it begins in.
+    /// Its initial tier.
     pub tier: Tier,
 }
 
 impl Plan {
-    /// Admits a body of `length` bytes, whose request ends at `deadline` (seconds on the caller's clock, as `now`). All its
-    /// length is reserved at once, so that a body which has begun to arrive does not run out of capacity.
+    /// Admits a body of `length` bytes whose request ends at `deadline` (seconds on the caller's
+    /// clock, like `now`). The whole length is reserved at once, so that a body does not run out of
+    /// capacity while it arrives.
     ///
     /// # Errors
-    /// [`Rejection::TooLarge`] above the largest size of its class, [`Rejection::NoCapacity`] where no tier can take it.
+    /// [`Rejection::TooLarge`] if it exceeds the maximum size of its class,
+    /// [`Rejection::NoCapacity`] if no tier can accept it.
     pub fn admit(
         &mut self,
         now: f64,
@@ -39,11 +42,12 @@
         Ok(self.insert(BodyState::new(class, length, deadline, tier)))
     }
 
-    /// Admits a body of unknown length, for which `length` bytes are reserved at first: in a file if possible, else in
-    /// memory. It is never passed on. [`Plan::extend`] reserves more as it arrives; [`Plan::set_length`] releases the rest.
+    /// Admits a body of unknown length and reserves `length` bytes for it at first: in a file if
+    /// possible, otherwise in memory. Such a body is never passed through. [`Plan::extend`]
+    /// reserves more as it arrives; [`Plan::set_length`] releases the excess.
     ///
     /// # Errors
-    /// [`Rejection::NoCapacity`] where neither tier can take that many bytes.
+    /// [`Rejection::NoCapacity`] if neither tier has capacity for that many bytes.
     pub fn admit_unknown_length(
         &mut self,
         now: f64,
@@ -63,11 +67,12 @@
         Ok(self.insert(body))
     }
 
-    /// Doubles what is reserved for a body of unknown length, up to the largest size of its class. Returns what is reserved
-    /// then (bytes).
+    /// Doubles the reservation of a body of unknown length, up to the maximum size of its class.
+    /// Returns the new reservation (bytes).
     ///
     /// # Errors
-    /// [`Rejection::TooLarge`] if the largest size is reserved already, [`Rejection::NoCapacity`] if its tier has no capacity.
+    /// [`Rejection::TooLarge`] if the maximum size is reserved already, [`Rejection::NoCapacity`]
+    /// if its tier has no capacity.
     pub fn extend(&mut self, id: BodyId) -> Result<u64, Rejection> {
         let Some(body) = self.bodies.get(&id) else { return Err(Rejection::NoCapacity) };
         let (class, tier, reserved) = (body.class, body.tier, body.length);
@@ -83,7 +88,8 @@
         Ok(length)
     }
 
-    /// A body of unknown length has ended, with `length` bytes, which are no more than were reserved.
+    /// Sets the final length of a body of unknown length once it has ended. `length` must not
+    /// exceed the reservation.
     pub fn set_length(&mut self, id: BodyId, length: u64) {
         self.resize(id, length);
         if let Some(body) = self.bodies.get_mut(&id) {
--- a/crates/body-store/src/plan/body.rs
+++ b/crates/body-store/src/plan/body.rs
@@ -1,16 +1,16 @@
-//! A body as the plan knows it: numbers only, no content.
+//! The state that the plan has of a body: numbers only, no content.
 
-/// Identifies a body. An identifier is never used again.
+/// Identifies a body. Identifiers are never reused.
 pub type BodyId = u64;
 
-/// Where a body is kept.
+/// Where a body is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Tier {
     /// In memory.
     Memory,
     /// In a file.
     File,
-    /// Nowhere: it is passed on to the engine as it arrives.
+    /// Not stored: it is passed through to the engine as it arrives.
     PassThrough,
 }
 
@@ -19,28 +19,29 @@
 pub struct BodyState {
     /// Index of its class in [`super::Budgets::classes`].
     pub class: usize,
-    /// Its length, or what is reserved for it while its length is unknown (bytes).
+    /// Its length, or its current reservation while the length is unknown (bytes).
     pub length: u64,
     /// When its request ends (seconds on the caller's clock).
     pub deadline: f64,
-    /// Where it is kept.
+    /// Where it is stored.
     pub tier: Tier,
-    /// All of it has arrived and, in [`Tier::File`], is written.
+    /// It has fully arrived and, in [`Tier::File`], has been written completely.
     pub complete: bool,
-    /// Readers that it has now.
+    /// Number of its open readers.
     pub readers: usize,
-    /// It is being moved from memory to a file, and counts in both tiers.
+    /// It is being moved from memory to a file, and is counted in both tiers.
     pub demoting: bool,
-    /// It is passed on after it began in a file, whose space it uses until it is released.
+    /// It fell back to pass-through after starting in a file, and uses the file space until it is
+    /// released.
     pub retains_file: bool,
-    /// Size of the window that it holds (chunks).
+    /// Size of its arrival window (chunks).
     pub window_chunks: usize,
     /// Its length is not known yet.
     pub length_unknown: bool,
 }
 
 impl BodyState {
-    /// A body of which nothing has arrived, without a window.
+    /// The state of a body of which nothing has arrived, without a window.
     pub(super) fn new(class: usize, length: u64, deadline: f64, tier: Tier) -> Self {
         Self {
             class,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether it may be moved to a file: only a complete body in memory that nobody reads.
+    /// Whether it may be moved to a file: only a complete body in memory without readers.
     pub(super) fn is_demotable(&self) -> bool {
         self.tier == Tier::Memory && self.complete && self.readers == 0 && !self.demoting
     }
--- a/crates/body-store/src/plan/demotion.rs
+++ b/crates/body-store/src/plan/demotion.rs
@@ -2,16 +2,19 @@
 
 use super::{BodyId, BodyState, Plan, Tier};
 
-/// Share of the memory in use above which bodies move to files, so that the next ones find capacity at once.
+/// Share of the memory in use above which bodies are demoted to files, so that new bodies find free
+/// memory at once.
 const DEMOTION_THRESHOLD: f64 = 0.875;
-/// Shortest remaining time that is reckoned with (s): moving a body to a file takes as long.
+/// Lower bound of the remaining time in [`Plan::retention_value`] (s): moving a body to a file
+/// takes about as long.
 const MIN_REMAINING_TIME: f64 = 0.1;
-/// What the priority weight counts where no retry can follow an attempt that may have run.
+/// Factor on the priority weight of classes where no retry may follow an attempt that may have run.
 const UNREPEATABLE_FACTOR: f64 = 0.1;
 
 impl Plan {
-    /// Chooses the body that is to move from memory to a file now, if one is: the one of least [`Plan::retention_value`]
-    /// among those that are complete and not being read. It counts in both tiers until [`Plan::finish_demotion`].
+    /// Selects the next body to move from memory to a file, if memory is short: the one of least
+    /// [`Plan::retention_value`] among the complete bodies without readers. It is counted in both
+    /// tiers until [`Plan::finish_demotion`].
     pub fn start_demotion(&mut self, now: f64) -> Option<BodyId> {
         if now < self.files_suspended_until || !self.is_memory_short() {
             return None;
@@ -23,7 +26,7 @@
         Some(id)
     }
 
-    /// A demotion has ended: if it succeeded, the body is in its file; if not, it stays in memory.
+    /// Ends a demotion: if it succeeded, the body is in its file; otherwise it stays in memory.
     pub fn finish_demotion(&mut self, id: BodyId, succeeded: bool) {
         let Some(body) = self.bodies.get_mut(&id).filter(|body| body.demoting) else { return };
         body.demoting = false;
@@ -35,8 +38,9 @@
         self.usage.remove(body.class, left_tier, body.length);
     }
 
-    /// What it is worth to keep a body in memory (priority weight per byte and second): a small one is as likely to be needed
-    /// again as a large one and uses less; one whose deadline is near will release its memory soon by itself.
+    /// The value of keeping a body in memory (priority weight per byte and second). A small body is
+    /// as likely to be needed again as a large one and uses less memory; a body with a near
+    /// deadline will soon release its memory anyway.
     #[must_use]
     pub fn retention_value(&self, now: f64, body: &BodyState) -> f64 {
         let limits = self.usage.limits(body.class);
@@ -45,14 +49,14 @@
         factor * limits.priority_weight / (body.length.max(1) as f64 * remaining_time)
     }
 
-    /// Whether the memory in use, without what is on its way to files, is above the threshold.
+    /// Whether the memory in use, excluding bodies that are being demoted, is above the threshold.
     fn is_memory_short(&self) -> bool {
         let threshold = (DEMOTION_THRESHOLD * self.usage.memory_bytes() as f64) as u64;
         let demoting: u64 = self.bodies.values().filter(|body| body.demoting).map(|body| body.length).sum();
         self.usage.used().memory - demoting > threshold
     }
 
-    /// The body of least value that may move and fits into the files; of several alike, the oldest.
+    /// The demotable body of least value that fits into the files; ties go to the oldest.
     fn least_valuable(&self, now: f64) -> Option<BodyId> {
         let candidates = self
             .bodies
--- a/crates/body-store/src/plan/mod.rs
+++ b/crates/body-store/src/plan/mod.rs
@@ -1,23 +1,25 @@
-//! Decides where a body is kept, which bodies move when capacity runs short, and what may be read. Pure: it does no I/O, reads
-//! no clock and holds no content; it counts bytes.
+//! Decides where a body is stored, which bodies move when capacity runs short, and what may be
+//! read. Pure: it does no I/O, reads no clock and has no content; it only accounts for bytes.
 //!
 //! The tiers, best first:
 //!
 //! | tier | what it means for retries |
 //! | --- | --- |
 //! | [`Tier::Memory`] | replayed at once, as often as the request's class allows |
-//! | [`Tier::File`] | the same, read back from a file |
-//! | [`Tier::PassThrough`] | passed on as it arrives and not kept: sent again only while every byte is still in its window |
+//! | [`Tier::File`] | like memory, but read back from a file |
+//! | [`Tier::PassThrough`] | forwarded as it arrives and not stored: sent again only while its window has every byte |
 //!
-//! Invariants (`tests/plan.rs` tries to break them):
+//! Invariants (tested by `tests/plan.rs`):
 //!
-//! 1. The bytes in a tier are within its budget, and those of a class are within the class's share of it.
-//! 2. Windows, counted in chunks, are within their budget; those of arriving bodies leave some for replays.
-//! 3. A complete body never becomes one that is passed on.
-//! 4. Only a complete body in memory that is not being read is demoted, and of those the one of least value by the byte and
-//!    second.
-//! 5. A body that is passed on has at most one reader.
-//! 6. Everything that was reserved is released when the body is released, once.
+//! 1. The bytes in a tier are within its budget, and those of a class are within the class's share
+//!    of it.
+//! 2. Windows, counted in chunks, are within their budget; those of arriving bodies leave some for
+//!    replays.
+//! 3. A complete body never becomes one that is passed through.
+//! 4. Only a complete body in memory without readers is demoted; among those, the one of least
+//!    value per byte and second.
+//! 5. A body that is passed through has at most one reader.
+//! 6. Everything that was reserved for a body is released exactly once, when the body is released.
 
 mod admission;
 mod body;
@@ -36,28 +38,29 @@
 use thiserror::Error;
 use usage::Usage;
 
-/// Why a body is not taken.
+/// Why a body is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Rejection {
-    /// It is larger than any of its class may be.
+    /// It exceeds the maximum size of its class.
     #[error("the body is larger than its class allows")]
     TooLarge,
-    /// No tier has the capacity now.
+    /// No tier has enough free capacity.
     #[error("no capacity for the body")]
     NoCapacity,
 }
 
-/// The decisions on bodies.
+/// Tracks the admitted bodies and decides on their placement.
 pub struct Plan {
     usage: Usage,
     bodies: HashMap<BodyId, BodyState>,
     last_id: BodyId,
-    /// No file is begun before this (seconds on the caller's clock).
+    /// Bodies are neither admitted nor demoted to files before this time (seconds on the caller's
+    /// clock).
     files_suspended_until: f64,
 }
 
 impl Plan {
-    /// A plan without bodies.
+    /// Creates a plan without bodies.
     #[must_use]
     pub fn new(budgets: Budgets) -> Self {
         Self {
@@ -68,13 +71,13 @@
         }
     }
 
-    /// What has happened so far, by class.
+    /// Counters by class.
     #[must_use]
     pub fn counters(&self) -> &[ClassCounters] {
         self.usage.counters()
     }
 
-    /// The largest body that a class may have (bytes).
+    /// The maximum size of a body of a class (bytes).
     #[must_use]
     pub fn max_bytes(&self, class: usize) -> u64 {
         self.usage.limits(class).max_bytes
@@ -98,7 +101,8 @@
         self.usage.windows()
     }
 
-    /// All of a body has arrived and, if it belongs in a file, is written. Its window is released unless it is passed on.
+    /// Marks a body as complete: it has fully arrived and, in [`Tier::File`], has been written. Its
+    /// window is released unless it is passed through.
     pub fn mark_complete(&mut self, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id) else { return };
         body.complete = true;
@@ -107,13 +111,15 @@
         }
     }
 
-    /// Files cannot be written: none is begun before `until` (seconds on the caller's clock).
+    /// Stops admissions and demotions to files until `until` (seconds on the caller's clock),
+    /// because a write failed.
     pub fn suspend_files(&mut self, until: f64) {
         self.files_suspended_until = self.files_suspended_until.max(until);
     }
 
-    /// An arriving body cannot be written to its file. Returns whether it is passed on from here, in the window that it has;
-    /// if not, it cannot be taken. A complete body is left as it is.
+    /// Called when an arriving body cannot be written to its file. Returns whether it is passed
+    /// through from now on, in the window that it already has; if not, the body is lost. A complete
+    /// body is left unchanged.
     pub fn fall_back_to_pass_through(&mut self, id: BodyId) -> bool {
         let arriving = |body: &&mut BodyState| body.tier == Tier::File && !body.complete;
         let Some(body) = self.bodies.get_mut(&id).filter(arriving) else { return false };
@@ -127,7 +133,8 @@
         true
     }
 
-    /// Whether a reader may begin: of a complete body, or the only one of a body that is passed on.
+    /// Whether a reader may be opened: for a complete body, or as the only reader of a body that is
+    /// passed through.
     #[must_use]
     pub fn can_read(&self, id: BodyId) -> bool {
         self.bodies.get(&id).is_some_and(|body| match body.tier {
@@ -136,8 +143,8 @@
         })
     }
 
-    /// Begins a reader. Returns `false` if it needs a window and none is free; a body in memory needs none, and one that is
-    /// passed on has its own.
+    /// Registers a reader. Returns `false` if it needs a window and none is free; a body in memory
+    /// needs none, and one that is passed through uses its own.
     pub fn start_read(&mut self, id: BodyId) -> bool {
         let Some(body) = self.bodies.get_mut(&id) else { return false };
         if body.tier == Tier::File && !self.usage.try_reserve_replay_window() {
@@ -147,7 +154,7 @@
         true
     }
 
-    /// Ends a reader; `has_window` if it took a window.
+    /// Unregisters a reader; `has_window` if it has a replay window.
     pub fn end_read(&mut self, id: BodyId, has_window: bool) {
         if has_window {
             self.usage.release_replay_window();
@@ -157,21 +164,21 @@
         }
     }
 
-    /// Counts a reader after the first of a body.
+    /// Counts every reader of a body after its first one.
     pub fn count_replay(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get(&id) {
             self.usage.counters_mut(body.class).replayed += 1;
         }
     }
 
-    /// Counts a body that was not read back as it was written.
+    /// Counts a body whose content could not be read back intact.
     pub fn count_corrupt(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get(&id) {
             self.usage.counters_mut(body.class).corrupt += 1;
         }
     }
 
-    /// Releases all that the body holds. A second call for it has no effect.
+    /// Releases everything that is reserved for a body. A second call has no effect.
     pub fn release(&mut self, id: BodyId) {
         let Some(body) = self.bodies.remove(&id) else { return };
         self.usage.release_arrival_window(body.window_chunks);
--- a/crates/body-store/src/plan/usage.rs
+++ b/crates/body-store/src/plan/usage.rs
@@ -1,11 +1,11 @@
-//! Accounts for what is in use of each budget, and counts what happened to bodies.
+//! Tracks the usage of each budget, and counts what happened to bodies.
 
 use super::{Budgets, ClassLimits, Tier, REPLAY_WINDOW_CHUNKS};
 
-/// Share of the windows that arriving bodies may hold; the rest is left to readers.
+/// Share of the windows that arriving bodies may use; the rest is reserved for readers.
 const ARRIVAL_WINDOW_SHARE: f64 = 0.75;
 
-/// A number for each tier.
+/// A value for each tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PerTier {
     /// For [`Tier::Memory`].
@@ -17,7 +17,7 @@
 }
 
 impl PerTier {
-    /// The number for one tier.
+    /// The value for one tier.
     #[must_use]
     pub fn get(&self, tier: Tier) -> u64 {
         match tier {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Bytes in use of the two budgets.
+/// Bytes in use of the memory and file budgets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsedBytes {
     /// In memory (bytes).
@@ -48,36 +48,37 @@
 /// Windows in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsedWindows {
-    /// Of arriving bodies and those that are passed through (chunks).
+    /// Windows of arriving bodies and of those that are passed through (chunks).
     pub arrivals: usize,
-    /// Of readers of files (chunks).
+    /// Windows of readers of files (chunks).
     pub replays: usize,
 }
 
-/// What has happened to bodies of one class.
+/// Counters of the bodies of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Bytes that are held now. A body that is being demoted, or is passed through after it began in a file, counts twice.
+    /// Bytes of the current bodies. A body that is being demoted, or that fell back from a file to
+    /// pass-through, is counted in both tiers.
     pub current_bytes: PerTier,
-    /// Bodies that are held now, counted in the same way.
+    /// Number of current bodies, counted in the same way.
     pub current_bodies: PerTier,
-    /// Bodies admitted, by the tier that they began in.
+    /// Bodies admitted, by their initial tier.
     pub admitted: PerTier,
     /// Bodies moved from memory to a file.
     pub demoted: u64,
-    /// Bodies that began in a file and had to be passed through.
+    /// Bodies that started in a file and fell back to pass-through.
     pub fell_back: u64,
-    /// Readers after the first of a body.
+    /// Readers of bodies that had been read before.
     pub replayed: u64,
-    /// Bodies rejected for want of capacity.
+    /// Bodies rejected for lack of capacity.
     pub rejected: u64,
     /// Bodies rejected as too large.
     pub too_large: u64,
-    /// Bodies that could not be read back as they were written.
+    /// Bodies that could not be read back intact.
     pub corrupt: u64,
 }
 
-/// The budgets and what is in use of them.
+/// The budgets and their usage.
 pub(super) struct Usage {
     budgets: Budgets,
     counters: Vec<ClassCounters>,
@@ -95,7 +96,7 @@
         &self.budgets.classes[class]
     }
 
-    /// Size of the memory (bytes).
+    /// The memory budget (bytes).
     pub(super) fn memory_bytes(&self) -> u64 {
         self.budgets.memory_bytes
     }
@@ -129,7 +130,7 @@
         used + length <= budget && class_used + length <= class_budget
     }
 
-    /// Counts a body into a tier.
+    /// Adds a body to the usage of a tier.
     pub(super) fn add(&mut self, class: usize, tier: Tier, length: u64) {
         let counters = &mut self.counters[class];
         *counters.current_bytes.get_mut(tier) += length;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Counts a body out of a tier.
+    /// Removes a body from the usage of a tier.
     pub(super) fn remove(&mut self, class: usize, tier: Tier, length: u64) {
         let counters = &mut self.counters[class];
         *counters.current_bytes.get_mut(tier) -= length;
@@ -153,12 +154,12 @@
         }
     }
 
-    /// Counts a body as admitted in a tier.
+    /// Counts an admission to a tier.
     pub(super) fn count_admission(&mut self, class: usize, tier: Tier) {
         *self.counters[class].admitted.get_mut(tier) += 1;
     }
 
-    /// Whether an arriving body may have a window of so many chunks.
+    /// Whether a window of `chunks` chunks is available for an arriving body.
     pub(super) fn has_arrival_window(&self, chunks: usize) -> bool {
         let max_chunks = (ARRIVAL_WINDOW_SHARE * self.budgets.window_chunks as f64) as usize;
         self.windows.arrivals + chunks <= max_chunks && self.has_window(chunks)
@@ -172,7 +173,7 @@
         self.windows.arrivals -= chunks;
     }
 
-    /// Takes a window for a reader, if one is free.
+    /// Reserves a window for a reader, if one is free.
     pub(super) fn try_reserve_replay_window(&mut self) -> bool {
         let free = self.has_window(REPLAY_WINDOW_CHUNKS);
         if free {
--- a/crates/body-store/src/storage/folder.rs
+++ b/crates/body-store/src/storage/folder.rs
@@ -1,4 +1,4 @@
-//! The folder that files for bodies are created in.
+//! The folder that holds the files for bodies.
 
 use rustix::fs::{flock, FlockOperation, Mode, OFlags};
 use std::fs::{File, OpenOptions};
@@ -6,25 +6,26 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The file whose lock tells that a process uses the folder.
+/// The file whose lock marks the folder as in use by a process.
 const LOCK_FILE: &str = "bodies.lock";
-/// How the names of files begin that are not unlinked yet.
+/// Prefix of the names of files that are not unlinked yet.
 const FILE_PREFIX: &str = "body-";
 
 /// A folder in which this process creates files for bodies.
 pub struct StorageFolder {
     path: PathBuf,
-    /// Held for the life of the process; files that others left are removed only under it.
+    /// Held for the lifetime of this value; leftover files of other processes are removed only
+    /// while holding it.
     _lock: Option<File>,
     files_created: AtomicU64,
 }
 
 impl StorageFolder {
-    /// Opens the folder, creates it if it is absent, and removes what a process that has ended left in it. If another live
-    /// process uses it at the same time, nothing is removed.
+    /// Opens the folder, creates it if it does not exist, and removes files that a terminated
+    /// process left behind. If another process has the folder open, nothing is removed.
     ///
     /// # Errors
-    /// Where the folder or its lock file cannot be created or read, or a file cannot be removed.
+    /// If the folder or its lock file cannot be created or read, or a file cannot be removed.
     pub fn open(path: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
@@ -35,10 +36,11 @@
         Ok(Self { path: path.into(), _lock: locked.then_some(lock), files_created: AtomicU64::new(0) })
     }
 
-    /// Creates a file without a name, which nobody else can open and which is gone with its last descriptor.
+    /// Creates an unnamed file, which no other process can open and which is deleted when its last
+    /// descriptor is closed.
     ///
     /// # Errors
-    /// Where the file system allows neither a file without a name nor one that is unlinked at once.
+    /// If the file system supports neither unnamed files nor unlinking a file that is open.
     pub fn create_file(&self) -> io::Result<File> {
         let flags = OFlags::RDWR | OFlags::CLOEXEC | OFlags::TMPFILE;
         if let Ok(file) = rustix::fs::open(&self.path, flags, Mode::RUSR | Mode::WUSR) {
@@ -47,7 +49,7 @@
         self.create_unlinked_file()
     }
 
-    /// For file systems without `O_TMPFILE`.
+    /// Fallback for file systems without `O_TMPFILE`.
     fn create_unlinked_file(&self) -> io::Result<File> {
         let number = self.files_created.fetch_add(1, Ordering::Relaxed);
         let path = self.path.join(format!("{FILE_PREFIX}{}-{number}", std::process::id()));
--- a/crates/body-store/src/storage/segment.rs
+++ b/crates/body-store/src/storage/segment.rs
@@ -1,4 +1,4 @@
-//! All bodies in one file, by slot.
+//! Storage of all bodies in one file, indexed by slot.
 
 use super::{slot_offset, ChunkStorage, Slot, StorageFolder, CHUNK_BYTES};
 use crate::plan::BodyId;
@@ -10,7 +10,7 @@
 /// Stores the chunks of all bodies in one file.
 pub struct SegmentFile {
     file: File,
-    /// Keeps the folder locked.
+    /// Keeps the folder locked; `None` for a file from elsewhere.
     _folder: Option<StorageFolder>,
 }
 
@@ -18,12 +18,12 @@
     /// Creates the file in a folder.
     ///
     /// # Errors
-    /// Where no file can be created there.
+    /// If no file can be created there.
     pub fn open(folder: StorageFolder) -> io::Result<Self> {
         Ok(Self { file: folder.create_file()?, _folder: Some(folder) })
     }
 
-    /// Uses a file that is open already: `/dev/full`, for example, fails every write.
+    /// Uses a file that is already open, for example `/dev/full`, where every write fails.
     #[must_use]
     pub fn from_file(file: File) -> Self {
         Self { file, _folder: None }
@@ -43,7 +43,8 @@
         let flags = FallocateFlags::PUNCH_HOLE | FallocateFlags::KEEP_SIZE;
         for run in slots.chunk_by(|slot, next| slot + 1 == *next) {
             let length = (run.len() * CHUNK_BYTES) as u64;
-            // Gives the space back to the file system; where that is not possible the slots can be used again all the same.
+            // Returns the space to the file system. If that is not supported, the slots can be
+            // reused all the same.
             let _ = fallocate(&self.file, flags, slot_offset(run[0]), length);
         }
     }
--- a/crates/body-store/src/store/content.rs
+++ b/crates/body-store/src/store/content.rs
@@ -1,4 +1,5 @@
-//! The content of a body: a row of chunks, each in memory, on its way to a slot of the storage, or there with its checksum.
+//! The content of a body: a list of chunks, each in memory, being written to a slot of the storage,
+//! or stored there. A checksum of each chunk stays in memory.
 
 use super::event::Bytes;
 use super::handle::ReaderId;
@@ -6,21 +7,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Where a chunk is.
+/// Where a chunk is stored.
 pub(super) enum ChunkState {
     /// In memory.
     Memory(Bytes),
-    /// In memory, and on its way to a slot.
+    /// In memory, and being written to a slot.
     Writing(Bytes),
-    /// In memory and in the slot, while other chunks of a body that is being demoted are on their way.
+    /// In memory and in the slot, while other chunks of a body that is being demoted are still
+    /// being written.
     Written { bytes: Bytes, slot: Slot },
     /// In the slot.
     File(Slot),
-    /// Passed through and not kept.
+    /// Passed through and dropped.
     Discarded,
 }
 
-/// A chunk that has ended: of [`CHUNK_BYTES`], the last one of a body and those of bodies that are passed on of any length.
+/// A finished chunk. Its size is [`CHUNK_BYTES`], except that the last chunk of a body and the
+/// chunks of bodies that are passed through may be shorter.
 pub(super) struct Chunk {
     pub(super) length: usize,
     /// CRC-32 of its bytes.
@@ -58,26 +61,26 @@
     }
 }
 
-/// The content of a body, and what is under way with it.
+/// The content of a body, and its pending operations.
 #[derive(Default)]
 pub(super) struct Content {
-    /// Its length; while that is unknown, what is reserved for it (bytes).
+    /// Its length, or its current reservation while the length is unknown (bytes).
     pub(super) length: u64,
     pub(super) length_unknown: bool,
-    /// What has arrived of it (bytes).
+    /// How much of it has been received (bytes).
     pub(super) received: u64,
     pub(super) chunks: Vec<Chunk>,
-    /// What has arrived of the chunk that has not ended.
+    /// The chunk that is being received.
     pub(super) partial: Vec<u8>,
     /// Chunks whose write has not completed.
     pub(super) pending_writes: usize,
-    /// A write has failed or hangs: nothing more goes to its file.
+    /// A write has failed or hangs: no more chunks are written to its file.
     pub(super) unwritable: bool,
-    /// Its sender has to wait until there is capacity.
+    /// Its sender is waiting for capacity.
     pub(super) sender_waits: bool,
-    /// Some of its chunks are discarded.
-    pub(super) has_discarded: bool,
-    /// It cannot be read any more, or cannot be taken.
+    /// Some of its chunks were discarded.
+    pub(super) has_discarded_chunks: bool,
+    /// It cannot be read any more, or its arrival cannot continue.
     pub(super) lost: bool,
     pub(super) readers: Vec<ReaderId>,
     pub(super) was_read: bool,
@@ -88,12 +91,12 @@
 }
 
 impl Content {
-    /// Whether all of it has arrived.
-    pub(super) fn has_arrived(&self) -> bool {
+    /// Whether the whole body has been received.
+    pub(super) fn is_fully_received(&self) -> bool {
         !self.length_unknown && self.received == self.length
     }
 
-    /// What has not arrived of its length, or of what is reserved for it (bytes).
+    /// The part of its length, or of its reservation, that has not been received (bytes).
     pub(super) fn missing_bytes(&self) -> usize {
         (self.length - self.received) as usize
     }
@@ -104,25 +107,26 @@
         self.chunk_bytes() + self.partial.len() + loaded
     }
 
-    /// The size in memory of the chunks that have ended (bytes).
+    /// The size in memory of the finished chunks (bytes).
     pub(super) fn chunk_bytes(&self) -> usize {
         self.chunks.iter().map(Chunk::resident_bytes).sum()
     }
 
-    /// Adds bytes to the chunk that has not ended, as many as it takes. Returns the rest.
+    /// Appends to the partial chunk, up to its end. Returns the bytes that did not fit.
     pub(super) fn append<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         if self.partial.is_empty() {
             self.partial.reserve_exact(self.missing_bytes().min(CHUNK_BYTES));
         }
         let count = bytes.len().min(CHUNK_BYTES - self.partial.len());
-        let (taken, rest) = bytes.split_at(count);
-        self.partial.extend_from_slice(taken);
+        let (accepted, rest) = bytes.split_at(count);
+        self.partial.extend_from_slice(accepted);
         self.received += count as u64;
         rest
     }
 
-    /// Ends the chunk that has not ended. Returns its index; `None` where nothing has arrived of it.
-    pub(super) fn end_chunk(&mut self) -> Option<usize> {
+    /// Turns the partial chunk into a finished one. Returns its index; `None` if the partial chunk
+    /// is empty.
+    pub(super) fn finish_chunk(&mut self) -> Option<usize> {
         if self.partial.is_empty() {
             return None;
         }
--- a/crates/body-store/src/store/event.rs
+++ b/crates/body-store/src/store/event.rs
@@ -1,38 +1,39 @@
-//! What the store reports to the event loop, and what a reader gets.
+//! Events that the store reports to the event loop, and results of reads.
 
 use super::handle::ReaderId;
 use crate::plan::BodyId;
 use std::sync::Arc;
 
-/// Bytes that are shared rather than copied.
+/// Shared bytes, cheap to clone.
 pub type Bytes = Arc<Vec<u8>>;
 
 /// An event of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyEvent {
-    /// A sender that had to wait may go on: the body has capacity again.
+    /// A waiting sender may continue: the body has capacity again.
     CapacityAvailable(BodyId),
-    /// The body is complete and kept: its request may begin.
+    /// The body is complete and stored: its request may start.
     Stored(BodyId),
-    /// The body can no longer be written to its file: from now on it is to be passed on, from its start.
+    /// The body can no longer be written to its file: it has to be passed through from now on,
+    /// beginning with its first byte.
     PassedThrough(BodyId),
-    /// The body cannot be taken after all. Nothing of it was read.
+    /// The body cannot be stored after all. No byte of it was read.
     Lost(BodyId),
-    /// Bytes of the body are gone: no retry can have it.
+    /// Bytes of the body were dropped or cannot be read back: it is not available for retries.
     BytesDropped(BodyId),
-    /// A reader that had to wait may find bytes.
+    /// A waiting reader should read again.
     DataReady(ReaderId),
 }
 
-/// What a reader gets.
+/// The result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// The next bytes.
     Bytes(Bytes),
-    /// They are not here yet; [`BodyEvent::DataReady`] tells when to read again.
+    /// No bytes are available yet; [`BodyEvent::DataReady`] signals when to read again.
     NotReady,
     /// The body has ended.
     End,
-    /// The rest cannot be had.
+    /// The rest is not available.
     Lost,
 }
--- a/crates/body-store/src/store/file_tier.rs
+++ b/crates/body-store/src/store/file_tier.rs
@@ -1,4 +1,4 @@
-//! Chunks that are written to files, writes that fail or hang, and slots that are released.
+//! Writes of chunks to files, failed and hanging writes, and the release of slots.
 
 use super::content::{ChunkState, Content};
 use super::{BodyEvent, BodyStore};
@@ -7,7 +7,8 @@
 use crate::storage::{Slot, CHUNK_BYTES};
 
 impl Content {
-    /// What an arriving body takes now, if it goes to a file (bytes): what its window holds beside the chunks on their way.
+    /// Capacity of an arriving body in a file (bytes): the part of its window that is not used by
+    /// its partial chunk and pending writes.
     pub(super) fn file_capacity(&self) -> usize {
         if self.unwritable {
             return 0;
@@ -16,7 +17,8 @@
         (FILE_WINDOW_CHUNKS * CHUNK_BYTES).saturating_sub(in_window)
     }
 
-    /// A write of a chunk has completed. A chunk of a body that is being demoted stays in memory until all are written.
+    /// Handles the end of a chunk's write. The chunks of a body that is being demoted stay in
+    /// memory until all of them are written.
     fn finish_write(&mut self, write: ChunkWrite, succeeded: bool, demoting: bool) {
         self.pending_writes -= 1;
         self.unwritable |= !succeeded;
@@ -32,7 +34,7 @@
 }
 
 impl BodyStore {
-    /// Begins to write a chunk that is in memory.
+    /// Starts to write a chunk that is in memory.
     pub(super) fn write_chunk(&mut self, now: f64, body: BodyId, chunk: usize) {
         let Some((io, content)) = self.io.as_mut().zip(self.contents.get_mut(&body)) else { return };
         let Some(written) = content.chunks.get_mut(chunk) else { return };
@@ -44,7 +46,7 @@
         io.submit(now, IoTask::Write { write, bytes });
     }
 
-    /// A write has completed.
+    /// Handles the end of a write.
     pub(super) fn on_written(&mut self, now: f64, write: ChunkWrite, succeeded: bool) {
         let id = write.body;
         if !succeeded {
@@ -67,32 +69,35 @@
         }
     }
 
-    /// A write of a body that may still be arriving has completed: it goes on, is complete, or leaves its file.
+    /// After a write, continues a body that may still be arriving: it accepts more bytes, becomes
+    /// complete, or abandons its file.
     fn continue_arrival(&mut self, now: f64, id: BodyId) {
         let Some(content) = self.contents.get(&id) else { return };
         if content.lost || !self.is_arriving_in_file(id) {
             return;
         }
         if content.unwritable {
-            // What is written can be read: the body is passed on once no write is under way.
+            // The chunks written so far stay readable: the body is passed through once no write is
+            // pending.
             if content.pending_writes == 0 {
-                self.leave_file(id);
+                self.abandon_file(id);
             }
-        } else if content.has_arrived() {
-            self.complete_if_arrived(now, id);
+        } else if content.is_fully_received() {
+            self.complete_if_received(now, id);
         } else {
             self.notify_sender(id);
         }
     }
 
-    /// When the oldest write counts as one that hangs, without those of bodies that are given up already.
+    /// When the oldest pending write times out, ignoring bodies whose file was given up already.
     pub(super) fn next_write_timeout(&self) -> Option<f64> {
         let is_watched = |body| self.contents.get(&body).is_some_and(|content| !content.unwritable);
         let oldest = self.io.as_ref()?.pending_writes().find(|write| is_watched(write.body))?;
         Some(oldest.submitted_at + self.timing.write_timeout)
     }
 
-    /// Gives up every write under way if one of them hangs: its bytes may be in the file, or never will.
+    /// Gives up all bodies with pending writes if one of these writes hangs: whether a hanging
+    /// write will reach the file is unknown.
     pub(super) fn give_up_hanging_writes(&mut self, now: f64) {
         while self.next_write_timeout().is_some_and(|timeout| timeout <= now) {
             self.plan.suspend_files(now + self.timing.file_retry_delay);
@@ -118,7 +123,7 @@
         self.plan.body(id).is_some_and(|body| body.tier == Tier::File && !body.complete)
     }
 
-    /// Has slots released, if there are any.
+    /// Queues the release of slots, if there are any.
     pub(super) fn release_slots(&mut self, now: f64, body: BodyId, slots: Vec<Slot>) {
         if slots.is_empty() {
             return;
--- a/crates/body-store/src/store/handle.rs
+++ b/crates/body-store/src/store/handle.rs
@@ -1,17 +1,18 @@
-//! Handles on bodies and readers. Dropping the last one releases what it stands for, at the store's next turn.
+//! Handles of bodies and readers. When the last handle is dropped, the store releases the body or
+//! reader the next time that it processes the drop list.
 
 use crate::plan::BodyId;
 use std::cell::RefCell;
 use std::fmt;
 use std::rc::Rc;
 
-/// Identifies a reader. An identifier is never used again.
+/// Identifies a reader. Identifiers are never reused.
 pub type ReaderId = u64;
 
-/// What handles were dropped for, since the store looked last.
+/// Bodies and readers whose last handle was dropped and which the store has not released yet.
 pub(super) type DropList = Rc<RefCell<Vec<Dropped>>>;
 
-/// What the last handle was dropped for.
+/// A body or reader whose last handle was dropped.
 #[derive(Clone, Copy)]
 pub(super) enum Dropped {
     Body(BodyId),
@@ -27,7 +28,7 @@
     }
 }
 
-/// A handle on a body, which is kept until the last clone is dropped.
+/// The owning handle of a body, which stays in the store until the last clone is dropped.
 #[derive(Clone)]
 pub struct Body(Rc<SharedBody>);
 
@@ -42,13 +43,13 @@
         Self(Rc::new(SharedBody { id, length, dropped }))
     }
 
-    /// Its identifier, as events have it.
+    /// Its identifier, as used in events.
     #[must_use]
     pub fn id(&self) -> BodyId {
         self.0.id
     }
 
-    /// Its length; of a body that began with an unknown length, what was reserved for it at first (bytes).
+    /// Its length, or its initial reservation if it was admitted with an unknown length (bytes).
     #[must_use]
     pub fn length(&self) -> u64 {
         self.0.length
@@ -67,10 +68,10 @@
     }
 }
 
-/// Reads a body from its start. The reader ends when it is dropped.
+/// The handle of a reader, which reads a body from its start. Dropping it closes the reader.
 #[derive(Debug)]
 pub struct Reader {
-    /// Its identifier, as events have it.
+    /// Its identifier, as used in events.
     pub id: ReaderId,
     dropped: DropList,
 }
--- a/crates/body-store/src/store/memory_tier.rs
+++ b/crates/body-store/src/store/memory_tier.rs
@@ -1,4 +1,5 @@
-//! Bodies that move from memory to files while memory is short. One stays in memory as a whole until all of it is written.
+//! Demotion of bodies from memory to files while memory is short. A body stays in memory until all
+//! of its chunks are written.
 
 use super::content::{ChunkState, Content};
 use super::BodyStore;
@@ -6,8 +7,8 @@
 use crate::storage::Slot;
 
 impl Content {
-    /// Ends a move to a file. If it succeeded, the chunks are in their slots from now on; if not, they stay in memory, and the
-    /// slots that were written are returned to be released.
+    /// Ends a demotion. If it succeeded, the chunks are now stored in their slots; otherwise they
+    /// stay in memory, and the slots already written are returned for release.
     fn finish_demotion(&mut self, succeeded: bool) -> Vec<Slot> {
         let mut unused_slots = Vec::new();
         for chunk in &mut self.chunks {
@@ -25,7 +26,7 @@
 }
 
 impl BodyStore {
-    /// Begins to move bodies to files, as long as memory is short.
+    /// Starts demotions as long as memory is short.
     pub(super) fn demote(&mut self, now: f64) {
         while let Some(id) = self.plan.start_demotion(now) {
             let chunks = self.contents.get(&id).map_or(0, |content| content.chunks.len());
@@ -35,7 +36,8 @@
         }
     }
 
-    /// All writes of a move to a file have completed. If one failed, or a reader has begun meanwhile, the body stays in memory.
+    /// Ends a demotion whose writes have all completed. If one of them failed, or a reader was
+    /// opened meanwhile, the body stays in memory.
     pub(super) fn finish_demotion(&mut self, now: f64, id: BodyId) {
         let Some(content) = self.contents.get_mut(&id) else { return };
         let failed = std::mem::take(&mut content.unwritable);
--- a/crates/body-store/src/store/mod.rs
+++ b/crates/body-store/src/store/mod.rs
@@ -1,14 +1,15 @@
-//! Bodies as they arrive, are kept and are read again. The event loop calls in, never waits for a disk, and is woken by a
-//! descriptor when an I/O thread has completed something.
+//! Receives, stores and replays bodies. Calls by the event loop never block on a disk; a descriptor
+//! wakes the loop when an I/O thread has completed a task.
 //!
-//! - `arrival`: a body is admitted, and its bytes arrive.
-//! - `memory_tier`: bodies that move to files while memory is short.
-//! - `file_tier`: chunks that are written, writes that fail or hang, slots that are released.
-//! - `passing`: bodies that are passed on, and what their windows hold.
+//! - `arrival`: admission of bodies and arrival of their bytes.
+//! - `memory_tier`: demotion of bodies to files while memory is short.
+//! - `file_tier`: writes of chunks, failed and hanging writes, release of slots.
+//! - `passing`: bodies that are passed through, and their windows.
 //! - `replay`: readers, and chunks that are read back.
-//! - `release`: what is released when handles are dropped.
+//! - `release`: release of bodies and readers whose handles were dropped.
 //!
-//! A chunk that is read back with another checksum than it was written with is never handed out: the body is lost from then on.
+//! A chunk whose checksum does not match when it is read back is never returned: the body is lost
+//! from then on.
 
 mod arrival;
 mod content;
@@ -39,16 +40,16 @@
 /// Size of an eventfd's counter (bytes).
 const EVENTFD_BYTES: usize = 8;
 
-/// Times of the store (seconds).
+/// Time limits and delays of the store (seconds).
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// A write that takes longer than this counts as one that hangs.
+    /// A write that takes longer than this is treated as hanging.
     pub write_timeout: f64,
-    /// Files are tried again so long after one could not be written.
+    /// Files are not used for this long after a failed write.
     pub file_retry_delay: f64,
 }
 
-/// All bodies. Times are seconds on the caller's clock.
+/// The body store. Times are seconds on the caller's clock.
 pub struct BodyStore {
     plan: Plan,
     timing: Timing,
@@ -58,17 +59,18 @@
     contents: HashMap<BodyId, Content>,
     readers: HashMap<ReaderId, ReaderState>,
     last_reader: ReaderId,
-    /// Readers that wait for a window, in the order that they get one.
+    /// Readers that wait for a window, first come first served.
     waiting_readers: VecDeque<ReaderId>,
     events: VecDeque<BodyEvent>,
     dropped: DropList,
 }
 
 impl BodyStore {
-    /// A store without bodies. `storage` is where files are, if there are any; `threads` is how many threads call it.
+    /// Creates a store without bodies. `storage` stores the chunks of the file tier, if there is
+    /// one; `threads` is the number of I/O threads.
     ///
     /// # Errors
-    /// Where the system has no descriptor for the waker.
+    /// If the eventfd of the waker cannot be created.
     pub fn new(
         budgets: Budgets,
         timing: Timing,
@@ -91,25 +93,26 @@
         })
     }
 
-    /// A descriptor that is readable when an I/O thread has completed something: [`BodyStore::on_ready`] is to be called then.
+    /// A descriptor that becomes readable when an I/O thread has completed a task;
+    /// [`BodyStore::on_ready`] must be called then.
     #[must_use]
     pub fn waker(&self) -> BorrowedFd<'_> {
         self.waker.as_fd()
     }
 
-    /// What has happened so far, by class.
+    /// Counters by class.
     #[must_use]
     pub fn counters(&self) -> &[ClassCounters] {
         self.plan.counters()
     }
 
-    /// The plan, to look at.
+    /// The plan, for inspection.
     #[must_use]
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Size of everything that is in memory now (bytes).
+    /// Size of all content that is in memory now (bytes).
     #[must_use]
     pub fn resident_bytes(&self) -> u64 {
         self.contents.values().map(Content::resident_bytes).sum::<usize>() as u64
@@ -126,21 +129,22 @@
         self.events.pop_front()
     }
 
-    /// When a write counts as one that hangs, if one is under way (seconds on the caller's clock).
+    /// When the oldest pending write times out, if there is one (seconds on the caller's clock).
     #[must_use]
     pub fn next_deadline(&self) -> Option<f64> {
         self.next_write_timeout()
     }
 
-    /// Releases what was dropped, and gives up writes that hang. To be called at each turn of the event loop.
+    /// Releases what was dropped, and gives up hanging writes. Must be called in each iteration of
+    /// the event loop.
     pub fn on_timer(&mut self, now: f64) {
         self.release_dropped(now);
         self.give_up_hanging_writes(now);
     }
 
-    /// Takes in what the I/O threads have completed.
+    /// Processes the completions of the I/O threads.
     pub fn on_ready(&mut self, now: f64) {
-        let _ = rustix::io::read(&self.waker, &mut [0; EVENTFD_BYTES]); // its count does not matter
+        let _ = rustix::io::read(&self.waker, &mut [0; EVENTFD_BYTES]); // the value of the counter is irrelevant
         while let Some(completion) = self.io.as_mut().and_then(IoThreads::next_completion) {
             match completion {
                 Completion::Written { write, result } => self.on_written(now, write, result.is_ok()),
--- a/crates/body-store/src/store/passing.rs
+++ b/crates/body-store/src/store/passing.rs
@@ -1,4 +1,5 @@
-//! Bodies that are passed on as they arrive: their windows, and what gives way in them.
+//! Bodies that are passed through as they arrive: their windows, and which chunks are discarded
+//! from them.
 
 use super::content::{Chunk, ChunkState, Content};
 use super::replay::ReaderState;
@@ -7,14 +8,16 @@
 use crate::storage::CHUNK_BYTES;
 use std::collections::HashMap;
 
-/// What the ended chunks of a body that is passed on may hold in memory (bytes); one more chunk is being filled.
+/// Limit on the finished chunks in memory of a body that is passed through (bytes); the window has
+/// one more chunk, the partial one.
 fn window_bytes(body: &BodyState) -> usize {
     body.window_chunks.saturating_sub(1) * CHUNK_BYTES
 }
 
 impl Content {
-    /// What a body that is passed on takes now (bytes). What its reader has had can give way.
-    pub(super) fn passing_capacity(
+    /// Capacity of a body that is passed through (bytes). Chunks that its reader has read do not
+    /// use capacity, since they can be discarded.
+    pub(super) fn pass_through_capacity(
         &self,
         body: &BodyState,
         readers: &HashMap<ReaderId, ReaderState>,
@@ -24,7 +27,7 @@
         window_bytes(body).saturating_sub(unread_chunks + self.partial.len())
     }
 
-    /// Index of the first chunk that a reader has not had; 0 without readers.
+    /// Index of the first chunk that some reader has not read; 0 without readers.
     fn first_unread_chunk(&self, readers: &HashMap<ReaderId, ReaderState>) -> usize {
         let positions = self.readers.iter().filter_map(|id| readers.get(id)).map(|reader| reader.next_chunk);
         positions.min().unwrap_or(0)
@@ -32,12 +35,12 @@
 }
 
 impl BodyStore {
-    pub(super) fn is_passed(&self, id: BodyId) -> bool {
+    pub(super) fn is_passed_through(&self, id: BodyId) -> bool {
         self.plan.body(id).is_some_and(|body| body.tier == Tier::PassThrough)
     }
 
-    /// Discards chunks of a body that is passed on, as far as its window is exceeded: those that its reader has had, the oldest
-    /// first.
+    /// Discards chunks of a body that is passed through while it exceeds its window: only chunks
+    /// that its reader has read, the oldest first.
     pub(super) fn discard_read_chunks(&mut self, id: BodyId) {
         let Some((content, body)) = self.contents.get_mut(&id).zip(self.plan.body(id)) else { return };
         let first_unread = content.first_unread_chunk(&self.readers);
@@ -53,14 +56,15 @@
                 discarded = true;
             }
         }
-        if discarded && !content.has_discarded {
-            content.has_discarded = true;
+        if discarded && !content.has_discarded_chunks {
+            content.has_discarded_chunks = true;
             self.events.push_back(BodyEvent::BytesDropped(id));
         }
     }
 
-    /// The file of an arriving body cannot be written, and no write is under way: the body is passed on from here, or lost.
-    pub(super) fn leave_file(&mut self, id: BodyId) {
+    /// Gives up the file of an arriving body after a failed write, once no write is pending: the
+    /// body is passed through from now on, or lost.
+    pub(super) fn abandon_file(&mut self, id: BodyId) {
         let Some(content) = self.contents.get_mut(&id) else { return };
         if !self.plan.fall_back_to_pass_through(id) {
             content.lost = true;
@@ -68,7 +72,7 @@
             return;
         }
         self.events.push_back(BodyEvent::PassedThrough(id));
-        if content.has_arrived() {
+        if content.is_fully_received() {
             self.plan.mark_complete(id);
         }
     }
--- a/crates/body-store/src/store/release.rs
+++ b/crates/body-store/src/store/release.rs
@@ -1,4 +1,4 @@
-//! What is released when handles on bodies and readers are dropped.
+//! Release of bodies and readers whose handles were dropped.
 
 use super::content::Chunk;
 use super::handle::{Dropped, ReaderId};
@@ -6,7 +6,8 @@
 use crate::plan::BodyId;
 
 impl BodyStore {
-    /// Releases bodies and readers whose last handle was dropped; readers that wait get the windows that are free then.
+    /// Releases bodies and readers whose last handle was dropped, and gives the freed windows to
+    /// waiting readers.
     pub(super) fn release_dropped(&mut self, now: f64) {
         let dropped = std::mem::take(&mut *self.dropped.borrow_mut());
         for handle in dropped {
@@ -33,7 +34,7 @@
         self.unload(reader.body);
     }
 
-    /// Slots that are being written are released once that has completed.
+    /// Releases a body. Slots with a pending write are released when the write has completed.
     fn release_body(&mut self, now: f64, id: BodyId) {
         let Some(content) = self.contents.remove(&id) else { return };
         self.plan.release(id);
--- a/crates/body-store/src/store/replay.rs
+++ b/crates/body-store/src/store/replay.rs
@@ -1,4 +1,5 @@
-//! Readers, each from the start of its body, and chunks that are read back for them from files.
+//! Readers, each of which reads its body from the start, and chunks that are read back for them
+//! from files.
 
 use super::content::ChunkState;
 use super::{Body, BodyEvent, BodyStore, Bytes, ReadOutcome, Reader, ReaderId};
@@ -7,39 +8,41 @@
 use std::io;
 use std::sync::Arc;
 
-/// Chunks that are read ahead for a reader, its next one among them.
+/// Number of chunks that are loaded for a reader in advance, including its next one.
 const READ_AHEAD_CHUNKS: usize = REPLAY_WINDOW_CHUNKS / 2;
 
-/// Where a reader is.
+/// The state of a reader.
 pub(super) struct ReaderState {
     pub(super) body: BodyId,
-    /// Index of the chunk that it gets next.
+    /// Index of the next chunk to read.
     pub(super) next_chunk: usize,
-    /// It holds a window.
+    /// It has a replay window.
     pub(super) has_window: bool,
-    /// It waits for a window.
+    /// It is waiting for a replay window.
     pub(super) waits_for_window: bool,
 }
 
-/// What is known of the chunk that a reader gets next.
+/// The result of looking up a reader's next chunk.
 enum NextChunk {
     Found(Bytes),
-    /// It has to be read back.
+    /// It has to be read back from its file.
     InFile,
-    /// There is none, for the reason that the reader is told.
+    /// It is not available; contains the result to return to the reader.
     Absent(ReadOutcome),
 }
 
 impl BodyStore {
-    /// Begins to read a body from its start. `None` where bytes of it are gone, where it is not complete, or where it is passed
-    /// on and has its reader.
+    /// Opens a reader at the start of a body. Returns `None` if bytes of the body were dropped or
+    /// it is lost, if it is stored but not complete, or if it is passed through and already has a
+    /// reader.
     pub fn open_reader(&mut self, now: f64, body: &Body) -> Option<Reader> {
         self.release_dropped(now);
         let id = body.id();
         if !self.plan.can_read(id) {
             return None;
         }
-        let content = self.contents.get_mut(&id).filter(|content| !content.has_discarded && !content.lost)?;
+        let content =
+            self.contents.get_mut(&id).filter(|content| !content.has_discarded_chunks && !content.lost)?;
         if std::mem::replace(&mut content.was_read, true) {
             self.plan.count_replay(id);
         }
@@ -56,7 +59,7 @@
         Some(Reader::new(self.last_reader, self.dropped.clone()))
     }
 
-    /// The next bytes for a reader.
+    /// Reads the next bytes.
     pub fn read(&mut self, now: f64, reader: &Reader) -> ReadOutcome {
         let Some(state) = self.readers.get(&reader.id) else { return ReadOutcome::Lost };
         if state.waits_for_window {
@@ -78,19 +81,20 @@
         }
     }
 
-    /// Finds the chunk of a body. Of one that is passed on, what has arrived becomes a chunk, however little it is.
+    /// Looks up a chunk of a body. If the body is passed through, a partial chunk is finished
+    /// first, whatever its length, so that it can be read.
     fn find_chunk(&mut self, now: f64, id: BodyId, chunk: usize) -> NextChunk {
         let Some(content) = self.contents.get(&id).filter(|content| !content.lost) else {
             return NextChunk::Absent(ReadOutcome::Lost);
         };
         if chunk >= content.chunks.len() {
-            if content.has_arrived() {
+            if content.is_fully_received() {
                 return NextChunk::Absent(ReadOutcome::End);
             }
-            if !self.is_passed(id) || content.partial.is_empty() {
+            if !self.is_passed_through(id) || content.partial.is_empty() {
                 return NextChunk::Absent(ReadOutcome::NotReady);
             }
-            self.end_chunk(now, id);
+            self.finish_chunk(now, id);
         }
         let Some(content) = self.contents.get(&id) else { return NextChunk::Absent(ReadOutcome::Lost) };
         match &content.chunks[chunk].state {
@@ -104,7 +108,7 @@
         }
     }
 
-    /// A reader has had its next chunk.
+    /// Moves a reader to its next chunk.
     fn advance(&mut self, reader: ReaderId) {
         let Some(state) = self.readers.get_mut(&reader) else { return };
         state.next_chunk += 1;
@@ -112,7 +116,7 @@
         self.unload(body);
     }
 
-    /// Has chunks read back ahead of a reader, from `first` on.
+    /// Starts to read back the chunks from `first` on, as far as the read-ahead extends.
     fn load(&mut self, now: f64, body: BodyId, first: usize) {
         let Some((io, content)) = self.io.as_mut().zip(self.contents.get_mut(&body)) else { return };
         let end = (first + READ_AHEAD_CHUNKS).min(content.chunks.len());
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Drops chunks that were read back and that no reader needs soon.
+    /// Drops chunks that were read back, except those within the read-ahead of a reader.
     pub(super) fn unload(&mut self, id: BodyId) {
         let Some(content) = self.contents.get_mut(&id).filter(|content| !content.loaded.is_empty()) else {
             return;
@@ -140,7 +144,8 @@
         content.loaded.retain(|chunk, _| is_needed(chunk));
     }
 
-    /// A read has completed. Bytes with another checksum than was written are never handed out.
+    /// Handles the end of a read. Bytes whose checksum does not match are never returned to
+    /// readers.
     pub(super) fn on_read(&mut self, read: ChunkRead, result: io::Result<Vec<u8>>) {
         let ChunkRead { body: id, chunk, .. } = read;
         let Some(content) = self.contents.get_mut(&id) else { return };
@@ -161,13 +166,13 @@
         self.notify_readers(id);
     }
 
-    /// Tells the readers of a body that they may find bytes.
+    /// Notifies the readers of a body that they should read again.
     pub(super) fn notify_readers(&mut self, id: BodyId) {
         let Some(content) = self.contents.get(&id) else { return };
         self.events.extend(content.readers.iter().map(|reader| BodyEvent::DataReady(*reader)));
     }
 
-    /// Gives windows that are free to readers that wait for one, in their order.
+    /// Assigns free windows to waiting readers, first come first served.
     pub(super) fn start_waiting_readers(&mut self) {
         while let Some(&reader) = self.waiting_readers.front() {
             let Some(state) = self.readers.get_mut(&reader) else {
--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -1,4 +1,5 @@
-//! The body store of the daemon: its configuration file, `deploy/bodies.toml`, what follows from it, and its statistics.
+//! The daemon's side of the body store: its configuration file `deploy/bodies.toml`, the budgets
+//! and limits derived from it, and its statistics.
 
 use crate::config::{line_number, read_optional_with_text, ConfigError};
 use crate::limits::Limits;
@@ -20,30 +21,31 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// Where the file is, from the folder that the daemon is started in.
+/// Path of the configuration file, relative to the working directory of the daemon.
 pub const FILE: &str = "deploy/bodies.toml";
 
 const BYTES_PER_KB: f64 = 1024.0;
 const BYTES_PER_MB: f64 = 1024.0 * BYTES_PER_KB;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Share of `memory_mb` that windows have; bodies have the rest.
+/// Share of `memory_mb` that is used for windows; the rest is for bodies.
 const WINDOW_SHARE: f64 = 0.25;
-/// Fewest chunks for windows (chunks): half of them hold a body that is passed on beside a replay.
+/// Minimum number of chunks for windows: half of them are enough for one body that is passed
+/// through and one replay.
 const MIN_WINDOW_CHUNKS: f64 = 2.0 * (PASS_THROUGH_WINDOW_CHUNKS + REPLAY_WINDOW_CHUNKS) as f64;
-/// Threads that call the disk.
+/// Number of threads for disk I/O.
 const IO_THREADS: usize = 2;
-/// Files are tried again so long after one could not be written (s).
+/// Files are not used for this long after a failed write (s).
 const FILE_RETRY_DELAY: f64 = 1.0;
 
-/// `stall_ms` where the file has none.
+/// Default of `stall_ms`.
 const DEFAULT_STALL_MS: f64 = 5_000.0;
-/// `upload_ms` where the file has none.
+/// Default of `upload_ms`.
 const DEFAULT_UPLOAD_MS: f64 = 60_000.0;
-/// `disk_hangs_ms` where the file has none.
+/// Default of `disk_hangs_ms`.
 const DEFAULT_DISK_HANGS_MS: f64 = 2_000.0;
 
-/// The body store, as listeners and upstreams share it.
+/// The body store, shared by listeners and upstreams.
 pub type SharedBodyStore = Rc<RefCell<BodyStore>>;
 
 impl EventHandler for SharedBodyStore {
@@ -60,36 +62,36 @@
     }
 }
 
-/// Why the file was not accepted, or the body store could not be opened.
+/// Why the file was rejected, or the body store could not be opened.
 #[derive(Debug, Error)]
 pub enum BodyStoreError {
     /// The file could not be read or parsed.
     #[error(transparent)]
     File(#[from] ConfigError),
-    /// A number is too small or too large.
-    #[error("{FILE}: line {line}: {key} is {value}, not between {least} and {most}")]
+    /// A number is out of range.
+    #[error("{FILE}: line {line}: {key} is {value}, not between {min} and {max}")]
     OutOfRange {
-        /// The line, from 1.
+        /// The line, starting at 1.
         line: usize,
-        /// The key, with the names of its tables.
+        /// The key, prefixed with the names of its tables.
         key: String,
         /// Its value.
         value: f64,
-        /// The least value that is accepted.
-        least: f64,
-        /// The greatest value that is accepted.
-        most: f64,
+        /// The minimum that is accepted.
+        min: f64,
+        /// The maximum that is accepted.
+        max: f64,
     },
-    /// Files are wanted, and there is no folder for them.
-    #[error("{FILE}: line {line}: files_mb needs a folder to have them in")]
+    /// Files are enabled without a folder for them.
+    #[error("{FILE}: line {line}: files_mb needs a folder to store the files in")]
     NoFolder {
-        /// The line of `files_mb`, from 1.
+        /// The line of `files_mb`, starting at 1.
         line: usize,
     },
-    /// A table is for a class that the settings do not have.
+    /// A table names a class that the settings do not define.
     #[error("{FILE}: line {line}: no class is called {name}")]
     UnknownClass {
-        /// The line, from 1.
+        /// The line, starting at 1.
         line: usize,
         /// The name of the table.
         name: String,
@@ -99,38 +101,39 @@
     Folder {
         /// The folder.
         path: PathBuf,
-        /// The reason.
+        /// The cause.
         source: io::Error,
     },
-    /// The system has no descriptor for the waker.
+    /// The eventfd of the waker could not be created.
     #[error("{FILE}: {0}")]
     Waker(#[source] io::Error),
 }
 
-/// The content of the file.
+/// The content of the configuration file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BodyStoreFile {
     /// Memory for bodies and windows (MB).
     memory_mb: Spanned<f64>,
-    /// The largest body of any class (MB).
+    /// Maximum size of a body of any class (MB).
     largest_mb: Spanned<f64>,
-    /// Bodies above this go to the body store (KB); without it, those that the listener itself does not hold.
+    /// Larger bodies go to the body store (KB); if absent, only those that exceed the HTTP
+    /// listener's own body limit.
     above_kb: Option<Spanned<f64>>,
-    /// Files for bodies (MB); none without it.
+    /// File space for bodies (MB); without it, no files are used.
     files_mb: Option<Spanned<f64>>,
-    /// Where the files are.
+    /// The folder for the files.
     folder: Option<PathBuf>,
-    /// Longest pause of a sender (ms).
+    /// Longest time that a sender may stall (ms).
     #[serde(default = "default_stall_ms")]
     stall_ms: Spanned<f64>,
     /// Longest time that a body may take to arrive (ms).
     #[serde(default = "default_upload_ms")]
     upload_ms: Spanned<f64>,
-    /// A write that takes longer than this counts as one that hangs (ms).
+    /// A write that takes longer than this is treated as hanging (ms).
     #[serde(default = "default_disk_hangs_ms")]
     disk_hangs_ms: Spanned<f64>,
-    /// By the name of the class.
+    /// Tables by class name.
     #[serde(default)]
     class: BTreeMap<Spanned<String>, ClassTable>,
 }
@@ -147,7 +150,7 @@
     Spanned::new(0..0, DEFAULT_DISK_HANGS_MS)
 }
 
-/// What one class may use. A share that is absent is all of it.
+/// Limits of one class. A share that is absent means 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassTable {
@@ -155,22 +158,23 @@
     memory_share: Option<Spanned<f64>>,
     /// Largest share of the files (0 to 1).
     files_share: Option<Spanned<f64>>,
-    /// The largest body (MB).
+    /// Maximum size of a body (MB).
     largest_mb: Option<Spanned<f64>>,
-    /// Bodies that fit nowhere may be passed on without being kept; if not, they are rejected.
+    /// Bodies that fit into no tier may be passed through without being stored (default); otherwise
+    /// they are rejected.
     pass: Option<bool>,
 }
 
-/// The text of the file, to report lines of it.
+/// The text of the file, for the line numbers in errors.
 struct FileText<'a>(&'a str);
 
 impl FileText<'_> {
-    /// The line in which a value begins, from 1.
+    /// The line in which a value starts, counted from 1.
     fn line_of<T>(&self, value: &Spanned<T>) -> usize {
         line_number(self.0, value.span().start)
     }
 
-    /// Checks that a value is in its range, if there is one.
+    /// Checks that a value, if present, is within its range.
     fn check_range(
         &self,
         key: &str,
@@ -182,17 +186,17 @@
             line: self.line_of(value),
             key: key.into(),
             value: *value.get_ref(),
-            least: *range.start(),
-            most: *range.end(),
+            min: *range.start(),
+            max: *range.end(),
         })
     }
 }
 
 impl BodyStoreFile {
-    /// Reads and checks the file; `None` where there is none: the body store is off then.
+    /// Reads and checks the file; `None` if it does not exist, which disables the body store.
     ///
     /// # Errors
-    /// What is wrong with the file, in one line with line and key.
+    /// The first fault in the file, in one line that names the file's line and key.
     pub fn from_file(settings: &Settings) -> Result<Option<Self>, BodyStoreError> {
         let Some(file) = read_optional_with_text::<Self>(FILE)? else { return Ok(None) };
         let text = FileText(&file.text);
@@ -236,10 +240,11 @@
         Ok(())
     }
 
-    /// Sets the limits of the listeners that follow from the file.
+    /// Sets the listeners' limits that depend on the file.
     pub fn apply_limits(&self, settings: &Settings, limits: &mut Limits) {
-        let above = self.above_kb.as_ref().map_or(usize::MAX, |kb| (kb.get_ref() * BYTES_PER_KB) as usize);
-        limits.bodies.max_inline_bytes = above.min(limits.http.max_body_bytes);
+        let threshold =
+            self.above_kb.as_ref().map_or(usize::MAX, |kb| (kb.get_ref() * BYTES_PER_KB) as usize);
+        limits.bodies.max_inline_bytes = threshold.min(limits.http.max_body_bytes);
         limits.bodies.max_bytes = (self.largest_mb.get_ref() * BYTES_PER_MB) as usize;
         limits.bodies.stall_timeout = self.stall_ms.get_ref() / MS_PER_SECOND;
         limits.bodies.upload_timeout = self.upload_ms.get_ref() / MS_PER_SECOND;
@@ -275,8 +280,8 @@
 
     fn class_limits(&self, class: &ClassSettings) -> ClassLimits {
         let default = ClassTable::default();
-        let named = self.class.iter().find(|(name, _)| *name.get_ref() == class.name);
-        let table = named.map_or(&default, |(_, table)| table);
+        let configured = self.class.iter().find(|(name, _)| *name.get_ref() == class.name);
+        let table = configured.map_or(&default, |(_, table)| table);
         ClassLimits {
             repeatable: class.idempotency != Idempotency::Never,
             priority_weight: class.priority_weight,
@@ -301,7 +306,7 @@
     Ok(Arc::new(segment.map_err(|source| BodyStoreError::Folder { path: path.into(), source })?))
 }
 
-/// Reports the statistics of one class, name and value each.
+/// Reports the name and value of each counter of a class.
 pub fn report_counters(class: &str, counters: &ClassCounters, mut report: impl FnMut(&str, u64)) {
     for (tier, name) in [(Tier::Memory, "memory"), (Tier::File, "file"), (Tier::PassThrough, "passed")] {
         report(&format!("bodies.{name}.held.{class}"), counters.current_bodies.get(tier));
