--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -1,8 +1,9 @@
-//! What each tier costs: bodies of one size go in and are read once, or twice, as after a failed attempt.
+//! Cost of each tier: bodies of one size are stored and read once, or twice, as after a failed
+//! attempt.
 //!
 //!     cargo bench -p dahliaspoke-body-store
 //!
-//! `plain` is what the listener did before: one growing buffer, copied once to send it.
+//! `plain` is the baseline without a body store: one growing buffer, copied once to send it.
 
 use dahliaspoke_body_store::plan::{Budgets, ClassLimits};
 use dahliaspoke_body_store::storage::{slot_offset, ChunkStorage, SegmentFile, StorageFolder};
@@ -17,12 +18,13 @@
 use std::time::Instant;
 
 const MB: u64 = 1 << 20;
-/// What one read from a socket returns (bytes).
+/// Bytes returned by one read from a socket.
 const SOCKET_READ_BYTES: usize = 16 << 10;
-/// What each measurement sends in all (bytes).
+/// Total size of the bodies of each measurement (bytes).
 const TOTAL_BYTES: u64 = 512 * MB;
 
-/// A file a body: the option that was measured and not taken (`docs/body-store-design.md`).
+/// One file per body: the alternative to [`SegmentFile`] that was rejected
+/// (`docs/body-store-design.md`).
 struct FilePerBody {
     folder: StorageFolder,
     files: Mutex<HashMap<u64, Arc<File>>>,
@@ -80,7 +82,7 @@
         .expect("a descriptor")
 }
 
-/// Waits for the disk where there is nothing else to do.
+/// Discards events and processes completions while waiting for the disk.
 fn wait(store: &mut BodyStore) {
     while store.next_event().is_some() {}
     store.on_ready(0.0);
@@ -88,7 +90,7 @@
 }
 
 fn read(store: &mut BodyStore, body: &Body) -> u64 {
-    let reader = store.open_reader(0.0, body).expect("here");
+    let reader = store.open_reader(0.0, body).expect("readable");
     let mut count = 0;
     loop {
         match store.read(0.0, &reader) {
@@ -100,15 +102,15 @@
     }
 }
 
-fn send_and_read(store: &mut BodyStore, mode: Mode, length: u64, piece: &[u8], reads: usize) {
-    let (body, _) = store.admit(0.0, 0, length, 1.0).expect("room");
-    let mut left = length as usize;
+fn send_and_read(store: &mut BodyStore, mode: Mode, length: u64, socket_data: &[u8], reads: usize) {
+    let (body, _) = store.admit(0.0, 0, length, 1.0).expect("admitted");
+    let mut remaining = length as usize;
     if mode == Mode::PassThrough {
-        let reader = store.open_reader(0.0, &body).expect("here");
+        let reader = store.open_reader(0.0, &body).expect("readable");
         loop {
-            let count = store.capacity(body.id()).min(left).min(piece.len());
-            store.append(0.0, body.id(), &piece[..count]);
-            left -= count;
+            let count = store.capacity(body.id()).min(remaining).min(socket_data.len());
+            store.append(0.0, body.id(), &socket_data[..count]);
+            remaining -= count;
             match store.read(0.0, &reader) {
                 ReadOutcome::Bytes(bytes) => drop(black_box(bytes)),
                 ReadOutcome::End => return,
@@ -118,15 +120,15 @@
             while store.next_event().is_some() {}
         }
     }
-    let mut kept = false;
-    while !kept {
-        let count = store.capacity(body.id()).min(left).min(piece.len());
-        store.append(0.0, body.id(), &piece[..count]);
-        left -= count;
-        while let Some(wake) = store.next_event() {
-            kept |= matches!(wake, BodyEvent::Stored(_));
+    let mut stored = false;
+    while !stored {
+        let count = store.capacity(body.id()).min(remaining).min(socket_data.len());
+        store.append(0.0, body.id(), &socket_data[..count]);
+        remaining -= count;
+        while let Some(event) = store.next_event() {
+            stored |= matches!(event, BodyEvent::Stored(_));
         }
-        if count == 0 && !kept {
+        if count == 0 && !stored {
             store.on_ready(0.0);
             std::thread::yield_now();
         }
@@ -136,37 +138,37 @@
     }
 }
 
-fn report(name: &str, length: u64, times: &Histogram<u64>, took: f64, count: u64) {
+fn report(name: &str, length: u64, latencies: &Histogram<u64>, seconds: f64, count: u64) {
     println!(
         "{name:<22} {:>6} KB  {:>7.0} MB/s  p50 {:>8} us  p99 {:>8} us",
         length >> 10,
-        (count * length) as f64 / took / MB as f64,
-        times.value_at_quantile(0.5),
-        times.value_at_quantile(0.99),
+        (count * length) as f64 / seconds / MB as f64,
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
     );
 }
 
 fn run(name: &str, length: u64, mut body: impl FnMut()) {
     let count = (TOTAL_BYTES / length).min(4000);
-    (0..count / 10 + 1).for_each(|_| body()); // warm
-    let mut times = Histogram::<u64>::new(3).expect("a histogram");
-    let began = Instant::now();
+    (0..count / 10 + 1).for_each(|_| body()); // warm-up
+    let mut latencies = Histogram::<u64>::new(3).expect("a histogram");
+    let started = Instant::now();
     for _ in 0..count {
         let start = Instant::now();
         body();
-        times.record(start.elapsed().as_micros() as u64).expect("in range");
+        latencies.record(start.elapsed().as_micros() as u64).expect("in range");
     }
-    report(name, length, &times, began.elapsed().as_secs_f64(), count);
+    report(name, length, &latencies, started.elapsed().as_secs_f64(), count);
 }
 
 fn main() {
-    let piece: Vec<u8> = (0..SOCKET_READ_BYTES).map(|n| n as u8).collect();
+    let socket_data: Vec<u8> = (0..SOCKET_READ_BYTES).map(|n| n as u8).collect();
     let folder = tempfile::tempdir().expect("a folder");
     let open = || StorageFolder::open(folder.path()).expect("a folder");
     for length in [64 << 10, MB, 16 * MB] {
         run("plain", length, || {
             let mut buffer = Vec::new();
-            (0..length as usize / SOCKET_READ_BYTES).for_each(|_| buffer.extend_from_slice(&piece));
+            (0..length as usize / SOCKET_READ_BYTES).for_each(|_| buffer.extend_from_slice(&socket_data));
             black_box(buffer.to_vec());
         });
         for (name, mode, reads) in [
@@ -175,17 +177,17 @@
             ("memory, replayed", Mode::Memory, 2),
         ] {
             let mut store = open_store(mode, None);
-            run(name, length, || send_and_read(&mut store, mode, length, &piece, reads));
+            run(name, length, || send_and_read(&mut store, mode, length, &socket_data, reads));
         }
         let storages: [(&str, Arc<dyn ChunkStorage>); 2] = [
             ("segment", Arc::new(SegmentFile::open(open()).expect("a file"))),
-            ("a file a body", Arc::new(FilePerBody::open(open()))),
+            ("file per body", Arc::new(FilePerBody::open(open()))),
         ];
         for (name, storage) in storages {
             for reads in [1, 2] {
                 let mut store = open_store(Mode::File, Some(storage.clone()));
                 let name = if reads == 1 { name.to_string() } else { format!("{name}, replayed") };
-                run(&name, length, || send_and_read(&mut store, Mode::File, length, &piece, reads));
+                run(&name, length, || send_and_read(&mut store, Mode::File, length, &socket_data, reads));
             }
         }
     }
--- a/crates/body-store/src/store/mod.rs
+++ b/crates/body-store/src/store/mod.rs
@@ -144,7 +144,7 @@
 
     /// Processes the completions of the I/O threads.
     pub fn on_ready(&mut self, now: f64) {
-        let _ = rustix::io::read(&self.waker, &mut [0; EVENTFD_BYTES]); // the value of the counter is irrelevant
+        let _ = rustix::io::read(&self.waker, &mut [0; EVENTFD_BYTES]); // its value is irrelevant
         while let Some(completion) = self.io.as_mut().and_then(IoThreads::next_completion) {
             match completion {
                 Completion::Written { write, result } => self.on_written(now, write, result.is_ok()),
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -1,4 +1,5 @@
-//! The plan against a plain model: whatever happens in whatever order, the invariants of its page hold.
+//! Checks the plan against a simple model: the invariants documented in the `plan` module must hold
+//! after every step of random histories.
 
 use dahliaspoke_body_store::plan::*;
 use proptest::prelude::*;
@@ -54,13 +55,13 @@
     ]
 }
 
-/// A reader that the plan has begun.
+/// A reader that was registered with the plan.
 struct ActiveReader {
     body: BodyId,
     has_window: bool,
 }
 
-/// A plan and what it was asked for, from which the invariants are counted afresh.
+/// A plan, and a record of the calls to it, from which the expected usage is recomputed.
 struct History {
     budgets: Budgets,
     plan: Plan,
@@ -76,14 +77,14 @@
         Self { budgets, plan, bodies: Vec::new(), readers: Vec::new(), now: 0.0 }
     }
 
-    /// One of the bodies, if there is one and it is as wanted.
+    /// Selects a body by index; `None` if there is none or it does not satisfy the predicate.
     fn pick(&self, index: usize, wanted: impl Fn(&BodyState) -> bool) -> Option<BodyId> {
         let id = *self.bodies.get(index.checked_rem(self.bodies.len())?)?;
         self.plan.body(id).is_some_and(wanted).then_some(id)
     }
 
     fn state(&self, id: BodyId) -> BodyState {
-        self.plan.body(id).expect("held").clone()
+        self.plan.body(id).expect("a live body").clone()
     }
 
     fn apply(&mut self, step: Step) -> TestCaseResult {
@@ -96,7 +97,7 @@
             Step::Extend(index) => self.extend(index)?,
             Step::SetLength(index, length) => self.set_length(index, length),
             Step::MarkComplete(index) => {
-                // A body whose length is not known is not complete.
+                // A body of unknown length cannot be complete.
                 if let Some(id) = self.pick(index, |body| !body.length_unknown) {
                     self.plan.mark_complete(id);
                 }
@@ -146,9 +147,10 @@
         let Some(id) = self.plan.start_demotion(self.now) else { return Ok(()) };
         let chosen = self.state(id);
         prop_assert!(chosen.complete && chosen.readers == 0 && chosen.tier == Tier::Memory);
-        // No other one that could go, and is no larger, is worth less by the byte.
+        // No other candidate of the class that is no larger and whose deadline is no later has a
+        // lower value.
         let value = |body: &BodyState| self.plan.retention_value(self.now, body);
-        let less = before.iter().filter(|body| {
+        let lower_valued = before.iter().filter(|body| {
             body.tier == Tier::Memory
                 && body.complete
                 && body.readers == 0
@@ -158,7 +160,7 @@
                 && body.deadline <= chosen.deadline
                 && value(body) < value(&chosen)
         });
-        prop_assert_eq!(less.count(), 0);
+        prop_assert_eq!(lower_valued.count(), 0);
         Ok(())
     }
 
@@ -172,10 +174,10 @@
     fn fall_back(&mut self, index: usize) -> TestCaseResult {
         let Some(id) = self.pick(index, |_| true) else { return Ok(()) };
         let before = self.state(id);
-        let fell = self.plan.fall_back_to_pass_through(id);
+        let fell_back = self.plan.fall_back_to_pass_through(id);
         let arriving = before.tier == Tier::File && !before.complete && !before.length_unknown;
-        let may = arriving && self.budgets.classes[before.class].pass_through;
-        prop_assert_eq!(fell, may, "one that is complete stays");
+        let expected = arriving && self.budgets.classes[before.class].pass_through;
+        prop_assert_eq!(fell_back, expected, "only an arriving body of a class with pass-through falls back");
         Ok(())
     }
 
@@ -198,7 +200,7 @@
         if let Some(id) = self.pick(index, |_| true) {
             self.bodies.retain(|other| *other != id);
             self.plan.release(id);
-            self.plan.release(id); // a second time has no effect
+            self.plan.release(id); // a second call has no effect
         }
     }
 
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Bytes in use by class, counted from the bodies.
+    /// Bytes in use by class, recomputed from the bodies.
     fn used_by_class(&self) -> Vec<UsedBytes> {
         let mut by_class = vec![UsedBytes::default(); self.budgets.classes.len()];
         for body in self.bodies.iter().filter_map(|id| self.plan.body(*id)) {
@@ -224,7 +226,7 @@
         by_class
     }
 
-    /// Windows in use, counted from the bodies and the readers.
+    /// Windows in use, recomputed from the bodies and the readers.
     fn used_windows(&self) -> UsedWindows {
         let bodies = self.bodies.iter().filter_map(|id| self.plan.body(*id));
         let readers_with_window = self.readers.iter().filter(|reader| reader.has_window).count();
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The invariants of the plan's page.
+    /// Checks the invariants of the `plan` module.
     fn check(&self) {
         let by_class = self.used_by_class();
         let (memory, file) =
@@ -242,23 +244,28 @@
         let (used, windows) = (UsedBytes { memory, file }, self.used_windows());
         assert_eq!((self.plan.used(), self.plan.windows()), (used, windows));
         let budgets = &self.budgets;
-        let within = used.memory <= budgets.memory_bytes && used.file <= budgets.file_bytes;
-        assert!(within, "over the budget: {used:?}");
+        let within_budgets = used.memory <= budgets.memory_bytes && used.file <= budgets.file_bytes;
+        assert!(within_budgets, "over budget: {used:?}");
         let all_windows = windows.arrivals + windows.replays;
-        let few = all_windows <= budgets.window_chunks && 4 * windows.arrivals <= 3 * budgets.window_chunks;
-        assert!(few, "too many windows");
+        let within_windows =
+            all_windows <= budgets.window_chunks && 4 * windows.arrivals <= 3 * budgets.window_chunks;
+        assert!(within_windows, "too many windows");
         for (class, used) in budgets.classes.iter().zip(&by_class) {
             let max_memory = class.memory_share * budgets.memory_bytes as f64;
             let max_file = class.file_share * budgets.file_bytes as f64;
-            assert!(used.memory as f64 <= max_memory, "a class over its memory");
-            assert!(used.file as f64 <= max_file, "a class over its files");
+            assert!(used.memory as f64 <= max_memory, "a class exceeds its share of the memory");
+            assert!(used.file as f64 <= max_file, "a class exceeds its share of the files");
         }
         for (counters, used) in self.plan.counters().iter().zip(&by_class) {
-            let held = UsedBytes { memory: counters.current_bytes.memory, file: counters.current_bytes.file };
-            assert_eq!(held, *used, "what operators are told");
+            let counted =
+                UsedBytes { memory: counters.current_bytes.memory, file: counters.current_bytes.file };
+            assert_eq!(counted, *used, "the counters differ from the bodies");
         }
         for body in self.bodies.iter().filter_map(|id| self.plan.body(*id)) {
-            assert!(body.tier != Tier::PassThrough || body.readers <= 1, "a passed body has one reader");
+            assert!(
+                body.tier != Tier::PassThrough || body.readers <= 1,
+                "a body that is passed through has several readers"
+            );
         }
     }
 }
@@ -267,7 +274,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_invariants_hold_whatever_happens(steps in prop::collection::vec(step(), 1..200)) {
+    fn invariants_hold_in_random_histories(steps in prop::collection::vec(step(), 1..200)) {
         let mut history = History::new();
         for step in steps {
             history.now += 0.1;
@@ -277,8 +284,8 @@
         history.release_all();
         let plan = &history.plan;
         prop_assert_eq!((plan.used(), plan.windows()), (UsedBytes::default(), UsedWindows::default()));
-        let nothing = PerTier::default();
-        prop_assert!(plan.counters().iter().all(|c| c.current_bytes == nothing && c.current_bodies == nothing));
+        let zero = PerTier::default();
+        prop_assert!(plan.counters().iter().all(|c| c.current_bytes == zero && c.current_bodies == zero));
     }
 }
 
@@ -287,18 +294,18 @@
 }
 
 #[test]
-fn a_burst_of_one_class_leaves_the_others_their_room() {
+fn a_burst_of_one_class_leaves_capacity_for_others() {
     let mut plan = Plan::new(budgets());
-    // Loads may have half of the memory; what is more goes to files, then is passed on.
+    // Class 1 may use half of the memory; further bodies go to files, then they are passed through.
     let tiers: Vec<_> = (0..20).map(|_| tier(&mut plan, 1, 2 * MB)).collect();
     let count = |wanted| tiers.iter().filter(|t| **t == Ok(wanted)).count();
     assert_eq!((count(Tier::Memory), count(Tier::File) + count(Tier::PassThrough)), (2, 11));
-    assert_eq!(tiers.last(), Some(&Err(Rejection::NoCapacity)), "windows run out");
-    assert_eq!(tier(&mut plan, 0, 2 * MB), Ok(Tier::Memory), "a look-up still has its place");
+    assert_eq!(tiers.last(), Some(&Err(Rejection::NoCapacity)), "no windows left");
+    assert_eq!(tier(&mut plan, 0, 2 * MB), Ok(Tier::Memory), "another class still has memory");
 }
 
 #[test]
-fn one_body_does_not_take_all_of_the_memory() {
+fn one_body_may_not_use_all_of_the_memory() {
     let mut plan = Plan::new(budgets());
     assert_eq!(tier(&mut plan, 0, 3 * MB), Ok(Tier::File));
     assert_eq!(tier(&mut plan, 0, 2 * MB), Ok(Tier::Memory));
@@ -306,45 +313,47 @@
 }
 
 #[test]
-fn where_files_fail_a_body_is_passed_on_or_refused_by_its_class() {
+fn with_files_suspended_the_class_decides_between_pass_through_and_rejection() {
     let mut plan = Plan::new(budgets());
     plan.suspend_files(5.0);
     assert_eq!(tier(&mut plan, 1, 3 * MB), Ok(Tier::PassThrough));
-    assert_eq!(tier(&mut plan, 2, 3 * MB), Err(Rejection::NoCapacity), "this class is not passed on");
-    assert_eq!(plan.admit(5.0, 2, 3 * MB, 9.0).map(|b| b.tier), Ok(Tier::File), "tried again");
+    assert_eq!(tier(&mut plan, 2, 3 * MB), Err(Rejection::NoCapacity), "this class has no pass-through");
+    assert_eq!(plan.admit(5.0, 2, 3 * MB, 9.0).map(|b| b.tier), Ok(Tier::File), "files are used again");
 }
 
 #[test]
-fn what_can_never_be_repeated_is_demoted_first() {
+fn bodies_of_unrepeatable_requests_are_demoted_first() {
     let mut plan = Plan::new(budgets());
     let mut ids = Vec::new();
     for class in [0, 2, 1, 0] {
-        let Admission { id, tier } = plan.admit(0.0, class, 2 * MB, 9.0).expect("room");
+        let Admission { id, tier } = plan.admit(0.0, class, 2 * MB, 9.0).expect("admitted");
         assert_eq!(tier, Tier::Memory);
         plan.mark_complete(id);
         ids.push(id);
     }
-    // Worth by the byte, where a body that cannot follow one which may have run counts a tenth.
+    // Retention value per byte: the priority weight of class 2, which is not repeatable, counts for
+    // a tenth.
     assert_eq!(plan.start_demotion(1.0), Some(ids[1]));
-    assert_eq!(plan.start_demotion(1.0), None, "what is on its way counts as gone");
+    assert_eq!(plan.start_demotion(1.0), None, "memory of a body being demoted is not counted as used");
     plan.finish_demotion(ids[1], true);
     assert_eq!(plan.body(ids[1]).map(|b| b.tier), Some(Tier::File));
     assert_eq!(plan.counters()[2].demoted, 1);
 }
 
 #[test]
-fn of_two_alike_the_one_that_stays_longer_is_demoted() {
+fn the_body_with_the_latest_deadline_is_demoted_first() {
     let mut plan = Plan::new(budgets());
-    let taken = [3.0, 60.0, 3.0, 3.0].map(|deadline| plan.admit(0.0, 0, 2 * MB, deadline).expect("room").id);
-    taken.iter().for_each(|id| plan.mark_complete(*id));
-    assert_eq!(plan.start_demotion(1.0), Some(taken[1]));
+    let body_ids =
+        [3.0, 60.0, 3.0, 3.0].map(|deadline| plan.admit(0.0, 0, 2 * MB, deadline).expect("admitted").id);
+    body_ids.iter().for_each(|id| plan.mark_complete(*id));
+    assert_eq!(plan.start_demotion(1.0), Some(body_ids[1]));
 }
 
 #[test]
-fn of_two_alike_the_larger_one_is_demoted() {
+fn the_largest_body_is_demoted_first() {
     let mut plan = Plan::new(budgets());
     let lengths = [3 * MB / 2, 2 * MB, 2 * MB, 2 * MB];
-    let taken = lengths.map(|length| plan.admit(0.0, 0, length, 9.0).expect("room").id);
-    taken.iter().for_each(|id| plan.mark_complete(*id));
-    assert_eq!(plan.start_demotion(1.0), Some(taken[1]));
+    let body_ids = lengths.map(|length| plan.admit(0.0, 0, length, 9.0).expect("admitted").id);
+    body_ids.iter().for_each(|id| plan.mark_complete(*id));
+    assert_eq!(plan.start_demotion(1.0), Some(body_ids[1]));
 }
--- a/crates/body-store/tests/store/main.rs
+++ b/crates/body-store/tests/store/main.rs
@@ -1,5 +1,5 @@
-//! The store over disks that fail on purpose. No verdict depends on how long something takes: the test's own clock says when a
-//! write hangs, and the disk waits for the test.
+//! Tests of the store on disks with injected faults. No result depends on real time: write timeouts
+//! follow a simulated clock, and the disk is controlled by the test.
 
 mod demotion;
 mod faulty_disks;
--- a/crates/body-store/tests/store/random_histories.rs
+++ b/crates/body-store/tests/store/random_histories.rs
@@ -1,4 +1,4 @@
-//! Random histories against the plainest model, the bytes themselves.
+//! Random histories, checked against a model that is the plain content of the bodies.
 
 use crate::fixture::*;
 use dahliaspoke_body_store::plan::*;
@@ -12,48 +12,48 @@
 enum Step {
     Admit(usize, bool),
     Push(usize, usize),
-    Read(usize),
+    OpenReader(usize),
     ReadOutcome(usize, usize),
-    Stop(usize),
-    Drop(usize),
-    Full(bool),
-    Turn,
-    Later,
+    CloseReader(usize),
+    DropBody(usize),
+    SetDiskFull(bool),
+    RunIo,
+    AdvanceClock,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        3 => (1..900_000usize, any::<bool>()).prop_map(|(length, open)| Step::Admit(length, open)),
-        8 => (any::<usize>(), 1..300_000usize).prop_map(|(at, count)| Step::Push(at, count)),
-        3 => any::<usize>().prop_map(Step::Read),
-        8 => (any::<usize>(), 1..8usize).prop_map(|(at, count)| Step::ReadOutcome(at, count)),
-        1 => any::<usize>().prop_map(Step::Stop),
-        1 => any::<usize>().prop_map(Step::Drop),
-        1 => any::<bool>().prop_map(Step::Full),
-        6 => Just(Step::Turn),
-        1 => Just(Step::Later),
+        3 => (1..900_000usize, any::<bool>()).prop_map(|(length, unknown)| Step::Admit(length, unknown)),
+        8 => (any::<usize>(), 1..300_000usize).prop_map(|(index, count)| Step::Push(index, count)),
+        3 => any::<usize>().prop_map(Step::OpenReader),
+        8 => (any::<usize>(), 1..8usize).prop_map(|(index, count)| Step::ReadOutcome(index, count)),
+        1 => any::<usize>().prop_map(Step::CloseReader),
+        1 => any::<usize>().prop_map(Step::DropBody),
+        1 => any::<bool>().prop_map(Step::SetDiskFull),
+        6 => Just(Step::RunIo),
+        1 => Just(Step::AdvanceClock),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-/// Memory of the store (bytes).
+/// Memory budget of the store (bytes).
 const MEMORY_BYTES: u64 = 2 * MB;
 
-/// A body and what is sent of it.
+/// A body, its content, and how much of it was sent.
 struct SentBody {
     body: Body,
     content: Vec<u8>,
     sent: usize,
 }
 
-/// A reader and what it should get.
+/// A reader, the content that it should read, and how much of it was read.
 struct ActiveReader {
     reader: Reader,
     content: Vec<u8>,
     received: usize,
 }
 
-/// A store, and the bytes themselves as its model.
+/// A store, and the content of its bodies and readers as a model.
 struct History {
     fixture: Fixture,
     bodies: Vec<SentBody>,
@@ -65,21 +65,21 @@
         Self { fixture: fixture(MEMORY_BYTES), bodies: Vec::new(), readers: Vec::new() }
     }
 
-    /// A step for a body or a reader where there is none lets the disk work.
+    /// Applies a step. A step for a body or a reader runs the I/O threads instead if there is none.
     fn apply(&mut self, seed: u64, step: Step) -> TestCaseResult {
         match step {
             Step::Admit(length, length_unknown) => self.admit(seed, length, length_unknown),
             Step::Push(index, count) if !self.bodies.is_empty() => self.push(index, count),
-            Step::Read(index) if !self.bodies.is_empty() => self.read(index),
+            Step::OpenReader(index) if !self.bodies.is_empty() => self.read(index),
             Step::ReadOutcome(index, count) if !self.readers.is_empty() => self.pull(index, count)?,
-            Step::Stop(index) if !self.readers.is_empty() => {
+            Step::CloseReader(index) if !self.readers.is_empty() => {
                 drop(self.readers.swap_remove(index % self.readers.len()));
             }
-            Step::Drop(index) if !self.bodies.is_empty() => {
+            Step::DropBody(index) if !self.bodies.is_empty() => {
                 drop(self.bodies.swap_remove(index % self.bodies.len()));
             }
-            Step::Full(full) => self.fixture.disk.full.store(full, Ordering::SeqCst),
-            Step::Later => self.fixture.now += 0.6,
+            Step::SetDiskFull(full) => self.fixture.disk.full.store(full, Ordering::SeqCst),
+            Step::AdvanceClock => self.fixture.now += 0.6,
             _ => self.fixture.run_io(),
         }
         Ok(())
@@ -104,7 +104,7 @@
         store.append(now, body.id(), &content[*sent..*sent + count]);
         *sent += count;
         if *sent == content.len() {
-            store.finish(now, body.id()); // nothing where the length was known
+            store.finish(now, body.id()); // no effect if the length was known
         }
     }
 
@@ -131,20 +131,20 @@
         Ok(())
     }
 
-    /// What is in memory is within the memory and the windows.
+    /// Checks that the content in memory is within the memory budget and the windows.
     fn check_memory(&self) -> TestCaseResult {
         let store = &self.fixture.store;
         let windows = store.plan().windows();
         let window_bytes = ((windows.arrivals + windows.replays) * CHUNK_BYTES) as u64;
-        // What fell back is read from its file in the window that it came with.
-        let fallen =
+        // Chunks of a body that fell back are read back from its file without a replay window.
+        let fallback_bytes =
             store.counters()[0].current_bodies.pass_through * (REPLAY_WINDOW_CHUNKS * CHUNK_BYTES) as u64;
-        let bound = MEMORY_BYTES + window_bytes + fallen;
-        prop_assert!(store.resident_bytes() <= bound, "{} over {bound}", store.resident_bytes());
+        let bound = MEMORY_BYTES + window_bytes + fallback_bytes;
+        prop_assert!(store.resident_bytes() <= bound, "{} bytes exceed {bound}", store.resident_bytes());
         Ok(())
     }
 
-    /// Drops all bodies and readers: nothing is left of them.
+    /// Drops all bodies and readers, and checks that nothing is left of them.
     fn end(mut self) {
         drop((self.bodies, self.readers));
         self.fixture.store.on_timer(self.fixture.now);
@@ -155,9 +155,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, rng_seed: RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// Whatever a reader gets is the start of what was sent, to the byte, and nothing is left at the end.
+    /// Every reader receives an unaltered prefix of what was sent, and nothing is left at the end.
     #[test]
-    fn readers_get_what_was_sent_and_nothing_else(steps in steps()) {
+    fn readers_receive_a_prefix_of_what_was_sent(steps in steps()) {
         let mut history = History::new();
         for (seed, step) in steps.into_iter().enumerate() {
             history.apply(seed as u64, step)?;
--- a/crates/body-store/tests/store/unknown_length.rs
+++ b/crates/body-store/tests/store/unknown_length.rs
@@ -1,40 +1,41 @@
-//! Bodies whose length is not known when they begin.
+//! Bodies whose length is unknown when they are admitted.
 
 use crate::fixture::*;
 use dahliaspoke_body_store::plan::*;
 use dahliaspoke_body_store::store::*;
 
 #[test]
-fn a_body_of_unknown_length_takes_what_it_needs_and_gives_back_the_rest() {
+fn an_unknown_length_reservation_grows_and_its_excess_is_released() {
     let mut fixture = fixture(MB);
-    let text = random_bytes(40, 5 * MB as usize + 3);
-    let body = fixture.store.admit_unknown_length(0.0, 0, 9.0).expect("room");
-    let mut rest = &text[..];
+    let content = random_bytes(40, 5 * MB as usize + 3);
+    let body = fixture.store.admit_unknown_length(0.0, 0, 9.0).expect("admitted");
+    let mut rest = &content[..];
     while !rest.is_empty() {
-        let room = fixture.store.capacity(body.id()).min(rest.len());
-        fixture.store.append(0.0, body.id(), &rest[..room]);
-        rest = &rest[room..];
+        let available = fixture.store.capacity(body.id()).min(rest.len());
+        fixture.store.append(0.0, body.id(), &rest[..available]);
+        rest = &rest[available..];
         fixture.run_io();
     }
-    assert!(fixture.store.open_reader(0.0, &body).is_none(), "it may go on");
+    assert!(fixture.store.open_reader(0.0, &body).is_none(), "a body whose length is unknown was readable");
     assert_eq!(fixture.store.plan().used(), UsedBytes { memory: 0, file: 8 * MB });
     fixture.store.finish(0.0, body.id());
-    assert_eq!(fixture.store.plan().used(), UsedBytes { memory: 0, file: text.len() as u64 });
-    while !std::iter::from_fn(|| fixture.store.next_event()).any(|wake| wake == BodyEvent::Stored(body.id()))
+    assert_eq!(fixture.store.plan().used(), UsedBytes { memory: 0, file: content.len() as u64 });
+    while !std::iter::from_fn(|| fixture.store.next_event())
+        .any(|event| event == BodyEvent::Stored(body.id()))
     {
         fixture.run_io();
     }
-    assert!(fixture.read(&body) == Ok(text));
+    assert!(fixture.read(&body) == Ok(content));
     drop(body);
-    // One that outgrows its class is lost, before anything ran.
-    let (body, mut wakes) = (fixture.store.admit_unknown_length(0.0, 0, 9.0).expect("room"), Vec::new());
-    while wakes.is_empty() {
-        let room = fixture.store.capacity(body.id());
-        fixture.store.append(0.0, body.id(), &vec![0; room]);
+    // A body that outgrows its class is lost before it can be read.
+    let (body, mut events) = (fixture.store.admit_unknown_length(0.0, 0, 9.0).expect("admitted"), Vec::new());
+    while events.is_empty() {
+        let available = fixture.store.capacity(body.id());
+        fixture.store.append(0.0, body.id(), &vec![0; available]);
         fixture.run_io();
-        wakes.extend(
+        events.extend(
             std::iter::from_fn(|| fixture.store.next_event())
-                .filter(|wake| *wake == BodyEvent::Lost(body.id())),
+                .filter(|event| *event == BodyEvent::Lost(body.id())),
         );
     }
     assert_eq!(fixture.store.counters()[0].rejected + fixture.store.counters()[0].too_large, 1);
