--- a/crates/body-store/src/store/file_tier.rs
+++ b/crates/body-store/src/store/file_tier.rs
@@ -89,15 +89,15 @@
         }
     }
 
-    /// When the oldest pending write times out, ignoring bodies whose file was given up already.
+    /// When the oldest pending write times out, ignoring bodies that are marked unwritable already.
     pub(super) fn next_write_timeout(&self) -> Option<f64> {
         let is_watched = |body| self.contents.get(&body).is_some_and(|content| !content.unwritable);
         let oldest = self.io.as_ref()?.pending_writes().find(|write| is_watched(write.body))?;
         Some(oldest.submitted_at + self.timing.write_timeout)
     }
 
-    /// Gives up all bodies with pending writes if one of these writes hangs: whether a hanging
-    /// write will reach the file is unknown.
+    /// Gives up all pending writes if one of them hangs: whether a hanging write will ever reach
+    /// the file is unknown.
     pub(super) fn give_up_hanging_writes(&mut self, now: f64) {
         while self.next_write_timeout().is_some_and(|timeout| timeout <= now) {
             self.plan.suspend_files(now + self.timing.file_retry_delay);
