--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -50,7 +50,7 @@
             utf8: Utf8Checker::default(),
             deadline,
             completed_at: None,
-            passed_through: tier == Tier::Passed,
+            passed_through: tier == Tier::PassThrough,
             store_full: false,
             request: None,
         }
