--- a/crates/simulator/benches/queue.rs
+++ b/crates/simulator/benches/queue.rs
@@ -1,4 +1,5 @@
-//! The wheel against the heap: so many events are set, and each that comes sets one more, at times as in a run.
+//! Compares the wheel with the heap under the hold model: the queue holds a fixed number of events, and each
+//! event popped schedules another one, after delays as in a run.
 //!
 //!     cargo bench -p dahliaspoke-simulator --bench queue
 
@@ -9,8 +10,9 @@
 
 const STEPS: u64 = 4_000_000;
 
-/// Most events lie within milliseconds, some within seconds, few beyond: network, work, deadlines.
-fn after(rng: &mut Pcg64Mcg) -> u64 {
+/// Delay of an event (us): half are up to 2 ms (network), four in ten up to 0.26 s (work), one in ten up to
+/// 17 s (deadlines).
+fn draw_delay(rng: &mut Pcg64Mcg) -> u64 {
     let draw = rng.next_u64();
     match draw % 10 {
         0..5 => draw >> 40 & 0x7ff,
@@ -22,13 +24,13 @@
 macro_rules! hold {
     ($queue:expr, $size:expr) => {{
         let (mut queue, mut rng) = ($queue, Pcg64Mcg::seed_from_u64(1));
-        (0..$size).for_each(|n| queue.push(after(&mut rng), n));
-        let began = Instant::now();
+        (0..$size).for_each(|n| queue.push(draw_delay(&mut rng), n));
+        let started = Instant::now();
         for n in 0..STEPS {
-            let (at, _) = queue.pop().expect("held");
-            queue.push(at + after(&mut rng), n);
+            let (at, _) = queue.pop().expect("the queue is not empty");
+            queue.push(at + draw_delay(&mut rng), n);
         }
-        began.elapsed().as_nanos() as f64 / STEPS as f64
+        started.elapsed().as_nanos() as f64 / STEPS as f64
     }};
 }
 
--- a/crates/simulator/src/account/log.rs
+++ b/crates/simulator/src/account/log.rs
@@ -1,4 +1,5 @@
-//! Reads the trace lines of the daemon: `time step ...`, with the times of whoever kept the log in front or not.
+//! Parses the trace lines of the daemon: `time step ...`, with or without a log collector's timestamp in
+//! front.
 //!
 //! | line | fields |
 //! | --- | --- |
@@ -12,7 +13,7 @@
 use super::{Account, SecondAccount};
 use std::collections::HashMap;
 
-/// Steps that are read; other lines belong to something else.
+/// Steps that are parsed; lines without one of these words are ignored.
 const STEPS: [&str; 6] = ["taken", "sent", "ended", "answered", "pool", "noted"];
 
 /// A trace line without its time.
@@ -26,7 +27,7 @@
 }
 
 impl<'a> Step<'a> {
-    /// `None` where the line is malformed.
+    /// `None` if the line is malformed.
     fn parse(words: &'a [&'a str]) -> Option<Self> {
         Some(match words {
             ["taken", request, class, estimate, _] => {
@@ -50,7 +51,7 @@
     class: usize,
     /// Estimated work (ms).
     estimate: f64,
-    /// The engines of its attempts.
+    /// The engine of each attempt, in order.
     engines: Vec<String>,
 }
 
@@ -62,7 +63,7 @@
 }
 
 impl Account {
-    /// Adds the log of one more coordinator.
+    /// Adds the log of another coordinator.
     pub fn read(&mut self, log: &str) {
         let coordinator = self.coordinators;
         self.coordinators += 1;
@@ -76,7 +77,7 @@
 impl LogReader<'_> {
     fn read_line(&mut self, line: &str) {
         let mut words: Vec<&str> = line.split_whitespace().collect();
-        // Whoever kept the log may have put a time of its own in front.
+        // A log collector may have put its own timestamp in front.
         if words.get(1).is_some_and(|word| word.parse::<f64>().is_ok()) {
             words.remove(0);
         }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// `None` where the step does not fit those before it.
+    /// `None` if the step does not match the earlier ones.
     fn add(&mut self, second: i64, step: Step) -> Option<()> {
         match step {
             Step::Accepted { request, class, estimate } => {
@@ -158,7 +159,7 @@
     }
 
     fn add_ended(&mut self, request: &str, attempt: Option<usize>, outcome: &str) -> Option<()> {
-        // A request may be over before its last attempt is.
+        // A request may end before its last attempt does.
         let Some(request) = self.open.get(request) else { return Some(()) };
         let engine = request.engines.get(attempt?)?;
         if matches!(outcome, "Error" | "Reset" | "Timeout") {
--- a/crates/simulator/src/account/mod.rs
+++ b/crates/simulator/src/account/mod.rs
@@ -1,8 +1,9 @@
-//! An account of a run from the coordinators' own logs (`deploy/trace.toml`): what the choices of many add up to. Work by
-//! engine beside the mean, coordinators by engine, rejections by cause and second, errors by engine and coordinator.
+//! An account of a run from the coordinators' own logs (`deploy/trace.toml`), aggregated over all
+//! coordinators: work per engine relative to the mean, coordinators per engine, rejections by cause and
+//! second, errors by engine and coordinator.
 //!
-//! Logs say what was sent, not what an engine could do; work is the declared estimate (ms of one thread), counted in the
-//! second in which it was sent.
+//! Logs show what was sent, not what an engine could do; work is the declared estimate (ms of one thread),
+//! counted in the second in which it was sent.
 
 mod log;
 mod table;
@@ -14,13 +15,13 @@
 /// One engine, over all coordinators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineAccount {
-    /// Work sent there (ms).
+    /// Work sent to it (ms).
     pub work: f64,
-    /// Attempts sent there.
+    /// Attempts sent to it.
     pub attempts: u64,
-    /// Coordinators that sent something.
+    /// Coordinators that sent work to it.
     pub coordinators: BTreeSet<usize>,
-    /// Attempts that ended there in an error, a reset or a timeout, by coordinator.
+    /// Its attempts that ended in an error, a reset or a timeout, by coordinator.
     pub errors: BTreeMap<usize, u64>,
 }
 
@@ -44,7 +45,7 @@
 pub struct Average {
     /// Sum of the values.
     pub sum: f64,
-    /// How many there are.
+    /// Number of values.
     pub count: u64,
 }
 
@@ -54,7 +55,7 @@
         self.count += 1;
     }
 
-    /// The mean; 0 where nothing was reported.
+    /// The mean; 0 if nothing was reported.
     #[must_use]
     pub fn mean(self) -> f64 {
         if self.count > 0 {
@@ -65,10 +66,10 @@
     }
 }
 
-/// How often progress reports told of a problem.
+/// Number of progress reports about each problem.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProblemCounts {
-    /// A query spilt.
+    /// A query spilled.
     pub spills: u64,
     /// A query waited for memory.
     pub memory_waits: u64,
@@ -76,7 +77,7 @@
     pub load_waits: u64,
 }
 
-/// What coordinators reported of their engines as a whole.
+/// What coordinators reported about all of their engines together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolAccount {
     /// Bounds of the work in flight over all engines (ms).
@@ -98,18 +99,18 @@
     pub abandoned: u64,
     /// Problems in progress reports.
     pub problems: ProblemCounts,
-    /// What coordinators reported of their engines as a whole.
+    /// What coordinators reported about all of their engines together.
     pub pool: PoolAccount,
 }
 
-/// What logs add up to. It prints as tables.
+/// The aggregated logs. [`Display`](std::fmt::Display) prints them as tables.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// By id.
+    /// Engines by id.
     pub engines: BTreeMap<String, EngineAccount>,
-    /// By position in the settings.
+    /// Classes by position in the settings.
     pub classes: BTreeMap<usize, ClassAccount>,
-    /// Lines that begin like a step of a request and are malformed.
+    /// Number of malformed lines among those with the word of a step.
     pub malformed_lines: u64,
     /// Work sent, by second and engine (ms).
     work: BTreeMap<i64, BTreeMap<String, f64>>,
@@ -118,14 +119,14 @@
 }
 
 impl Account {
-    /// By second of the coordinators' clock.
+    /// The seconds of the run, by the coordinators' clock.
     #[must_use]
     pub fn seconds(&self) -> &BTreeMap<i64, SecondAccount> {
         &self.seconds
     }
 
-    /// The most work that one engine was sent in a second, over the mean of all engines that were sent anything in the
-    /// run: quantiles 0.5, 0.95 and 1 over the seconds in which something was sent.
+    /// The most work sent to one engine in a second, relative to the mean over all engines that were sent
+    /// work in the run: quantiles 0.5, 0.95 and 1 over the seconds in which work was sent.
     pub fn peaks(&self) -> [f64; 3] {
         let engines = self.engines.len().max(1) as f64;
         let peak = |work: &BTreeMap<String, f64>| {
@@ -139,10 +140,10 @@
         [0.5, 0.95, 1.0].map(|quantile| peaks.get((last * quantile) as usize).copied().unwrap_or(0.0))
     }
 
-    /// Reads the logs in a folder, one for each coordinator.
+    /// Reads the logs in a folder, one per coordinator.
     ///
     /// # Errors
-    /// Where the folder or a file cannot be read.
+    /// Returns an error if the folder or a file cannot be read.
     pub fn of_folder(folder: &Path) -> Result<Self, FileError> {
         let entries = std::fs::read_dir(folder).map_err(FileError::at(folder))?;
         let mut paths: Vec<_> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
--- a/crates/simulator/src/account/table.rs
+++ b/crates/simulator/src/account/table.rs
@@ -1,4 +1,4 @@
-//! An account as tables.
+//! Prints an account as tables.
 
 use super::{Account, Average, SecondAccount};
 use std::fmt;
@@ -15,7 +15,7 @@
         self.write_classes(f)?;
         self.write_seconds(f)?;
         if self.malformed_lines > 0 {
-            writeln!(f, "{} lines were odd", self.malformed_lines)?;
+            writeln!(f, "{} malformed lines", self.malformed_lines)?;
         }
         Ok(())
     }
--- a/crates/simulator/src/arguments.rs
+++ b/crates/simulator/src/arguments.rs
@@ -10,13 +10,13 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Tries designs on a model of the fleet, in virtual time.
+/// Evaluates designs on a model of the fleet, in virtual time.
 ///
-/// Exit codes: 0 done, 1 the module broke a rule, 2 a bad file or word, 3 the figures are void.
+/// Exit codes: 0 success, 1 the module broke a rule, 2 an invalid file or argument, 3 the figures are void.
 #[derive(Parser)]
 #[command(name = "dahliaspoke-simulator", version)]
 pub struct Arguments {
-    /// What is done.
+    /// The command to execute.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -24,60 +24,60 @@
 /// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Prints what many coordinators' choices add up to, from their logs with `deploy/trace.toml`.
+    /// Aggregates the logs that coordinators write with `deploy/trace.toml`, and prints tables.
     ///
     /// Example: dahliaspoke-simulator account logs
     #[command(verbatim_doc_comment)]
     Account {
-        /// The folder of the logs, a file a coordinator.
+        /// The folder of the logs, one file per coordinator.
         logs: PathBuf,
     },
-    /// Weighs ways to say which engines each gateway keeps to: how evenly, how many pairs move, what it costs.
+    /// Compares algorithms that choose each coordinator's engines: evenness, pairs that move, time.
     ///
     /// Example: dahliaspoke-simulator subsets --gateways 100 --gateways 300 --engines 36
     #[command(verbatim_doc_comment)]
     Subsets {
-        /// Gateways; may be given several times.
+        /// Number of coordinators; may be given several times.
         #[arg(long, default_value = "300")]
         gateways: Vec<usize>,
-        /// Engines; may be given several times.
+        /// Number of engines; may be given several times.
         #[arg(long, default_value = "36")]
         engines: Vec<usize>,
-        /// Engines that a gateway keeps to.
+        /// Number of engines in each coordinator's subset.
         #[arg(long, default_value = "10")]
         keep: usize,
-        /// The draw.
+        /// Seed of the random numbers.
         #[arg(long, default_value = "1")]
         seed: u64,
     },
-    /// Plays a scenario and prints what it came to.
+    /// Runs a scenario and prints the results.
     ///
     /// Example: dahliaspoke-simulator run crates/simulator/scenarios/release.toml --policy module --seed 1 --seed 2
     #[command(verbatim_doc_comment)]
     Run {
-        /// The scenario (TOML); without one, a quiet day.
+        /// The scenario (TOML); without one, the default scenario, which has no faults.
         scenario: Option<PathBuf>,
-        /// Who decides; may be given several times.
+        /// The policy; may be given several times.
         #[arg(long, value_enum, default_value = "module")]
         policy: Vec<PolicyKind>,
-        /// The draw; may be given several times.
+        /// Seed of the run; may be given several times.
         #[arg(long, default_value = "1")]
         seed: Vec<u64>,
-        /// A line of JSON for each run, in place of the table.
+        /// Print one line of JSON per run instead of the table.
         #[arg(long)]
         json: bool,
     },
-    /// Plays an experiment, or what is missing of it, and writes rows, a plot and the verdicts.
+    /// Executes the missing runs of an experiment and writes rows, a plot and the verdicts.
     ///
     /// Example: dahliaspoke-simulator experiment docs/experiments/load/experiment.toml
     #[command(verbatim_doc_comment)]
     Experiment {
         /// The experiment (TOML).
         file: PathBuf,
-        /// Where the results go; without it, beside the file.
+        /// Folder for the results; by default that of the file.
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Runs at a time; without it, one for each core.
+        /// Number of parallel runs; by default one per core.
         #[arg(long)]
         jobs: Option<usize>,
     },
@@ -87,17 +87,17 @@
     /// Example: dahliaspoke-simulator try --seconds 20
     #[command(verbatim_doc_comment)]
     Try {
-        /// How long (s).
+        /// Duration (s).
         #[arg(long, default_value = "20")]
         seconds: f64,
-        /// Share of what all engines do.
+        /// Load, as a share of the capacity of all engines.
         #[arg(long, default_value = "0.7")]
         load: f64,
-        /// The draw.
+        /// Seed of the random numbers.
         #[arg(long, default_value = "1")]
         seed: u64,
     },
-    /// Sends an open stream of requests to coordinators on loopback.
+    /// Sends an open-loop stream of requests to coordinators on loopback.
     ///
     /// Example: dahliaspoke-simulator load --to 127.0.0.1:5050 --rate 200 --shape spike --class lookup:12:3000:100
     #[command(verbatim_doc_comment)]
@@ -107,34 +107,34 @@
 /// The arguments of `load`.
 #[derive(Args)]
 pub struct LoadArguments {
-    /// Where clients connect; several are used in turn.
+    /// Address of a coordinator's HTTP listener; several are used in turn.
     #[arg(long, required = true)]
     pub to: Vec<SocketAddr>,
-    /// Requests a second, in the mean.
+    /// Mean request rate (1/s).
     #[arg(long, default_value = "100")]
     pub rate: f64,
-    /// How long (s).
+    /// Duration (s).
     #[arg(long, default_value = "20")]
     pub seconds: f64,
-    /// How the rate moves.
+    /// How the rate changes over the run.
     #[arg(long, value_enum, default_value = "steady")]
     pub shape: Shape,
-    /// How far apart requests come.
+    /// Distribution of the intervals between requests.
     #[arg(long = "gaps", value_name = "GAPS", value_enum, default_value = "poisson")]
     pub intervals: Intervals,
-    /// `NAME:SHARE:ALLOW_MS:SIZE_MS`, with :keyed behind it where a key goes along.
+    /// `NAME:SHARE:ALLOW_MS:SIZE_MS`, followed by :keyed if requests have an idempotency key.
     #[arg(long, default_value = "lookup:1:3000:100", value_parser = parse_class)]
     pub class: Vec<TrafficClass>,
-    /// What clients do when they are turned away.
+    /// What clients do after a rejection.
     #[arg(long = "manner", value_name = "MANNER", value_enum, default_value = "as-told")]
     pub behaviour: RetryBehaviour,
-    /// Connections at the most; a run that needs more is void.
+    /// Maximum number of connections; a run that needs more is void.
     #[arg(long, default_value = "500")]
     pub connections: usize,
-    /// Ask again only after an answer, as tools that hide stalls do: to compare.
+    /// Send again only after an answer, as tools that hide stalls do; for comparison.
     #[arg(long)]
     pub closed: bool,
-    /// The draw.
+    /// Seed of the random numbers.
     #[arg(long, default_value = "1")]
     pub seed: u64,
 }
@@ -142,8 +142,8 @@
 /// Why a class on the command line was not accepted.
 #[derive(Debug, Error)]
 pub enum ClassArgumentError {
-    /// It does not have four parts, and `keyed` or not.
-    #[error("it is NAME:SHARE:ALLOW_MS:SIZE_MS, and :keyed or not")]
+    /// It does not have four parts, optionally followed by `keyed`.
+    #[error("expected NAME:SHARE:ALLOW_MS:SIZE_MS, optionally followed by :keyed")]
     Parts,
     /// A part is not a number.
     #[error("{text}: {source}")]
@@ -155,7 +155,7 @@
     },
 }
 
-/// Parses `NAME:SHARE:ALLOW_MS:SIZE_MS`, and `:keyed`.
+/// Parses `NAME:SHARE:ALLOW_MS:SIZE_MS`, optionally followed by `:keyed`.
 fn parse_class(text: &str) -> Result<TrafficClass, ClassArgumentError> {
     let parts: Vec<&str> = text.split(':').collect();
     let (numbers, has_key) = match parts[..] {
--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests are due: the points of an open stream, fixed before any answer is seen.
+//! Arrival times of an open-loop stream of requests, which do not depend on answers.
 
 use crate::{micros, Micros};
 use rand::Rng;
@@ -7,43 +7,43 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// Steps in which the rate is integrated (s).
+/// Integration step of the rate (s).
 const STEP_S: f64 = 0.001;
 /// Variance of bursty intervals, in units of the squared mean: a coefficient of variation of 3.
 const BURSTY_VARIANCE: f64 = 9.0;
 /// The shortest interval, in units of the mean.
 const MIN_INTERVAL: f64 = 1e-9;
 
-/// How the rate moves over the run.
+/// How the rate changes over the run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// It stays.
+    /// Constant.
     Steady,
-    /// From nothing to twice the mean.
+    /// From 0 to twice the mean.
     Ramp,
-    /// Three times the mean for a tenth of the run, from its middle on.
+    /// Three times the mean for a tenth of the run, starting in its middle.
     Spike,
     /// Four equal steps up.
     Steps,
-    /// On and off, a second each, at twice the mean.
+    /// Alternating seconds of twice the mean and of nothing.
     OnOff,
 }
 
-/// How far apart requests come.
+/// Distribution of the intervals between requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Intervals {
-    /// Equally far.
+    /// All equal.
     Even,
-    /// Independent of each other (Poisson).
+    /// Exponential, as in a Poisson process.
     Poisson,
-    /// In clumps, with long gaps: gamma with a coefficient of variation of 3.
+    /// Bursts with long gaps between them: gamma with a coefficient of variation of 3.
     Heavy,
 }
 
 impl Shape {
-    /// The rate over its mean, at a share (0 to 1) of a run of that length (s).
+    /// The rate relative to its mean, at a share (0 to 1) of a run of length `seconds`.
     #[must_use]
     pub fn at(self, share: f64, seconds: f64) -> f64 {
         match self {
@@ -57,9 +57,9 @@
     }
 }
 
-/// The points of a run, in order (us). `rate` is the mean (1/s), `seconds` the length of the run. Intervals are drawn
-/// in units of the mean and stretched by the rate of the moment, so that the mean count is the rate times the length,
-/// whatever the shape.
+/// The arrival times of a run, in order (us). `rate` is the mean (1/s), `seconds` the length of the run.
+/// Intervals are drawn in units of the mean and scaled by the current rate, so that the expected count is the
+/// rate times the length for every shape.
 #[must_use]
 pub fn schedule(rate: f64, seconds: f64, shape: Shape, intervals: Intervals, seed: u64) -> Vec<Micros> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -1,31 +1,32 @@
-//! The rules of the platform, checked from outside: the auditor sees what happens and takes no policy's word for it.
+//! Checks the platform's rules independently of the policy: the auditor observes events and relies on nothing
+//! that a policy reports.
 //!
-//! | rule | what breaks it |
+//! | rule | violated by |
 //! | --- | --- |
-//! | answers | a request without a final answer in its time, or with two; an attempt after the answer |
-//! | repeats | an attempt that its class does not allow after one that may have run; a rejection of what may have run |
-//! | drains | an attempt on an engine that the coordinator was notified to drain, later than the grace time |
-//! | cold | a warming engine that stops, where two thirds of the work came from coordinators that knew of its start |
-//! | attempts | more than a request may have; two at once where that is not allowed |
+//! | answers | a request without a final answer by its deadline, or with two; an attempt after the answer |
+//! | repeats | an attempt that its class does not allow after one that may have run; a rejection of a request that may have run |
+//! | drains | an attempt on an engine later than the grace time after the coordinator was notified that it drains |
+//! | cold | a warming engine that stops, if two thirds of the work came from coordinators that knew of its start |
+//! | attempts | more attempts than a request may have; two in flight where hedging is not allowed |
 
 use crate::{micros, seconds, Micros};
 use dahliaspoke::policy::{ClassSettings, DedupScope, Idempotency, Lifecycle, Outcome, Settings};
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// How late an answer may be.
+/// How long after the deadline an answer is still accepted (s).
 const ANSWER_SLACK_S: f64 = 0.02;
-/// Violations that are kept.
+/// Maximum number of violations that are kept.
 const MAX_KEPT_VIOLATIONS: usize = 100;
-/// How long work sent to a warming engine is remembered (us).
-const SENT_WORK_MEMORY: Micros = 10_000_000;
+/// How long records of work sent to a warming engine are kept (us).
+const SENT_WORK_RETENTION: Micros = 10_000_000;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// The rule.
     pub rule: &'static str,
-    /// When (us).
+    /// When it happened (us).
     pub at: Micros,
     /// What happened.
     #[serde(rename = "what")]
@@ -43,7 +44,7 @@
 
 struct Attempt {
     sent: Micros,
-    /// How it ended, once it has.
+    /// Its outcome, once it has ended.
     outcome: Option<Outcome>,
 }
 
@@ -58,7 +59,7 @@
     deadline: Micros,
     attempts: Vec<Attempt>,
     over: bool,
-    /// Nothing is owed any more: the client has gone or the coordinator has crashed.
+    /// Whether no answer is required any more: the client has disconnected or the coordinator has crashed.
     released: bool,
 }
 
@@ -74,12 +75,12 @@
 /// Work of queries that reached engines.
 #[derive(Default)]
 struct ArrivedWork {
-    /// Work in all (ms of one thread).
+    /// Total work (ms of one thread).
     total: f64,
     queries: f64,
 }
 
-/// What all coordinators that knew of an engine's start sent to it in one window while it warmed up, in queries of mean
+/// Load in one window on a warming engine from all coordinators that knew of its start, in queries of mean
 /// work.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct WarmupLoad {
@@ -91,7 +92,8 @@
 }
 
 impl WarmupLoad {
-    /// Queries over the budget that are not chance: beyond two standard deviations of it, and two.
+    /// Queries over the budget beyond random variation, for which it allows two standard deviations of the
+    /// budget plus 2.
     #[must_use]
     pub fn excess(self) -> f64 {
         self.queries - self.budget - 2.0 * self.budget.sqrt() - 2.0
@@ -102,26 +104,26 @@
 pub struct Auditor {
     settings: Settings,
     answer_slack: Micros,
-    /// How long attempts may follow a notification to drain.
+    /// How long attempts are still allowed after a drain notification.
     grace: Micros,
     requests: HashMap<u64, Request>,
-    /// When a coordinator was first notified that an engine is not ready any more.
+    /// When a coordinator was first notified that an engine is no longer ready.
     not_ready_since: HashMap<Pair, Micros>,
-    /// The start of an engine of which a coordinator was notified.
+    /// The engine start that a coordinator was last notified of.
     known_starts: HashMap<Pair, Micros>,
-    /// Work sent lately to warming engines.
+    /// Recent work sent to warming engines, by engine.
     sent: HashMap<usize, Vec<SentWork>>,
     arrived: ArrivedWork,
-    /// The warming engine that was sent most, beside what settings allow.
+    /// The load on a warming engine with the largest excess over its budget.
     pub warmup_load: Option<WarmupLoad>,
     /// The first hundred violations.
     pub violations: Vec<Violation>,
-    /// How often rules were broken.
+    /// Number of all violations.
     pub violation_count: u64,
 }
 
 impl Auditor {
-    /// An auditor of a run. Attempts may follow a notification to drain for `grace` (s).
+    /// Creates the auditor of a run. Attempts are allowed for `grace` (s) after a drain notification.
     #[must_use]
     pub fn new(settings: Settings, grace: f64) -> Self {
         Self {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// A coordinator restarts and remembers nothing.
+    /// A coordinator has restarted and lost its state.
     pub fn coordinator_restarted(&mut self, coordinator: usize) {
         self.not_ready_since.retain(|pair, _| pair.coordinator != coordinator);
         self.known_starts.retain(|pair, _| pair.coordinator != coordinator);
@@ -180,23 +182,27 @@
     pub fn attempt_sent(&mut self, now: Micros, pair: Pair, request: u64) {
         self.check_drain(now, pair);
         let Some(state) = self.requests.get_mut(&request) else {
-            let description = format!("a send for {request}, which was never taken");
+            let description = format!("an attempt for {request}, which was never accepted");
             return self.violation("answers", now, description);
         };
         let class = &self.settings.classes[state.class];
         let may_repeat = may_repeat(class, &state.attempts, now);
         let over = state.over;
-        let out = state.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
+        let in_flight = state.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
         state.attempts.push(Attempt { sent: now, outcome: None });
         let count = state.attempts.len();
         if over {
-            self.violation("answers", now, format!("a send for {request}, which is over"));
+            self.violation("answers", now, format!("an attempt for {request}, which has ended"));
         }
         if !may_repeat {
-            self.violation("repeats", now, format!("{request} is sent again and may have run"));
+            self.violation("repeats", now, format!("{request} is sent again although it may have run"));
         }
-        if count > self.settings.max_attempts as usize || out > 0 && !self.settings.may_hedge {
-            self.violation("attempts", now, format!("{request} has attempt {count} with {out} out"));
+        if count > self.settings.max_attempts as usize || in_flight > 0 && !self.settings.may_hedge {
+            self.violation(
+                "attempts",
+                now,
+                format!("{request} has attempt {count} with {in_flight} in flight"),
+            );
         }
     }
 
@@ -205,19 +211,19 @@
         if now > since + self.grace {
             let Pair { coordinator, engine } = pair;
             let late = now - since;
-            let description = format!("c{coordinator} sends to e{engine} {late} us after it was told");
+            let description = format!("c{coordinator} sends to e{engine} {late} us after it was notified");
             self.violation("drains", now, description);
         }
     }
 
-    /// Work (ms) reached an engine; `warming_since` is its start if it still warms up.
+    /// Work (ms) reached an engine; `warming_since` is the engine's start while it warms up.
     pub fn work_arrived(&mut self, now: Micros, pair: Pair, work: f64, warming_since: Option<Micros>) {
         self.arrived.total += work;
         self.arrived.queries += 1.0;
         let Some(started) = warming_since else { return };
         let knew_of_start = self.known_starts.get(&pair) == Some(&started);
         let sent = self.sent.entry(pair.engine).or_default();
-        sent.retain(|sent| sent.at + SENT_WORK_MEMORY > now);
+        sent.retain(|sent| sent.at + SENT_WORK_RETENTION > now);
         sent.push(SentWork { at: now, work, knew_of_start });
         let load = self.warmup_load_now(now, pair.engine, started);
         if self.warmup_load.is_none_or(|highest| load.excess() > highest.excess()) {
@@ -239,20 +245,23 @@
         }
     }
 
-    /// Work sent to a warming engine in a window that ends now (ms); of those that knew of its start alone, or of all.
+    /// Work sent to a warming engine in a window that ends now (ms): from all coordinators, or with
+    /// `only_known` from those that knew of its start.
     fn work_since(&self, engine: usize, now: Micros, window: f64, only_known: bool) -> f64 {
         let from = now.saturating_sub(micros(window));
         let sent = self.sent.get(&engine).map_or(&[][..], Vec::as_slice);
-        let counts = |sent: &&SentWork| sent.at >= from && (sent.knew_of_start || !only_known);
-        sent.iter().filter(counts).map(|sent| sent.work).sum()
+        let is_included = |sent: &&SentWork| sent.at >= from && (sent.knew_of_start || !only_known);
+        sent.iter().filter(is_included).map(|sent| sent.work).sum()
     }
 
-    /// A warming engine has stopped under what it was sent in the window before (s).
+    /// A warming engine has stopped under the load of the preceding `window` (s).
     pub fn engine_overloaded(&mut self, now: Micros, engine: usize, window: f64) {
         let all = self.work_since(engine, now, window, false);
         let known = self.work_since(engine, now, window, true);
         if known * 3.0 >= all * 2.0 && all > 0.0 {
-            let description = format!("e{engine} fell over under {all:.0} ms, {known:.0} of it knowingly");
+            let description = format!(
+                "e{engine} stopped under {all:.0} ms of work, {known:.0} ms of it sent knowing of its start"
+            );
             self.violation("cold", now, description);
         }
     }
@@ -261,43 +270,43 @@
     pub fn attempt_ended(&mut self, now: Micros, request: u64, number: u32, outcome: Outcome) {
         let state = self.requests.get_mut(&request);
         let Some(attempt) = state.and_then(|state| state.attempts.get_mut(number as usize)) else {
-            let description = format!("an end of {request}/{number}, which was never sent");
+            let description = format!("an outcome of {request}/{number}, which was never sent");
             return self.violation("answers", now, description);
         };
         if attempt.outcome.replace(outcome).is_some() {
-            self.violation("answers", now, format!("a second end of {request}/{number}"));
+            self.violation("answers", now, format!("a second outcome of {request}/{number}"));
         }
     }
 
-    /// A request had its final answer.
+    /// A request got its final answer.
     pub fn request_answered(&mut self, now: Micros, request: u64, rejected: bool) {
         let Some(state) = self.requests.get_mut(&request) else {
-            let description = format!("an answer to {request}, which was never taken");
+            let description = format!("an answer to {request}, which was never accepted");
             return self.violation("answers", now, description);
         };
         let may_have_run = state.attempts.iter().any(Attempt::may_have_run);
         let may_reject = may_reject(&self.settings.classes[state.class], may_have_run);
-        let twice = std::mem::replace(&mut state.over, true);
+        let already_answered = std::mem::replace(&mut state.over, true);
         let late = now > state.deadline + self.answer_slack && !state.released;
-        if twice {
+        if already_answered {
             self.violation("answers", now, format!("a second answer to {request}"));
         }
         if late {
-            self.violation("answers", now, format!("{request} is answered after its time"));
+            self.violation("answers", now, format!("{request} is answered after its deadline"));
         }
         if rejected && !may_reject {
-            self.violation("repeats", now, format!("{request} is refused and may have run"));
+            self.violation("repeats", now, format!("{request} is rejected although it may have run"));
         }
     }
 
-    /// The client has gone or its coordinator has crashed: nothing is owed.
+    /// The client has disconnected or its coordinator has crashed: no answer is required.
     pub fn request_released(&mut self, request: u64) {
         if let Some(state) = self.requests.get_mut(&request) {
             (state.over, state.released) = (true, true);
         }
     }
 
-    /// The run is over: requests whose time has passed must have had their answer.
+    /// Ends the run: requests past their deadline must have been answered.
     pub fn close(&mut self, now: Micros) {
         let slack = self.answer_slack;
         let is_unanswered = |state: &Request| !state.over && now > state.deadline + slack;
@@ -305,7 +314,7 @@
         let mut unanswered: Vec<u64> = unanswered.map(|(id, _)| *id).collect();
         unanswered.sort_unstable();
         for id in unanswered {
-            self.violation("answers", now, format!("{id} never had an answer"));
+            self.violation("answers", now, format!("{id} was never answered"));
         }
     }
 }
@@ -316,7 +325,7 @@
     match class.idempotency {
         Idempotency::Always => true,
         Idempotency::Never => may_have_run.next().is_none(),
-        // Where the scope is all engines, any engine drops a repeat within the window.
+        // If the scope is all engines, any engine drops a repeat within the window.
         Idempotency::WithKey => {
             let window = micros(class.dedup_window);
             class.dedup_scope != DedupScope::All || may_have_run.all(|attempt| now <= attempt.sent + window)
@@ -324,7 +333,7 @@
     }
 }
 
-/// Whether a rejection keeps its promise that nothing ran, or that a repeat is harmless.
+/// Whether a rejection is correct: nothing ran, or a repeat is harmless.
 fn may_reject(class: &ClassSettings, may_have_run: bool) -> bool {
     match class.idempotency {
         Idempotency::Always => true,
--- a/crates/simulator/src/engine/mod.rs
+++ b/crates/simulator/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! One engine: queries that share cores, disks and memory, a queue in front of the sessions, cached data, loads that
-//! lock their tables, and a warm-up after each start.
+//! One engine: queries that share cores, disks and memory, a queue in front of the sessions, cached data,
+//! loads that lock their tables, and a warm-up after each start.
 //!
-//! Work is milliseconds of one thread. Between two events the rate of every query is constant: the engine advances to
-//! the time of an event, changes, and computes the rates again.
+//! Work is measured in milliseconds of one thread. Between two events the rate of every query is constant:
+//! the engine advances to the time of an event, applies it, and recomputes the rates.
 
 mod query;
 mod sharing;
@@ -18,14 +18,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What became of a query that was sent to an engine.
+/// The result of sending a query to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It runs or waits in the queue.
     Accepted,
-    /// Sessions and queue are full: nothing of it ran.
+    /// Sessions and queue are full; the query did not run.
     Full,
-    /// The engine stops, overloaded while it warmed up.
+    /// The engine stops because it was overloaded during its warm-up.
     Overloaded,
 }
 
@@ -38,24 +38,24 @@
 
 /// An engine.
 pub struct Engine {
-    /// What it is made of.
+    /// Its capacity and behaviour.
     pub spec: EngineSpec,
-    /// Whether it is reachable and answers.
+    /// Whether it is running and reachable.
     pub up: bool,
     /// Whether no query makes progress.
     pub is_hung: bool,
-    /// Share of the cores that another program takes.
+    /// Share of the cores that another program uses.
     pub stolen_cores: f64,
-    /// Share of the queries that fail at once.
+    /// Share of the queries that fail immediately.
     pub error_share: f64,
-    /// Grows with each change: an event that was scheduled for an earlier version is void.
+    /// Incremented with each change; an event that was scheduled for an earlier version is ignored.
     pub version: u64,
-    /// Work that was done for queries that did not finish (ms).
+    /// Work done for queries that did not finish (ms).
     pub wasted: f64,
     started: Option<Micros>,
     running: BTreeMap<u64, RunningQuery>,
     queue: VecDeque<Job>,
-    /// Groups of tables in memory, the one used last at the end.
+    /// Table groups cached in memory, the most recently used one last.
     cached_groups: VecDeque<i64>,
     /// Work sent during the warm-up.
     sent: VecDeque<SentWork>,
@@ -64,7 +64,7 @@
 }
 
 impl Engine {
-    /// An engine that has been up for long.
+    /// Creates an engine that has completed its warm-up.
     #[must_use]
     pub fn new(spec: EngineSpec) -> Self {
         Self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Starts it again, to warm up. Returns the tags of the queries that it had, which are lost.
+    /// Restarts it with a warm-up. Returns the tags of its queries, which are lost.
     pub fn restart(&mut self, now: Micros) -> Vec<u64> {
         let lost = self.stop(now);
         (self.up, self.is_hung, self.started) = (true, false, Some(now));
@@ -92,7 +92,7 @@
         lost
     }
 
-    /// Stops it. Returns the tags of the queries that it had, which are lost.
+    /// Stops it. Returns the tags of its queries, which are lost.
     pub fn stop(&mut self, now: Micros) -> Vec<u64> {
         self.advance(now);
         self.up = false;
@@ -104,13 +104,13 @@
         running.into_keys().chain(queued.into_iter().map(|job| job.tag)).collect()
     }
 
-    /// When it last started, if that was not before the run (us).
+    /// Time of its last start (us); `None` if that was before the run.
     #[must_use]
     pub fn started(&self) -> Option<Micros> {
         self.started
     }
 
-    /// Share of its capacity that it has: less than 1 during the warm-up.
+    /// Share of its capacity that is available: less than 1 during the warm-up.
     #[must_use]
     pub fn capacity_share(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
@@ -119,14 +119,14 @@
         (initial + (1.0 - initial) * warmed).min(1.0)
     }
 
-    /// Work that all cores do in a second (ms).
+    /// Work that all cores do per second (ms).
     #[must_use]
     pub fn capacity(&self, now: Micros) -> f64 {
         1000.0 * self.spec.cores * self.spec.speed * self.capacity_share(now)
     }
 
-    /// Work sent in the overload window over what the engine withstands during its warm-up: above 1 it stops. The
-    /// heaviest query of the window does not count, so that no single draw stops an engine.
+    /// Work sent in the overload window, relative to what the engine withstands during its warm-up; above 1
+    /// it stops. The heaviest query of the window is excluded, so that no single query stops an engine.
     pub fn overload_ratio(&self, now: Micros) -> f64 {
         let from = now.saturating_sub(micros(self.spec.overload_window_s));
         let window = || self.sent.iter().filter(|sent| sent.at >= from).map(|sent| sent.work);
@@ -134,7 +134,7 @@
         sent / (self.spec.overload_multiple * self.capacity(now) * self.spec.overload_window_s)
     }
 
-    /// Receives a query.
+    /// Admits a query: starts it, or queues it if no session is free.
     pub fn admit(&mut self, now: Micros, mut job: Job) -> Admission {
         self.advance(now);
         if self.capacity_share(now) < 1.0 {
@@ -147,7 +147,7 @@
             job.work *= 1.0 - self.spec.cache_gain;
         }
         if self.running.len() < self.spec.sessions() {
-            self.begin(job);
+            self.start_query(job);
         } else if self.queue.len() < self.spec.queue_length() {
             self.queue.push_back(job);
         } else {
@@ -157,7 +157,7 @@
         Admission::Accepted
     }
 
-    fn begin(&mut self, job: Job) {
+    fn start_query(&mut self, job: Job) {
         self.cached_groups.retain(|group| *group != job.table_group);
         self.cached_groups.push_back(job.table_group);
         while self.cached_groups.len() > self.spec.cached_groups {
@@ -166,7 +166,7 @@
         self.running.insert(job.tag, RunningQuery::new(job, &self.spec));
     }
 
-    /// Cancels a query; false if it is not here.
+    /// Cancels a query; returns false if the engine does not have it.
     pub fn cancel(&mut self, now: Micros, tag: u64) -> bool {
         self.advance(now);
         let queued = self.queue.len();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Takes changed public fields into account.
+    /// Applies changes to the public fields.
     pub fn refresh(&mut self, now: Micros) {
         self.advance(now);
         self.update_rates(now);
@@ -218,14 +218,14 @@
     fn fill_sessions(&mut self) {
         while self.running.len() < self.spec.sessions() {
             let queued = self.queue.iter().enumerate();
-            let best = queued.max_by_key(|(place, job)| (job.priority, Reverse(*place)));
-            let Some(place) = best.map(|(place, _)| place) else { return };
-            let Some(job) = self.queue.remove(place) else { return };
-            self.begin(job);
+            let best = queued.max_by_key(|(position, job)| (job.priority, Reverse(*position)));
+            let Some(position) = best.map(|(position, _)| position) else { return };
+            let Some(job) = self.queue.remove(position) else { return };
+            self.start_query(job);
         }
     }
 
-    /// When the next query finishes, if nothing changes before (us).
+    /// When the next query finishes if nothing changes until then (us).
     pub fn next_completion(&self) -> Option<Micros> {
         let running = self.running.values().filter(|query| query.rate > 0.0);
         let least = running.map(|query| query.remaining_work / query.rate).min_by(f64::total_cmp)?;
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Shares cores and disks out among the running queries.
+    /// Distributes cores and disks among the running queries.
     fn update_rates(&mut self, now: Micros) {
         self.version += 1;
         self.block_readers_of_loaded_groups();
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Share of the work that gets done under contention and paging; 0 where the engine hangs.
+    /// Factor on the rates due to contention and paging; 0 while the engine hangs.
     fn efficiency(&self) -> f64 {
         if self.is_hung {
             return 0.0;
@@ -297,7 +297,7 @@
         self.running.values().map(|query| query.memory).sum()
     }
 
-    /// Its load, as it reports it to coordinators.
+    /// Its load, as reported to coordinators.
     #[must_use]
     pub fn report(&self) -> LoadReport {
         let cores: f64 = self.active_queries().map(RunningQuery::core_threads).sum();
@@ -320,13 +320,13 @@
         self.running.iter().flat_map(of_query).collect()
     }
 
-    /// Queries that run or wait.
+    /// Number of running and queued queries.
     #[must_use]
     pub fn query_count(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// About how long the work in hand takes (s): what the oracle policy sees.
+    /// Approximate time needed for the pending work (s), which the oracle policy sees.
     #[must_use]
     pub fn expected_delay(&self, now: Micros) -> f64 {
         if !self.up || self.is_hung {
--- a/crates/simulator/src/engine/query.rs
+++ b/crates/simulator/src/engine/query.rs
@@ -4,9 +4,9 @@
 use super::EngineSpec;
 use dahliaspoke::policy::Progress;
 
-/// Weight of each priority where cores or disks are short.
+/// Weight of each priority when cores or disks are scarce.
 const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
-/// Share of an engine's memory that one query may take.
+/// Share of an engine's memory that one query may use.
 const MAX_MEMORY_SHARE: f64 = 0.4;
 /// A query with less work left than this has finished (ms).
 const NO_WORK_LEFT: f64 = 1e-6;
@@ -14,17 +14,17 @@
 /// A query as it is sent to an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Names the attempt.
+    /// Identifies the attempt.
     pub tag: u64,
     /// Work (ms of one thread).
     pub work: f64,
-    /// Share of the work on disks.
+    /// Share of the work that is done on disks.
     pub io_share: f64,
-    /// Threads.
+    /// Number of threads.
     pub threads: f64,
     /// Memory that it needs (MB).
     pub memory: f64,
-    /// Memory that it is granted (MB); without a grant the engine gives what it needs.
+    /// Memory granted to it (MB); without a grant the engine allocates what it needs.
     pub memory_grant: Option<f64>,
     /// Priority, 0 to 3.
     pub priority: u8,
@@ -39,13 +39,13 @@
 /// A query that has a session.
 pub(super) struct RunningQuery {
     pub job: Job,
-    /// Work in all, with what it spills (ms).
+    /// Total work, including the cost of spilling (ms).
     total_work: f64,
-    /// Work that is left (ms).
+    /// Remaining work (ms).
     pub remaining_work: f64,
-    /// Memory that it was given (MB).
+    /// Memory allocated to it (MB).
     pub memory: f64,
-    /// Work done a second (ms).
+    /// Work done per second (ms).
     pub rate: f64,
     /// Whether it waits for a load.
     pub is_blocked: bool,
@@ -53,8 +53,8 @@
 
 impl RunningQuery {
     pub(super) fn new(job: Job, spec: &EngineSpec) -> Self {
-        let most = spec.memory_mb * MAX_MEMORY_SHARE;
-        let memory = job.memory_grant.filter(|mb| *mb > 0.0).unwrap_or(job.memory).min(most);
+        let max_memory = spec.memory_mb * MAX_MEMORY_SHARE;
+        let memory = job.memory_grant.filter(|mb| *mb > 0.0).unwrap_or(job.memory).min(max_memory);
         let missing_share = (1.0 - memory / job.memory.max(1e-9)).max(0.0);
         let work = job.work * (1.0 + spec.spill_slowdown * missing_share);
         Self { job, total_work: work, remaining_work: work, memory, rate: 0.0, is_blocked: false }
@@ -83,7 +83,8 @@
         Demand { amount, weight: PRIORITY_WEIGHTS[usize::from(self.job.priority & 3)] }
     }
 
-    /// What the engine reports of it: memory that it misses, then how far it is or that it waits.
+    /// The engine's reports on it: the memory it lacks, if any, then the share that is done or that it waits
+    /// for a load.
     pub(super) fn progress(&self) -> impl Iterator<Item = Progress> {
         let missing = self.job.memory - self.memory;
         let spills = (missing > 0.0).then_some(Progress::Spills(missing));
--- a/crates/simulator/src/engine/spec.rs
+++ b/crates/simulator/src/engine/spec.rs
@@ -1,4 +1,4 @@
-//! What an engine is made of.
+//! The parameters of an engine.
 
 use serde::Deserialize;
 
@@ -6,40 +6,40 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSpec {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of a core, where 1 is usual.
+    /// Speed of a core; 1 is nominal.
     pub speed: f64,
-    /// Queries that the disks serve at full speed at once.
+    /// Number of queries that the disks serve at full speed concurrently.
     pub disks: f64,
     /// Memory (MB).
     pub memory_mb: f64,
-    /// Sessions for each core.
+    /// Sessions per core.
     pub slots_per_core: f64,
-    /// Places in the queue for each core, for queries that find no session.
+    /// Queue slots per core, for queries that find no free session.
     pub queue_per_core: f64,
-    /// Threads for each core beyond which they hinder each other.
+    /// Threads per core beyond which they slow each other down.
     #[serde(rename = "knee")]
     pub contention_threshold: f64,
-    /// How much they do: at twice the threshold everything is slower by 1 + this.
+    /// By how much: at twice the threshold everything is slower by a factor of 1 + this.
     #[serde(rename = "thrash")]
     pub contention_slowdown: f64,
-    /// Work of a query that got none of the memory it needs, over its work with all of it, less 1.
+    /// Additional work of a query that gets none of the memory it needs, relative to its work with all of it.
     #[serde(rename = "spill")]
     pub spill_slowdown: f64,
-    /// Groups of tables whose data stays in memory.
+    /// Number of table groups whose data is cached in memory.
     #[serde(rename = "warm_groups")]
     pub cached_groups: usize,
     /// Share of the work that cached data saves.
     #[serde(rename = "warm_gain")]
     pub cache_gain: f64,
-    /// Share of its capacity at a start.
+    /// Share of its capacity that is available right after a start.
     #[serde(rename = "cold_from")]
     pub initial_capacity_share: f64,
-    /// From a start until it has all of its capacity (s).
+    /// Time from a start until it has its full capacity (s).
     #[serde(rename = "cold_s")]
     pub warmup_s: f64,
-    /// A warming engine stops when it is sent more than its present capacity times this ...
+    /// A warming engine stops when it is sent more than its current capacity times this ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// ... for this long (s).
@@ -70,12 +70,12 @@
 }
 
 impl EngineSpec {
-    /// Queries that run at once, at the most.
+    /// Maximum number of queries that run concurrently.
     pub(super) fn sessions(&self) -> usize {
         (self.slots_per_core * self.cores) as usize
     }
 
-    /// Queries that wait for a session, at the most.
+    /// Maximum number of queries that wait for a session.
     pub(super) fn queue_length(&self) -> usize {
         (self.queue_per_core * self.cores) as usize
     }
--- a/crates/simulator/src/experiment/mod.rs
+++ b/crates/simulator/src/experiment/mod.rs
@@ -1,8 +1,8 @@
-//! Experiments: scenarios, policies and seeds in one file; runs spread over cores; paired differences with confidence
+//! Experiments: scenarios, policies and seeds in one file; parallel runs; paired differences with confidence
 //! intervals, and a verdict.
 //!
-//! Runs are paired by value and seed: the same traffic, decided twice. A difference is called better or worse only where
-//! the interval of its mean does not contain 0.
+//! Runs are paired by value and seed: the same traffic under two policies. A difference is called better or
+//! worse only if the confidence interval of its mean does not contain 0.
 
 mod plot;
 mod result;
@@ -25,7 +25,7 @@
 use std::sync::mpsc::{channel, Sender};
 use thiserror::Error;
 
-/// Why an experiment could not be read or played.
+/// Why an experiment could not be read or run.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
     /// The file is not TOML, or has a key or a type that experiments do not have.
@@ -35,7 +35,7 @@
     #[error("baseline: it is not among the policies")]
     UnknownBaseline,
     /// A varied value is not a number.
-    #[error("vary: {0} is no number")]
+    #[error("vary: {0} is not a number")]
     NotANumber(toml::Value),
     /// The scenario is not valid with one of the values.
     #[error("scenario, {key} = {value}: {source}")]
@@ -47,7 +47,7 @@
         /// What is wrong.
         source: ScenarioError,
     },
-    /// The folder of the results cannot be written.
+    /// The folder for the results cannot be written.
     #[error(transparent)]
     File(#[from] FileError),
     /// The plot cannot be drawn.
@@ -59,21 +59,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it asks, in a sentence: the title of its plot.
+    /// The question it answers, in one sentence; used as the title of its plot.
     pub title: String,
-    /// Seeds 1 to this.
+    /// Number of seeds; runs use seeds 1 to this.
     pub seeds: u64,
-    /// Who decides.
+    /// The policies to compare.
     pub policies: Vec<PolicyKind>,
-    /// Whom the others are compared with.
+    /// The policy that the others are compared with.
     pub baseline: PolicyKind,
-    /// What is varied.
+    /// The varied key and its values.
     pub vary: Vary,
     /// The scenario, without the varied key.
     pub scenario: toml::Table,
 }
 
-/// The key of a scenario that is varied.
+/// The key of the scenario that is varied.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vary {
@@ -86,7 +86,7 @@
 /// One run of an experiment.
 struct Run {
     scenario: Scenario,
-    /// Names the program and the scenario.
+    /// Identifies the program and the scenario.
     id: u64,
     /// The varied value.
     value: f64,
@@ -101,20 +101,20 @@
 }
 
 impl Experiment {
-    /// Reads a file's text.
+    /// Parses the text of an experiment file.
     ///
     /// # Errors
-    /// Where the text is not an experiment, or one of its scenarios is not valid.
+    /// Returns an error if the text is not an experiment or one of its scenarios is not valid.
     pub fn read(text: &str) -> Result<Self, ExperimentError> {
         let experiment: Self = from_toml(text)?;
-        experiment.runs(0)?; // only whether each is valid
+        experiment.runs(0)?; // only to validate them
         if !experiment.policies.contains(&experiment.baseline) {
             return Err(ExperimentError::UnknownBaseline);
         }
         Ok(experiment)
     }
 
-    /// All runs, named with the hash of the program that plays them.
+    /// All runs, identified by the hash of the program that executes them.
     fn runs(&self, program: u64) -> Result<Vec<Run>, ExperimentError> {
         let mut runs = Vec::new();
         for value in &self.vary.values {
@@ -140,12 +140,12 @@
         Ok(runs)
     }
 
-    /// Plays the runs that have not been played, this many at a time, and writes all into the folder: `rows.jsonl` as
-    /// they end, then `rows.csv`, `plot.svg` and `result.md`. `progress` is given how many have been played, and how
-    /// many were missing. Returns the text of `result.md`.
+    /// Executes the missing runs, `jobs` at a time, and writes all results into the folder: `rows.jsonl` as
+    /// runs end, then `rows.csv`, `plot.svg` and `result.md`. `progress` is called with the number of
+    /// completed runs and the number of runs that were missing. Returns the text of `result.md`.
     ///
     /// # Errors
-    /// Where the folder cannot be written or the plot cannot be drawn.
+    /// Returns an error if the folder cannot be written or the plot cannot be drawn.
     pub fn run(
         &self,
         folder: &Path,
@@ -157,10 +157,10 @@
         let path = folder.join("rows.jsonl");
         let runs = self.runs(program_hash())?;
         let mut rows = read_rows(&path);
-        rows.retain(|row| runs.iter().any(|run| row.is_of(run)));
-        let is_missing = |run: &&Run| !rows.iter().any(|row| row.is_of(run));
+        rows.retain(|row| runs.iter().any(|run| row.belongs_to(run)));
+        let is_missing = |run: &&Run| !rows.iter().any(|row| row.belongs_to(run));
         let missing: Vec<&Run> = runs.iter().filter(is_missing).collect();
-        // Incomplete lines and rows of another experiment go.
+        // Drops incomplete lines and rows of other experiments.
         write_rows(&path, &rows).map_err(file_error)?;
         let mut file = OpenOptions::new().append(true).open(&path).map_err(file_error)?;
         play_all(&missing, jobs, progress, |row| {
@@ -179,12 +179,12 @@
     }
 }
 
-/// Plays runs on this many threads; `keep` is given each row as it ends, on this thread.
+/// Executes runs on `jobs` threads; `on_row` is called with each row as its run ends, on the calling thread.
 fn play_all(
     runs: &[&Run],
     jobs: usize,
     progress: impl Fn(usize, usize) + Sync,
-    mut keep: impl FnMut(Row) -> Result<(), FileError>,
+    mut on_row: impl FnMut(Row) -> Result<(), FileError>,
 ) -> Result<(), FileError> {
     let (next, done) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let report_progress = || progress(done.fetch_add(1, Ordering::SeqCst) + 1, runs.len());
@@ -195,11 +195,11 @@
             scope.spawn(move || play_from(runs, next, report_progress, &sender));
         }
         drop(sender);
-        rows.into_iter().try_for_each(&mut keep)
+        rows.into_iter().try_for_each(&mut on_row)
     })
 }
 
-/// Plays the runs that no other thread has taken.
+/// Executes the runs that no other thread has claimed.
 fn play_from(runs: &[&Run], next: &AtomicUsize, report_progress: impl Fn(), rows: &Sender<Row>) {
     while let Some(run) = runs.get(next.fetch_add(1, Ordering::SeqCst)) {
         let row = run.play();
@@ -216,7 +216,7 @@
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, mix)
 }
 
-/// A hash of this program: another build may play the same scenario differently.
+/// A hash of this program: another build may run the same scenario differently.
 fn program_hash() -> u64 {
     let program = std::env::current_exe().and_then(std::fs::read);
     program.map_or(0, |bytes| fnv1a(&bytes))
--- a/crates/simulator/src/experiment/plot.rs
+++ b/crates/simulator/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! The result of an experiment as a plot: the goal over the varied value, a line for each policy.
+//! The result of an experiment as a plot: the goal over the varied value, one line per policy.
 
 use super::rows::{cells, Cell, Row};
 use super::statistics::MeanInterval;
@@ -11,7 +11,7 @@
 
 /// Size of the plot (pixels).
 const SIZE: (u32, u32) = (860, 520);
-/// Values that span more than this factor are on a logarithmic axis.
+/// Values that span more than this factor are drawn on a logarithmic axis.
 const LOGARITHMIC_FROM: f64 = 10.0;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
@@ -33,7 +33,7 @@
         Self { least, most, is_logarithmic: least > 0.0 && most / least > LOGARITHMIC_FROM }
     }
 
-    fn place(self, value: f64) -> f64 {
+    fn coordinate(self, value: f64) -> f64 {
         if self.is_logarithmic {
             value.log10()
         } else {
@@ -41,16 +41,16 @@
         }
     }
 
-    fn label(self, place: f64) -> String {
+    fn label(self, coordinate: f64) -> String {
         if self.is_logarithmic {
-            format!("{:.0}", 10f64.powf(place))
+            format!("{:.0}", 10f64.powf(coordinate))
         } else {
-            format!("{place:.2}")
+            format!("{coordinate:.2}")
         }
     }
 }
 
-/// A mean goal with its interval, at its place.
+/// A mean goal with its confidence interval, at its coordinate on the value axis.
 #[derive(Clone, Copy)]
 struct Point {
     x: f64,
@@ -91,14 +91,14 @@
     where
         'b: 'a,
     {
-        let values = axis.place(axis.least)..axis.place(axis.most);
+        let values = axis.coordinate(axis.least)..axis.coordinate(axis.most);
         let mut chart = ChartBuilder::on(area)
             .caption(&self.title, ("sans-serif", 20))
             .margin(12)
             .x_label_area_size(44)
             .y_label_area_size(56)
             .build_cartesian_2d(values, lowest..1.0)?;
-        let label = |place: &f64| axis.label(*place);
+        let label = |coordinate: &f64| axis.label(*coordinate);
         chart.configure_mesh().x_desc(&self.vary.key).y_desc("goal").x_label_formatter(&label).draw()?;
         Ok(chart)
     }
@@ -108,7 +108,7 @@
     let point = |cell: &&Cell| {
         let MeanInterval { mean, half_width } = MeanInterval::of(&cell.goals);
         let half_width = if half_width.is_finite() { half_width } else { 0.0 };
-        Point { x: axis.place(cell.value), mean, half_width }
+        Point { x: axis.coordinate(cell.value), mean, half_width }
     };
     cells.iter().filter(|cell| cell.policy == policy).map(point).collect()
 }
--- a/crates/simulator/src/experiment/result.rs
+++ b/crates/simulator/src/experiment/result.rs
@@ -28,8 +28,8 @@
     fn result_line(&self, cell: &Cell, baseline: Option<&Cell>, rows: &[Row]) -> String {
         let Cell { value, policy, goals } = cell;
         let MeanInterval { mean, half_width } = MeanInterval::of(goals);
-        let is_same = |row: &&Row| row.policy == *policy && row.value == *value;
-        let violations: u64 = rows.iter().filter(is_same).map(|row| row.violations).sum();
+        let in_cell = |row: &&Row| row.policy == *policy && row.value == *value;
+        let violations: u64 = rows.iter().filter(in_cell).map(|row| row.violations).sum();
         let baseline_goals = baseline.map_or(&[][..], |baseline| &baseline.goals);
         let pairs: Vec<(f64, f64)> = baseline_goals.iter().copied().zip(goals.iter().copied()).collect();
         let difference = Difference::of(&pairs);
--- a/crates/simulator/src/experiment/rows.rs
+++ b/crates/simulator/src/experiment/rows.rs
@@ -13,13 +13,13 @@
 /// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
-    /// Names the program that played it, and the scenario with its varied value: rows of another program or of another
-    /// scenario are not reused.
+    /// Identifies the program that executed it and the scenario with its varied value: rows of another
+    /// program or scenario are not reused.
     #[serde(rename = "play")]
     pub run_id: u64,
     /// The varied value.
     pub value: f64,
-    /// Who decided.
+    /// The policy.
     pub policy: PolicyKind,
     /// The seed.
     pub seed: u64,
@@ -27,15 +27,15 @@
     pub goal: f64,
     /// Share of the priority weight that was served.
     pub served: f64,
-    /// The same in the worst ten seconds.
+    /// Share of the priority weight that was served in the worst ten seconds.
     #[serde(rename = "window")]
     pub worst_window: f64,
-    /// The same in the worst class.
+    /// Share of the priority weight that was served in the worst class.
     #[serde(rename = "class")]
     pub worst_class: f64,
-    /// Attempts for each request.
+    /// Attempts per request.
     pub attempts: f64,
-    /// How often rules were broken.
+    /// Number of violations.
     #[serde(rename = "broken")]
     pub violations: u64,
 }
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn is_of(&self, run: &Run) -> bool {
+    pub(super) fn belongs_to(&self, run: &Run) -> bool {
         (self.run_id, self.policy, self.seed) == (run.id, run.policy, run.seed)
     }
 
@@ -67,13 +67,13 @@
     }
 }
 
-/// Writes a file with these rows alone.
+/// Writes a file that contains only these rows.
 pub(super) fn write_rows(path: &Path, rows: &[Row]) -> io::Result<()> {
     let mut file = File::create(path)?;
     rows.iter().try_for_each(|row| row.write(&mut file))
 }
 
-/// Rows of an earlier call; incomplete lines are skipped.
+/// Rows from an earlier execution of the experiment; incomplete lines are skipped.
 pub(super) fn read_rows(path: &Path) -> Vec<Row> {
     let Ok(file) = File::open(path) else { return Vec::new() };
     let lines = BufReader::new(file).lines().map_while(Result::ok);
@@ -98,7 +98,7 @@
     text
 }
 
-/// Names a cell, in the order of tables. Values are not negative, so that their bits are in their order.
+/// Identifies a cell; ordered as in tables. Values are not negative, so their bits sort like the values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CellKey {
     value_bits: u64,
@@ -115,7 +115,7 @@
 pub(super) struct Cell {
     /// The varied value.
     pub value: f64,
-    /// Who decided.
+    /// The policy.
     pub policy: PolicyKind,
     /// Goals in the order of the seeds.
     pub goals: Vec<f64>,
--- a/crates/simulator/src/file_error.rs
+++ b/crates/simulator/src/file_error.rs
@@ -1,16 +1,16 @@
-//! Errors of files, with their path.
+//! I/O errors with the path of the file.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A file or folder could not be used.
+/// An I/O error on a file or folder.
 #[derive(Debug, Error)]
 #[error("{}: {source}", path.display())]
 pub struct FileError {
     /// The file or folder.
     pub path: PathBuf,
-    /// What failed.
+    /// The underlying error.
     pub source: io::Error,
 }
 
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,17 +1,21 @@
-//! A simulator: a model of coordinators, engines, clients and zones in virtual time. It hosts the real decision module,
-//! plain policies beside it, and an auditor that checks the platform's rules on all of them alike.
+//! A simulator: a model of coordinators, engines, clients and zones in virtual time. It runs the real
+//! decision module or a baseline policy, and an auditor checks the platform's rules on every policy.
 //!
-//! One scenario and one seed give one run, bit for bit: time is counted in whole microseconds, every draw comes from the
-//! seed, and events of one time are played in the order in which they were scheduled.
+//! A scenario and a seed determine a run bit for bit: time is counted in whole microseconds, all random
+//! numbers are derived from the seed, and events of the same time are processed in the order in which they
+//! were scheduled.
 //!
-//! - [`scenario`]: sizes, traffic, network and faults of a run; [`toml_file`] and [`file_error`]: files and their errors;
-//! - [`world`]: a run, with clients, coordinators, the network, discovery and faults; [`queue`]: its event queue;
+//! - [`scenario`]: sizes, traffic, network and faults of a run; [`toml_file`] and [`file_error`]: reading
+//!   files, and their errors;
+//! - [`world`]: a run, with clients, coordinators, the network, discovery and faults; [`queue`]: its event
+//!   queue;
 //! - [`engine`]: cores, disks, memory, sessions, cached data and loads of one engine;
-//! - [`policy`]: the decision module, or one of the plain policies;
-//! - [`audit`]: the rules; [`report`]: the figures of a run;
-//! - [`experiment`]: many runs, compared;
-//! - [`account`]: what the logs of many coordinators add up to; [`subsets`]: ways to choose subsets, compared;
-//! - [`standin`]: engines and the directory on sockets; [`trial`]: a trial of the real program between them;
+//! - [`policy`]: the decision module and the baseline policies;
+//! - [`audit`]: checks of the platform's rules; [`report`]: the figures of a run;
+//! - [`experiment`]: comparisons of many runs;
+//! - [`account`]: the aggregated logs of many coordinators; [`subsets`]: a comparison of algorithms that
+//!   choose subsets;
+//! - [`standin`]: engines and the directory on sockets; [`trial`]: a trial of the real program against them;
 //! - [`arrivals`], [`load`] and [`sockets`]: the load generator, for real coordinators on loopback.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulator/src/load/mod.rs
+++ b/crates/simulator/src/load/mod.rs
@@ -1,9 +1,11 @@
-//! The core of the load generator, without I/O or clock: which request is sent when, and what its answer counts.
+//! The core of the load generator, without I/O or a clock: which request is sent when, and how its answer is
+//! counted.
 //!
-//! Latency runs from the time at which a request was due, whether or not it could be sent then. A server that stands
-//! still for two seconds shows as requests that took up to two seconds, in the number in which they were due; a
-//! generator that waits for an answer before it sends again would show one slow request and many that never were
-//! (coordinated omission). [`Mode::Closed`] is such a generator, to compare with.
+//! Latency is measured from the time at which a request was due, whether or not it could be sent then. A
+//! server that stalls for two seconds thus shows as all the requests that were due in that time, with
+//! latencies of up to two seconds; a generator that waits for an answer before it sends again would show one
+//! slow request and omit the others (coordinated omission). [`Mode::Closed`] is such a generator, for
+//! comparison.
 
 mod summary;
 
@@ -16,9 +18,9 @@
 /// Whether answers delay requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Requests are due when the schedule says.
+    /// Requests are sent when the schedule has them due.
     Open,
-    /// Each connection sends again as soon as it has its answer, but no sooner than the schedule says.
+    /// Each connection sends again as soon as it has its answer, but not before the scheduled time.
     Closed,
 }
 
@@ -33,26 +35,27 @@
     Failed,
 }
 
-/// What clients do when they are turned away.
+/// What clients do after a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum RetryBehaviour {
     /// Give up.
     GiveUp,
-    /// Try again at once.
+    /// Retry immediately.
     #[value(name = "at-once")]
     Immediately,
-    /// Try again when they were told to, or after 100 ms.
+    /// Retry after the time in Retry-After, or after 100 ms if there is none.
     #[value(name = "as-told")]
     HonourRetryAfter,
 }
 
-/// Pause before a retry where there was no Retry-After (us).
-const DEFAULT_RETRY_PAUSE: Micros = 100_000;
-/// Tries of one request, at the most.
+/// Delay before a retry without a Retry-After (us).
+const DEFAULT_RETRY_DELAY: Micros = 100_000;
+/// Maximum number of tries of one request.
 const MAX_TRIES: u32 = 5;
-/// The generator itself is late when a request is sent this long after it was due with a connection free (us).
+/// The generator counts as late if a request is sent more than this long after it was due and a connection
+/// was free (us).
 pub const LATE: Micros = 10_000;
-/// One request in this many may be late by the generator's own fault.
+/// One request in this many may be late because of the generator itself.
 const LATE_TOLERANCE: usize = 1000;
 
 /// A try that is to be sent now.
@@ -62,7 +65,7 @@
     pub request: usize,
     /// The connection to send it on.
     pub connection: usize,
-    /// How often the request was sent before.
+    /// Number of earlier tries of the request.
     pub retry: u32,
 }
 
@@ -72,7 +75,7 @@
     over: bool,
 }
 
-/// A try that waits for its time or for a connection. Ordered by time.
+/// A try that is not due yet or waits for a connection. Ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingTry {
     due: Micros,
@@ -111,9 +114,9 @@
     queue: VecDeque<WaitingTry>,
     /// Retries that are due later.
     retries: Vec<WaitingTry>,
-    /// Connections without a try.
+    /// Connections without a try in flight.
     free: Vec<usize>,
-    /// Tries that wait for an answer.
+    /// Number of tries that wait for an answer.
     open: usize,
     latencies: Latencies,
     classes: Vec<ClassFigures>,
@@ -125,7 +128,7 @@
 }
 
 impl Driver {
-    /// A driver for a schedule of due times, with this many connections at the most.
+    /// Creates a driver for a schedule of due times, with at most this number of connections.
     #[must_use]
     pub fn new(schedule: &[Micros], mode: Mode, behaviour: RetryBehaviour, connections: usize) -> Self {
         let requests = schedule.iter().map(|due| Request { due: *due, tries: 0, over: false }).collect();
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Counts by class as well: their names, and the class of each request by position.
+    /// Also keeps figures by class, from the names of the classes and the class of each request.
     #[must_use]
     pub fn by_class(mut self, names: Vec<String>, class_of: Vec<usize>) -> Self {
         self.classes = names.into_iter().map(ClassFigures::new).collect();
@@ -170,7 +173,7 @@
         self.next == self.requests.len() && self.queue.is_empty() && self.retries.is_empty() && self.open == 0
     }
 
-    /// What is to be sent now.
+    /// The tries to send now.
     pub fn poll(&mut self, now: Micros) -> Vec<OutgoingTry> {
         self.queue_due_tries(now);
         let mut sends = Vec::new();
@@ -199,7 +202,7 @@
 
     fn send(&mut self, now: Micros, waiting: WaitingTry, connection: usize) -> OutgoingTry {
         let state = &mut self.requests[waiting.request];
-        // It is the generator's own fault only as far as a connection was free.
+        // The generator itself is late only for the time in which a connection was free.
         let late = now - waiting.due.max(self.free_since).min(now);
         if late > LATE {
             self.summary.late += 1;
@@ -224,7 +227,7 @@
         self.open -= 1;
         let state = &mut self.requests[outgoing.request];
         if std::mem::replace(&mut state.over, true) {
-            return; // it was counted
+            return; // already counted
         }
         match response {
             Response::Served => {
@@ -257,18 +260,18 @@
     }
 
     fn schedule_retry(&mut self, now: Micros, request: usize, retry_after: Option<Micros>) {
-        let pause = match self.behaviour {
+        let delay = match self.behaviour {
             RetryBehaviour::Immediately => 0,
-            _ => retry_after.unwrap_or(DEFAULT_RETRY_PAUSE),
+            _ => retry_after.unwrap_or(DEFAULT_RETRY_DELAY),
         };
-        self.retries.push(WaitingTry { due: now + pause, request });
+        self.retries.push(WaitingTry { due: now + delay, request });
     }
 
     fn class_figures(&mut self, request: usize) -> Option<&mut ClassFigures> {
         self.class_of.get(request).and_then(|class| self.classes.get_mut(*class))
     }
 
-    /// What the run came to. Requests without an answer by now have failed.
+    /// The results of the run. Requests without an answer by now have failed.
     #[must_use]
     pub fn summary(mut self) -> Summary {
         let ended = self.summary.served + self.summary.rejected + self.summary.failed;
--- a/crates/simulator/src/load/summary.rs
+++ b/crates/simulator/src/load/summary.rs
@@ -1,10 +1,10 @@
-//! What a run of the load generator came to.
+//! The results of a run of the load generator.
 
 use crate::{seconds, Micros};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest latency that is recorded as it was (us): an hour.
+/// The longest latency that can be recorded (us): an hour. Longer ones are recorded as this.
 const MAX_LATENCY: Micros = 3_600_000_000;
 /// Significant digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 3;
@@ -33,13 +33,13 @@
     }
 }
 
-/// What a run came to.
+/// The results of a run.
 #[derive(Debug, Default, Serialize)]
 pub struct Summary {
-    /// By class, where there are several.
+    /// Results by class, if figures are kept by class.
     #[serde(rename = "groups")]
     pub classes: Vec<ClassSummary>,
-    /// Requests that were due; each counts once, however often it was retried.
+    /// Requests that were due; retries are not counted again.
     pub due: usize,
     /// Of those, served.
     pub served: usize,
@@ -48,18 +48,18 @@
     pub rejected: usize,
     /// Failed, or without an answer at the end.
     pub failed: usize,
-    /// Tries in all.
+    /// Total number of tries.
     pub tries: usize,
     /// Quantiles of the latency of served requests (ms): 0.5, 0.9, 0.99, 0.999, the longest.
     pub millis: [f64; 5],
-    /// How much later than it should have been a request was sent by the generator's own fault (ms), at the most.
+    /// The longest delay of a request that was sent late because of the generator itself (ms).
     pub late_ms: f64,
-    /// Requests that were sent late by the generator's own fault.
+    /// Tries that were sent late because of the generator itself.
     pub late: usize,
-    /// Whether the figures say nothing: the generator was late for more than one request in a thousand, or short of
-    /// connections.
+    /// Whether the figures are meaningless: the generator was late for more than one request in a thousand,
+    /// or short of connections.
     pub void: bool,
-    /// Requests that found no connection free.
+    /// Number of polls in which a due try found no free connection.
     pub starved: usize,
 }
 
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -22,18 +22,18 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Exit code where the module broke a rule.
+/// Exit code if the module broke a rule.
 const RULE_BROKEN: u8 = 1;
-/// Exit code of a bad file or argument.
+/// Exit code for an invalid file or argument.
 const BAD_INPUT: u8 = 2;
-/// Exit code where the figures are void.
+/// Exit code if the figures are void.
 const VOID: u8 = 3;
-/// How long the last answers of `load` are waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Violations that are printed.
+/// How long `load` waits for the last answers.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of violations printed per run.
 const PRINTED_VIOLATIONS: usize = 3;
 
-/// Why a command could not be carried out.
+/// Why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -51,13 +51,13 @@
 }
 
 fn main() -> ExitCode {
-    carry_out(Arguments::parse().command).unwrap_or_else(|error| {
+    execute(Arguments::parse().command).unwrap_or_else(|error| {
         eprintln!("dahliaspoke-simulator: {error}");
         ExitCode::from(BAD_INPUT)
     })
 }
 
-fn carry_out(command: Command) -> Result<ExitCode, CommandError> {
+fn execute(command: Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Subsets { gateways, engines, keep, seed } => {
             print!("{}", subsets::table(&gateways, &engines, keep, seed));
@@ -93,7 +93,7 @@
     let points = schedule(rate, seconds, shape, intervals, seed);
     let mode = if closed { Mode::Closed } else { Mode::Open };
     let driver = target.driver(&points, mode, behaviour, connections);
-    let summary = sockets::run(driver, &target, PATIENCE).summary();
+    let summary = sockets::run(driver, &target, ANSWER_TIMEOUT).summary();
     println!("{}", serde_json::json!(summary));
     Ok(void_code(summary.void))
 }
@@ -128,13 +128,13 @@
     let mut module_broke_a_rule = false;
     for policy in policies.iter().copied() {
         for seed in seeds.iter().copied() {
-            let began = Instant::now();
+            let started = Instant::now();
             let report = world::play(scenario, policy, seed);
             module_broke_a_rule |= report.violation_count > 0 && policy == PolicyKind::Module;
             if json {
                 println!("{}", serde_json::json!({"policy": policy, "seed": seed, "report": report}));
             } else {
-                print_report(policy, seed, &report, began.elapsed());
+                print_report(policy, seed, &report, started.elapsed());
             }
         }
     }
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Plain policies to compare the decision module with.
+//! Baseline policies that the decision module is compared with.
 
 use super::{position, Policy, PolicyKind};
 use dahliaspoke::policy::*;
@@ -6,28 +6,29 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
 
-/// A retry needs this many ticks until the deadline.
+/// A retry needs at least this many ticks until the deadline.
 const MIN_TICKS_LEFT: f64 = 4.0;
 
-/// A policy that only chooses an engine: it sends each request at once, and retries elsewhere as its class allows.
+/// A policy that only chooses an engine: it sends each request immediately and retries on another engine if
+/// the class allows it.
 pub(super) struct BaselinePolicy {
     kind: PolicyKind,
     settings: Settings,
     rng: Pcg64Mcg,
-    /// Queries of this coordinator on each engine that is ready.
+    /// Outstanding queries of this coordinator, by ready engine.
     outstanding: BTreeMap<EngineId, u32>,
     requests: HashMap<RequestId, OpenRequest>,
-    /// Choices so far, for round robin.
+    /// Number of round-robin choices so far.
     rotation: usize,
 }
 
 struct OpenRequest {
     class: usize,
-    /// By when it must be answered (s).
+    /// Time by which it must be answered (s).
     deadline: f64,
-    /// When an attempt first ended that may have run (s).
+    /// When the first attempt that may have run ended (s).
     may_have_run_since: Option<f64>,
-    /// The engines of its attempts.
+    /// The engine of each attempt, in order.
     engines: Vec<EngineId>,
 }
 
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Chooses an engine, another one than `last` if there is any.
+    /// Chooses an engine, a different one than `last` if possible.
     fn choose(&mut self, engine_delays: &[f64], last: Option<&EngineId>) -> Option<EngineId> {
         let others: Vec<&EngineId> = self.outstanding.keys().filter(|id| Some(*id) != last).collect();
         let candidates = if others.is_empty() { self.outstanding.keys().collect() } else { others };
@@ -92,7 +93,7 @@
         actions.push(Action::Send { id: id.clone(), engine, timeout: None, within: None });
     }
 
-    /// Rejects a request where that is true, else fails it.
+    /// Rejects a request if its client may safely retry it; otherwise fails it.
     fn end_unserved(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(id) else { return };
         let class = &self.settings.classes[request.class];
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! Who decides: the decision module, or a plain policy in its place. All are driven alike: they are handed events and
-//! append actions.
+//! The policies that a run can use: the decision module, or a baseline in its place. All share one interface:
+//! they receive events and append actions.
 
 mod baseline;
 
@@ -8,32 +8,33 @@
 use dahliaspoke::policy::{Action, Event, Settings};
 use serde::{Deserialize, Serialize};
 
-/// The policies that can be played.
+/// The available policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyKind {
     /// The decision module.
     Module,
-    /// Any engine that is ready.
+    /// A random ready engine.
     Random,
-    /// Each in turn.
+    /// Each ready engine in turn.
     RoundRobin,
-    /// The one with the fewest queries of this coordinator.
+    /// The engine with the fewest outstanding queries of this coordinator.
     LeastOutstanding,
-    /// The better of two drawn at random, by queries of this coordinator.
+    /// Of two engines drawn at random, the one with fewer outstanding queries of this coordinator.
     TwoChoices,
-    /// The one with the least to do in truth, a little late.
+    /// The engine with the least actual work, as of a short time ago.
     Oracle,
 }
 
-/// One coordinator's decisions.
+/// Makes the decisions of one coordinator.
 pub trait Policy {
-    /// Handles an event at a time (s) and appends what is to be done about it. `engine_delays` says how long the work
-    /// in hand of each engine takes (s), by position, as it was a little ago; only the oracle looks at it.
+    /// Handles an event at time `now` (s) and appends the resulting actions. `engine_delays` has the time
+    /// that each engine needs for its pending work (s), by position and slightly out of date; only the oracle
+    /// uses it.
     fn handle(&mut self, now: f64, event: Event, engine_delays: &[f64], actions: &mut Vec<Action>);
 }
 
-/// Makes a policy.
+/// Creates a policy.
 #[must_use]
 pub fn make(kind: PolicyKind, settings: &Settings, seed: u64) -> Box<dyn Policy> {
     match kind {
--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -1,8 +1,9 @@
-//! The event queue: events by time, and those of one time in the order in which they were scheduled.
+//! The event queue: events ordered by time, and those of the same time in the order in which they were
+//! scheduled.
 //!
-//! Two structures with one interface. [`Heap`] is the plain one. [`Wheel`] is made for the job: nearly all events of a run
-//! lie within some seconds from now, so they go into slots by time, and each slot is sorted only when its time has come.
-//! `benches/queue.rs` measures both; [`Queue`] is the one that runs use.
+//! Two implementations with the same interface. [`Heap`] is a plain binary heap. [`Wheel`] suits this
+//! workload: nearly all events of a run are due within a few seconds, so they are put into slots by time, and
+//! each slot is sorted only when it becomes current. `benches/queue.rs` compares the two; runs use [`Queue`].
 
 use crate::Micros;
 use std::cmp::{Ordering, Reverse};
@@ -11,7 +12,7 @@
 /// The queue that runs use: see `docs/simulator.md` for the figures.
 pub type Queue<T> = Wheel<T>;
 
-/// An event with its time, ordered by time and then by the order of scheduling.
+/// An event with its time, ordered by time and then by order of scheduling.
 struct Entry<T> {
     at: Micros,
     sequence: u64,
@@ -41,7 +42,7 @@
 /// A binary heap.
 pub struct Heap<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    /// Events scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
 }
 
@@ -63,7 +64,7 @@
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 
-    /// Events that are scheduled.
+    /// Number of events in the queue.
     #[must_use]
     pub fn len(&self) -> usize {
         self.heap.len()
@@ -76,23 +77,23 @@
     }
 }
 
-/// Slots of the wheel.
+/// Number of slots of the wheel.
 const SLOTS: usize = 8192;
 /// Width of a slot (us), as a power of two: the wheel spans 8 s.
 const SLOT_SHIFT: u32 = 10;
 
-/// A timing wheel of one level, with a heap for what lies beyond its span.
+/// A timing wheel of one level, with a heap for events beyond its span.
 pub struct Wheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// The slot whose time has come, the next event at its end.
+    /// The events of the current slot, the next one last.
     open: Vec<Entry<T>>,
-    /// Number of the open slot, counted from the start of time.
+    /// Number of the open slot, counted from time 0.
     open_slot: u64,
-    /// Events in `slots`.
+    /// Number of events in `slots`.
     in_slots: usize,
     /// Events beyond the span of the wheel.
     far: BinaryHeap<Reverse<Entry<T>>>,
-    /// Events scheduled so far.
+    /// Number of events scheduled so far.
     scheduled: u64,
 }
 
@@ -104,15 +105,15 @@
 }
 
 impl<T> Wheel<T> {
-    /// Schedules an event. One for a time that has passed comes next.
+    /// Schedules an event. An event whose time has passed is popped next.
     pub fn push(&mut self, at: Micros, event: T) {
         self.scheduled += 1;
         let entry = Entry { at, sequence: self.scheduled, event };
         let slot = at >> SLOT_SHIFT;
         if slot <= self.open_slot {
-            // Into the open slot, in order: behind all that come before it.
-            let place = self.open.partition_point(|other| *other > entry);
-            self.open.insert(place, entry);
+            // Keeps the open slot in descending order: behind all later events.
+            let index = self.open.partition_point(|other| *other > entry);
+            self.open.insert(index, entry);
         } else if slot - self.open_slot < SLOTS as u64 {
             self.slots[slot as usize % SLOTS].push(entry);
             self.in_slots += 1;
@@ -129,11 +130,11 @@
         self.open.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// Opens the next slot that may hold an event; `None` where none is scheduled.
+    /// Opens the next slot that may contain an event; `None` if the queue is empty.
     fn open_next_slot(&mut self) -> Option<()> {
         let far = self.far.peek().map(|Reverse(entry)| entry.at >> SLOT_SHIFT);
         if self.in_slots == 0 {
-            self.open_slot = far?; // nothing lies between
+            self.open_slot = far?; // the slots in between are empty
         } else {
             self.open_slot += 1;
         }
@@ -148,7 +149,7 @@
         Some(())
     }
 
-    /// Events that are scheduled.
+    /// Number of events in the queue.
     #[must_use]
     pub fn len(&self) -> usize {
         self.open.len() + self.in_slots + self.far.len()
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,27 +1,27 @@
-//! What a run came to.
+//! The results of a run.
 
 use crate::audit::{Violation, WarmupLoad};
 use crate::{seconds, Micros};
 use serde::Serialize;
 
-/// Length of the windows of which the worst counts (s).
+/// Length of the windows from which the worst is selected (s).
 const WINDOW_S: usize = 10;
-/// Price of an attempt in another zone, for each request.
+/// Price of one cross-zone attempt per request.
 pub const CROSS_ZONE_PRICE: f64 = 0.038;
-/// Price of work that served nobody, over all requested work.
+/// Price of wasted work, relative to all requested work.
 pub const WASTED_WORK_PRICE: f64 = 0.16;
-/// Price of a new connection, for each request.
+/// Price of one new connection per request.
 pub const CONNECTION_PRICE: f64 = 0.03;
-/// Part of the goal that all requests count for.
+/// Weight of all requests in the goal.
 const TOTAL_PART: f64 = 0.5;
-/// Part of the goal that the worst window counts for.
+/// Weight of the worst window in the goal.
 const WORST_WINDOW_PART: f64 = 0.3;
-/// Part of the goal that the worst class counts for.
+/// Weight of the worst class in the goal.
 const WORST_CLASS_PART: f64 = 0.2;
-/// Quantiles of latency that a report has.
+/// Latency quantiles in a report.
 const LATENCY_QUANTILES: [f64; 3] = [0.5, 0.9, 0.99];
 
-/// Priority weight of requests. Printed as a pair.
+/// Priority weight of requests. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct WeightTotals {
@@ -32,7 +32,7 @@
 }
 
 impl WeightTotals {
-    /// Share of the weight that was earned; 1 where there was none.
+    /// Share of the weight that was earned; 1 if none was offered.
     fn served_share(self) -> f64 {
         if self.offered > 0.0 {
             self.served / self.offered
@@ -60,24 +60,24 @@
 pub struct ClassReport {
     /// Its name.
     pub name: String,
-    /// Requests that arrived, each counted once however often its client retried it.
+    /// Requests that arrived; retries are not counted again.
     pub offered: u64,
     /// Served within the latency objective.
     pub in_time: u64,
-    /// Served after it.
+    /// Served after the latency objective.
     pub late: u64,
     /// Rejected, and not retried successfully.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Failed, or without an answer.
     pub failed: u64,
-    /// Priority weight that was offered and that was served.
+    /// Priority weight that was offered, and that was earned.
     pub priority_weight: WeightTotals,
     /// Quantiles of the latency of served requests (ms): 0.5, 0.9, 0.99.
     pub millis: [f64; 3],
 }
 
-/// Shares of the priority weight that were served, each 0 to 1. Printed as an array.
+/// Shares of the priority weight that were served, each 0 to 1. Serialized as an array.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 3]")]
 pub struct ServedShares {
@@ -95,13 +95,13 @@
     }
 }
 
-/// What is taken off the goal. Printed as an array.
+/// Deductions from the goal. Serialized as an array.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 3]")]
 pub struct Prices {
     /// For attempts in another zone.
     pub cross_zone: f64,
-    /// For work that served nobody.
+    /// For wasted work.
     pub wasted_work: f64,
     /// For new connections.
     pub connections: f64,
@@ -113,31 +113,32 @@
     }
 }
 
-/// What a run came to.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Half of the weight served, 0.3 of the worst ten seconds, 0.2 of the worst class, less the prices.
+    /// 0.5 of the share served, plus 0.3 of that in the worst ten seconds, plus 0.2 of that in the worst
+    /// class, minus the prices.
     pub goal: f64,
     /// Shares of the weight that were served.
     pub served: ServedShares,
-    /// What is taken off the goal.
+    /// Deductions from the goal.
     pub prices: Prices,
     /// By class.
     pub classes: Vec<ClassReport>,
-    /// Attempts for each request.
+    /// Attempts per request.
     pub attempts: f64,
-    /// What all coordinators sent to a warming engine in one window, where that came nearest to too much.
+    /// The load on a warming engine with the largest excess over its budget.
     #[serde(rename = "ramp")]
     pub warmup_load: Option<WarmupLoad>,
-    /// How often rules were broken.
+    /// Number of all violations.
     #[serde(rename = "broken")]
     pub violation_count: u64,
     /// The first violations.
     #[serde(rename = "first")]
     pub violations: Vec<Violation>,
-    /// Events that were played.
+    /// Number of events processed.
     pub events: u64,
-    /// Hash of all that happened: two runs that differ anywhere differ here.
+    /// Hash of everything that happened; runs that differ anywhere differ here.
     #[serde(rename = "sum")]
     pub fingerprint: u64,
 }
@@ -145,9 +146,9 @@
 /// Counts and hashes the events of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTrace {
-    /// Events that were played.
+    /// Number of events processed.
     pub events: u64,
-    /// Hash of all that happened so far.
+    /// Hash of everything that happened so far.
     pub fingerprint: u64,
 }
 
@@ -162,11 +163,11 @@
 /// What the auditor found in a run.
 #[derive(Clone, Debug, Default)]
 pub struct AuditResult {
-    /// How often rules were broken.
+    /// Number of all violations.
     pub violation_count: u64,
     /// The first violations.
     pub violations: Vec<Violation>,
-    /// The warming engine that was sent most, beside what settings allow.
+    /// The load on a warming engine with the largest excess over its budget.
     pub warmup_load: Option<WarmupLoad>,
 }
 
@@ -187,12 +188,12 @@
     pub connections: u64,
     /// Work of all requests (ms).
     work: f64,
-    /// Work that served nobody (ms).
+    /// Work of queries that did not finish or whose results were not used (ms).
     pub wasted_work: f64,
 }
 
 impl Tally {
-    /// A tally over classes of these names.
+    /// Creates a tally for classes with these names.
     pub fn new(names: impl Iterator<Item = String>) -> Self {
         let classes: Vec<_> = names.map(|name| ClassReport { name, ..ClassReport::default() }).collect();
         Self { latencies: vec![Vec::new(); classes.len()], classes, ..Self::default() }
@@ -210,7 +211,7 @@
         self.work += work;
     }
 
-    /// A request was served and earned this weight.
+    /// A request was served and earned `priority_weight`.
     pub fn request_served(
         &mut self,
         arrived: Micros,
@@ -226,7 +227,7 @@
         self.latencies[class].push(seconds(now - arrived));
     }
 
-    /// The report of the run, once it is over.
+    /// Creates the report at the end of the run.
     #[must_use]
     pub fn into_report(mut self, audit: AuditResult, trace: RunTrace) -> Report {
         self.fill_latencies();
--- a/crates/simulator/src/scenario/classes.rs
+++ b/crates/simulator/src/scenario/classes.rs
@@ -9,17 +9,17 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its part of the requests, relative to the other classes.
+    /// Its share of the requests, relative to the other classes.
     pub share: f64,
     /// Mean work (ms of one thread).
     pub work_ms: f64,
     /// Coefficient of variation of the work.
     #[serde(rename = "cv")]
     pub work_cv: f64,
-    /// Share of the work on disks.
+    /// Share of the work that is done on disks.
     #[serde(rename = "io")]
     pub io_share: f64,
-    /// Threads.
+    /// Number of threads.
     pub threads: f64,
     /// Mean memory (MB).
     pub memory_mb: f64,
@@ -29,13 +29,13 @@
     /// ... plus this times work over threads.
     #[serde(rename = "stretch")]
     pub objective_stretch: f64,
-    /// How long a client waits in all (s).
+    /// How long a client waits in total, including retries (s).
     #[serde(rename = "deadline_s")]
     pub client_timeout_s: f64,
-    /// What a request is worth when served in time.
+    /// Weight that a request earns when served in time.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the weight after the objective.
+    /// Share of the weight that it earns when served after the objective.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
     /// Whether it may run more than once.
@@ -55,13 +55,13 @@
 /// Whether a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// It may run any number of times.
     #[serde(rename = "repeatable")]
     Always,
-    /// Engines drop repeats of a key for a while.
+    /// Engines drop repeats with the same key within the dedup window.
     #[serde(rename = "keyed")]
     WithKey,
-    /// Once only.
+    /// It must run at most once.
     #[serde(rename = "once")]
     Never,
 }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Scenarios: sizes, traffic, network and faults of a run. Every value has a default, so a file names what differs.
+//! Scenarios: sizes, traffic, network and faults of a run. Every value has a default, so a file needs to list
+//! only the differences.
 
 mod classes;
 mod faults;
@@ -13,7 +14,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a scenario was not accepted.
+/// Why a scenario is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ScenarioError {
     /// The file is not TOML, or has a key or a type that scenarios do not have.
@@ -26,9 +27,9 @@
         key: &'static str,
         /// Its value.
         value: f64,
-        /// The least that is allowed.
+        /// The smallest allowed value.
         least: f64,
-        /// The most that is allowed.
+        /// The largest allowed value.
         most: f64,
     },
     /// The list of classes is empty.
@@ -42,66 +43,67 @@
 pub struct Scenario {
     /// How long requests arrive (s).
     pub seconds: f64,
-    /// Coordinators.
+    /// Number of coordinators.
     pub coordinators: usize,
-    /// Engines at the start.
+    /// Number of engines.
     pub engines: usize,
-    /// Work that clients request, over what all cores do.
+    /// Work that clients request, relative to the capacity of all cores.
     pub load: f64,
     /// Coefficient of variation of the coordinators' shares of the requests.
     #[serde(rename = "uneven")]
     pub traffic_cv: f64,
-    /// Zones; coordinators and engines are spread over them in turn.
+    /// Number of zones; coordinators and engines are assigned to them in turn.
     #[serde(rename = "halls")]
     pub zones: usize,
-    /// One way inside a zone (ms).
+    /// Mean one-way network delay within a zone (ms).
     #[serde(rename = "same_ms")]
     pub same_zone_ms: f64,
-    /// One way between zones (ms).
+    /// Mean one-way network delay between zones (ms).
     #[serde(rename = "cross_ms")]
     pub cross_zone_ms: f64,
-    /// What opening a connection takes in addition (ms).
+    /// Additional delay for opening a connection (ms).
     pub handshake_ms: f64,
-    /// When a connect that nobody answers ends (ms).
+    /// Timeout of a connect that is not answered (ms).
     pub connect_ms: f64,
-    /// Mean time from a change of an engine until discovery has told a coordinator (ms).
+    /// Mean time from a change of an engine until discovery notifies a coordinator (ms).
     #[serde(rename = "list_ms")]
     pub discovery_ms: f64,
-    /// From the end of an engine that does not answer until discovery knows (s). Read, and not used by the model.
+    /// Time from the silent failure of an engine until discovery notices it (s). Accepted in files, but not
+    /// used by the model.
     pub silent_s: f64,
     /// Interval of the load reports of engines (ms).
     pub report_ms: f64,
     /// Interval of the progress reports of running queries (ms).
     #[serde(rename = "note_ms")]
     pub progress_ms: f64,
-    /// Groups of tables; 0 stands for two for each engine.
+    /// Number of table groups; 0 means two per engine.
     #[serde(rename = "groups")]
     pub table_groups: u64,
-    /// How unevenly groups are used: the exponent of Zipf's law.
+    /// Skew of the use of table groups: the exponent of Zipf's law.
     pub zipf: f64,
-    /// Error of the declared work: the coefficient of variation of its log-normal factor.
+    /// Error of the declared work: coefficient of variation of its log-normal factor.
     pub estimate_noise: f64,
     /// Coefficient of variation of the speed of engines.
     pub speed_cv: f64,
-    /// Retries of a client.
+    /// Maximum number of retries of a client.
     pub retries: u32,
-    /// A client's pause before a retry, where it does not honour Retry-After (ms).
+    /// A client's delay before a retry if it does not honour Retry-After (ms).
     pub backoff_ms: f64,
     /// Share of clients that honour Retry-After.
     #[serde(rename = "honour")]
     pub retry_after_honoured: f64,
-    /// Mean time until a coordinator that crashed is up again (s).
+    /// Mean time until a crashed coordinator is up again (s).
     pub restart_s: f64,
     /// The longest time until a client notices that its coordinator crashed (s).
     pub notice_s: f64,
     /// How long attempts may still be sent to an engine that drains (s).
     pub grace_s: f64,
-    /// What engines are made of.
+    /// The parameters of engines.
     pub engine: EngineSpec,
     /// Classes of requests; the default has look-ups, reports and loads.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// What goes wrong.
+    /// The faults to inject.
     #[serde(rename = "trouble")]
     pub faults: Vec<Fault>,
 }
@@ -141,10 +143,10 @@
 }
 
 impl Scenario {
-    /// Reads a file's text.
+    /// Parses the text of a scenario file.
     ///
     /// # Errors
-    /// Where the text is not a scenario or a value is out of range.
+    /// Returns an error if the text is not a scenario or a value is out of range.
     pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = from_toml(text)?;
         scenario.validate()?;
@@ -166,7 +168,7 @@
         self.faults.iter().try_for_each(|fault| check_range("trouble part", fault.share, 0.0, 1.0))
     }
 
-    /// Groups of tables: two for each engine unless the scenario says otherwise.
+    /// Number of table groups: two per engine unless the scenario sets it.
     #[must_use]
     pub fn table_group_count(&self) -> u64 {
         if self.table_groups > 0 {
--- a/crates/simulator/src/scenario/settings.rs
+++ b/crates/simulator/src/scenario/settings.rs
@@ -4,13 +4,13 @@
 use crate::report::{CONNECTION_PRICE, CROSS_ZONE_PRICE};
 use dahliaspoke::policy::{ClassSettings, DedupScope, KindSettings, Settings};
 
-/// Operators declare a little less initial capacity than engines have, and a longer warm-up.
+/// Declared initial capacity over the real one: operators declare a little less, and a longer warm-up.
 const DECLARED_INITIAL_CAPACITY: f64 = 0.85;
 /// Declared warm-up over the real one.
 const DECLARED_WARMUP: f64 = 1.2;
-/// Retry-After of a rejection, at the most (s).
+/// Maximum Retry-After of a rejection (s).
 const MAX_RETRY_AFTER_S: f64 = 0.5;
-/// Attempts of one request.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 4;
 /// Granularity of timers (s).
 const TICK_S: f64 = 0.005;
--- a/crates/simulator/src/sockets/http.rs
+++ b/crates/simulator/src/sockets/http.rs
@@ -7,13 +7,13 @@
 
 /// An answer.
 pub(super) struct HttpAnswer {
-    /// What it says.
+    /// The outcome of the request.
     pub response: Response,
-    /// Whether the connection goes on.
+    /// Whether the connection can be reused.
     pub keep_alive: bool,
 }
 
-/// What the load generator reads of the fields of an answer.
+/// The header fields of an answer that the load generator uses.
 struct AnswerFields {
     content_length: usize,
     keep_alive: bool,
@@ -26,14 +26,14 @@
 }
 
 impl HttpConnection {
-    /// Connects; `None` where nobody listens.
+    /// Connects; `None` if that fails.
     pub(super) fn open(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Self { stream: BufReader::new(stream) })
     }
 
-    /// Sends a request and reads its answer; `None` where the connection ends or the answer is malformed.
+    /// Sends a request and reads its answer; `None` if the connection ends or the answer is malformed.
     pub(super) fn exchange(&mut self, request: &[u8]) -> Option<HttpAnswer> {
         self.stream.get_mut().write_all(request).ok()?;
         let status = self.read_status()?;
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -1,5 +1,5 @@
-//! The load generator on sockets: carries out what a driver decides against the HTTP listeners of coordinators. Loopback
-//! only, by construction: any other address is refused before a byte is sent.
+//! The load generator on sockets: sends a driver's requests to the HTTP listeners of coordinators. Loopback
+//! only, by construction: any other address is rejected before a byte is sent.
 
 mod http;
 mod target;
@@ -21,15 +21,15 @@
     response: Response,
 }
 
-/// Carries out what a driver decides until it is over, or until this long after the last send. Each connection has a
-/// thread that does nothing but wait for its answer, so that one that is slow delays no other.
+/// Sends a driver's requests until it is done, or until `answer_timeout` after the last send. Each connection
+/// has its own thread, which waits for the answer, so that a slow connection does not delay the others.
 #[must_use]
-pub fn run(mut driver: Driver, target: &Target, patience: Duration) -> Driver {
+pub fn run(mut driver: Driver, target: &Target, answer_timeout: Duration) -> Driver {
     let (answer_sender, answers) = channel::<Answer>();
     let mut workers: HashMap<usize, Sender<OutgoingTry>> = HashMap::new();
-    let began = Instant::now();
-    let since = |at: Instant| at.saturating_duration_since(began).as_micros() as Micros;
-    let mut last_send = began;
+    let started = Instant::now();
+    let since = |at: Instant| at.saturating_duration_since(started).as_micros() as Micros;
+    let mut last_send = started;
     while !driver.is_over() {
         for outgoing in driver.poll(since(Instant::now())) {
             last_send = Instant::now();
@@ -40,10 +40,12 @@
             }
         }
         let until_next = |at: Micros| Duration::from_micros(at.saturating_sub(since(Instant::now())));
-        let next = driver.next().map_or(patience, until_next);
-        match answers.recv_timeout(next.min(patience)) {
+        let next = driver.next().map_or(answer_timeout, until_next);
+        match answers.recv_timeout(next.min(answer_timeout)) {
             Ok(answer) => driver.answered(since(answer.at), answer.outgoing, answer.response),
-            Err(RecvTimeoutError::Timeout) if driver.next().is_none() && last_send.elapsed() > patience => {
+            Err(RecvTimeoutError::Timeout)
+                if driver.next().is_none() && last_send.elapsed() > answer_timeout =>
+            {
                 break;
             }
             Err(_) => {}
@@ -71,12 +73,13 @@
     sender
 }
 
-/// Sends a request on a connection, a new one if there is none, and reads the answer. The connection stays if it may.
+/// Sends a request on a connection, which is opened if there is none, and reads the answer. Keeps the
+/// connection if it can be reused.
 fn exchange(connection: &mut Option<HttpConnection>, address: SocketAddr, request: &[u8]) -> Response {
-    let mut present = connection.take().or_else(|| HttpConnection::open(address));
-    let Some(answer) = present.as_mut().and_then(|present| present.exchange(request)) else {
+    let mut current = connection.take().or_else(|| HttpConnection::open(address));
+    let Some(answer) = current.as_mut().and_then(|current| current.exchange(request)) else {
         return Response::Failed;
     };
-    *connection = present.filter(|_| answer.keep_alive);
+    *connection = current.filter(|_| answer.keep_alive);
     answer.response
 }
--- a/crates/simulator/src/sockets/target.rs
+++ b/crates/simulator/src/sockets/target.rs
@@ -1,4 +1,4 @@
-//! Where the load generator sends its requests, and what they are.
+//! Where the load generator sends its requests, and their contents.
 
 use crate::load::{Driver, Mode, OutgoingTry, RetryBehaviour};
 use crate::Micros;
@@ -6,36 +6,36 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Groups of tables that requests use.
+/// Number of table groups that requests use.
 const TABLE_GROUPS: u64 = 16;
 
-/// Why a target was not accepted.
+/// Why a target is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TargetError {
     /// An address is not on loopback.
     #[error("{0} is not on loopback, and nothing is sent there")]
     NotOnLoopback(SocketAddr),
     /// There is no address, or no class.
-    #[error("there is nobody to send to, or nothing to send")]
+    #[error("no address to send to, or no class to send")]
     Empty,
 }
 
-/// One class of what is sent.
+/// One class of requests to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficClass {
     /// Its name, the last part of the path.
     pub name: String,
-    /// Its part of the requests, relative to the other classes.
+    /// Its share of the requests, relative to the other classes.
     pub share: f64,
     /// How long a client waits (ms).
     pub timeout_ms: u64,
-    /// What its requests declare of the work (ms).
+    /// Work that its requests declare (ms).
     pub work_ms: f64,
     /// Whether its requests have an idempotency key.
     pub has_key: bool,
 }
 
-/// Where requests go, and what they are.
+/// Where requests are sent, and their contents.
 #[derive(Clone, Debug)]
 pub struct Target {
     addresses: Vec<SocketAddr>,
@@ -44,10 +44,11 @@
 }
 
 impl Target {
-    /// Coordinators by the addresses of their HTTP listeners; connections go to them in turn.
+    /// Creates a target from the addresses of coordinators' HTTP listeners; connections are spread over them
+    /// in turn.
     ///
     /// # Errors
-    /// Where an address is not on loopback, or there is none, or no class.
+    /// Returns an error if an address is not on loopback, or if there is no address or no class.
     pub fn new(
         addresses: Vec<SocketAddr>,
         classes: Vec<TrafficClass>,
@@ -81,7 +82,7 @@
         class.unwrap_or_default()
     }
 
-    /// A driver for a schedule that counts by class.
+    /// Creates a driver for a schedule, with figures by class.
     #[must_use]
     pub fn driver(
         &self,
@@ -94,12 +95,12 @@
         Driver::new(schedule, mode, behaviour, connections).by_class(self.names(), class_of)
     }
 
-    /// The coordinator that a connection goes to.
+    /// The coordinator that a connection is opened to.
     pub(super) fn address_of(&self, connection: usize) -> SocketAddr {
         self.addresses[connection % self.addresses.len()]
     }
 
-    /// The bytes of a try: its id is new, its key that of the request.
+    /// The bytes of a try: its id is unique, its key is the same for all tries of the request.
     pub(super) fn request_bytes(&self, outgoing: OutgoingTry) -> Vec<u8> {
         let draw = split_mix(self.seed ^ outgoing.request as u64);
         let class = &self.classes[self.class_of(outgoing.request)];
@@ -113,7 +114,7 @@
         );
         if class.has_key {
             let _ = write!(head, "X-Unique: {draw:016x}{:016x}\r\n", outgoing.request);
-            // a String takes all
+            // writing to a String cannot fail
         }
         if outgoing.retry > 0 {
             head += "X-Again: 1\r\n";
@@ -122,7 +123,7 @@
     }
 }
 
-/// One step of `SplitMix64`: numbers that look drawn, from one that counts.
+/// One step of `SplitMix64`: a pseudorandom number from a counter.
 fn split_mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/simulator/src/standin/directory.rs
+++ b/crates/simulator/src/standin/directory.rs
@@ -14,13 +14,13 @@
 const TYPE_TXT: u16 = 16;
 /// Record type of services.
 const TYPE_SRV: u16 = 33;
-/// Bytes of a header.
+/// Length of a header (bytes).
 const HEADER_BYTES: usize = 12;
-/// Bytes of the type and class behind the name of a question.
+/// Length of the type and class after the name of a question (bytes).
 const QUESTION_TAIL_BYTES: usize = 4;
 /// Flags of an answer: response, authoritative.
 const ANSWER_FLAGS: [u8; 2] = [0x84, 0];
-/// Bytes of a query, at the most.
+/// Maximum length of a query (bytes).
 const MAX_QUERY_BYTES: usize = 512;
 
 /// An engine as the directory lists it.
@@ -30,25 +30,25 @@
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Whether it drains.
     pub drains: bool,
-    /// Unix milliseconds of a late start, or 0.
+    /// Time of its last restart (Unix ms); 0 if it has not restarted.
     pub started_ms: u64,
 }
 
 /// What the directory lists.
 #[derive(Clone)]
 struct Listing {
-    /// Number of the last change.
+    /// Serial number, which increases with each change.
     serial: u32,
     entries: Vec<DirectoryEntry>,
 }
 
 /// A directory on loopback.
 pub struct Directory {
-    /// Where it answers.
+    /// The address on which it answers.
     pub address: SocketAddr,
     listing: Arc<Mutex<Listing>>,
 }
@@ -57,7 +57,7 @@
     /// Starts a directory that lists these engines.
     ///
     /// # Errors
-    /// Where no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start(entries: Vec<DirectoryEntry>) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let address = socket.local_addr()?;
@@ -80,12 +80,12 @@
     while let Ok((length, from)) = socket.recv_from(&mut buffer) {
         let Listing { serial, entries } = lock(listing).clone();
         if let Some(answer) = directory_answer(&buffer[..length], serial, &entries) {
-            let _ = socket.send_to(&answer, from); // the coordinator asks again
+            let _ = socket.send_to(&answer, from); // the coordinator will ask again
         }
     }
 }
 
-/// The answer to a query for the list, with all engines and a serial; `None` to any other query.
+/// The answer to a query for the list, with all engines and the serial; `None` for any other query.
 #[must_use]
 pub fn directory_answer(query: &[u8], serial: u32, entries: &[DirectoryEntry]) -> Option<Vec<u8>> {
     let name = labels(SERVICE);
@@ -128,14 +128,14 @@
     [owner, &record_type.to_be_bytes(), &class_and_ttl, &length.to_be_bytes(), data].concat()
 }
 
-/// A domain name as labels, each with its length.
+/// A domain name as labels, each preceded by its length.
 fn labels(name: &str) -> Vec<u8> {
     let mut labels: Vec<u8> = name.split('.').flat_map(character_string).collect();
     labels.push(0);
     labels
 }
 
-/// A text with its length in front.
+/// A text preceded by its length.
 fn character_string(text: &str) -> Vec<u8> {
     [&[text.len() as u8], text.as_bytes()].concat()
 }
--- a/crates/simulator/src/standin/engine_server.rs
+++ b/crates/simulator/src/standin/engine_server.rs
@@ -1,4 +1,4 @@
-//! Engines of the model on the platform's wire, in real time.
+//! Engines of the model, served over the platform's wire protocol in real time.
 
 use super::lock;
 use super::wire::{read_command, AnswerWriter};
@@ -15,13 +15,13 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// The longest that an engine's clock sleeps; a change wakes it sooner.
+/// Longest wait of an engine's clock thread, which a change wakes sooner, and of a read on a connection.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
 /// Coefficient of variation of the memory that queries need.
 const MEMORY_CV: f64 = 0.5;
-/// Priority of queries that name none.
+/// Priority of queries that specify none.
 const DEFAULT_PRIORITY: u8 = 1;
-/// Table group of queries that name none.
+/// Table group of queries that specify none.
 const NO_TABLE_GROUP: i64 = -1;
 /// The rows that every query returns.
 const ROWS: &str = "1\t2\t3\n";
@@ -34,7 +34,7 @@
 
 struct State {
     engine: Engine,
-    /// Queries by the tags that the engine knows them by.
+    /// Queries by their tags in the engine.
     open: HashMap<u64, OpenQuery>,
     last_tag: u64,
 }
@@ -42,28 +42,28 @@
 struct Shared {
     state: Mutex<State>,
     changed: Condvar,
-    began: Instant,
-    /// Grows when the engine is killed: connections of an earlier incarnation end.
+    started: Instant,
+    /// Incremented when the engine is killed; connections of earlier incarnations end.
     incarnation: AtomicU64,
     up: AtomicBool,
     classes: Vec<Class>,
     served: AtomicU64,
 }
 
-/// An engine on the platform's wire.
+/// An engine served over the platform's wire protocol.
 pub struct EngineServer {
     /// Its id.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl EngineServer {
-    /// Starts an engine that has all of its capacity.
+    /// Starts an engine with its full capacity.
     ///
     /// # Errors
-    /// Where no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start(id: &str, spec: EngineSpec, classes: Vec<Class>) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -71,7 +71,7 @@
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             changed: Condvar::new(),
-            began: Instant::now(),
+            started: Instant::now(),
             incarnation: AtomicU64::new(0),
             up: AtomicBool::new(true),
             classes,
@@ -94,7 +94,7 @@
         state.open.clear();
     }
 
-    /// Starts it again, to warm up.
+    /// Restarts it with a warm-up.
     pub fn restart(&self) {
         let now = self.shared.now();
         lock(&self.shared.state).engine.restart(now);
@@ -108,7 +108,7 @@
     }
 }
 
-/// Serves each connection on a thread; those to an engine that is down end at once.
+/// Serves each connection on a thread; connections to an engine that is down are closed immediately.
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
     for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
         let shared = shared.clone();
@@ -120,7 +120,7 @@
 
 impl Shared {
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
     /// Answers queries as they finish, and sleeps until the next one does.
@@ -146,7 +146,7 @@
         let incarnation = self.incarnation.load(Ordering::SeqCst);
         stream.set_read_timeout(Some(MAX_SLEEP)).ok()?;
         let writer = AnswerWriter::new(stream.try_clone().ok()?);
-        let stream = IncarnationStream { stream, present: &self.incarnation, incarnation };
+        let stream = IncarnationStream { stream, current: &self.incarnation, incarnation };
         let mut reader = BufReader::new(stream);
         while let Some(command) = read_command(&mut reader) {
             if self.handle(&command, connection, &writer).is_none() {
@@ -159,10 +159,10 @@
         Some(())
     }
 
-    /// Handles a command; `None` where there is none of that name.
+    /// Handles a command; `None` if it is unknown or malformed.
     fn handle(&self, command: &[String], connection: u64, writer: &AnswerWriter) -> Option<()> {
         match command[0].as_str() {
-            "GET" if command.len() == 4 => self.begin(command, connection, writer),
+            "GET" if command.len() == 4 => self.start_query(command, connection, writer),
             "DROP" | "CLOSE" if command.len() >= 2 => {
                 self.cancel(|query| query.connection == connection && query.id == command[1]);
             }
@@ -189,8 +189,8 @@
 
     fn set_priority(&self, connection: u64, id: &str, priority: u8) {
         let mut state = lock(&self.state);
-        let is_it = |query: &OpenQuery| query.connection == connection && query.id == id;
-        let tag = state.open.iter().find(|(_, query)| is_it(query)).map(|(tag, _)| *tag);
+        let is_target = |query: &OpenQuery| query.connection == connection && query.id == id;
+        let tag = state.open.iter().find(|(_, query)| is_target(query)).map(|(tag, _)| *tag);
         if let Some(tag) = tag {
             let now = self.now();
             state.engine.set_priority(now, tag, priority);
@@ -198,7 +198,7 @@
     }
 
     /// Starts the query of a `GET` command: its id, its fields and its text.
-    fn begin(&self, command: &[String], connection: u64, writer: &AnswerWriter) {
+    fn start_query(&self, command: &[String], connection: u64, writer: &AnswerWriter) {
         let (id, fields) = (&command[1], &command[2]);
         let name = field(fields, "sort");
         let Some(class) = self.classes.iter().find(|class| Some(class.name.as_str()) == name) else {
@@ -218,7 +218,7 @@
     }
 }
 
-/// The job of a `GET` command. A request draws the same work on every engine.
+/// The job of a `GET` command. A request has the same work on every engine.
 fn job(tag: u64, class: &Class, command: &[String]) -> Job {
     let (id, fields, text) = (&command[1], &command[2], &command[3]);
     let mix = |sum: u64, byte: u8| sum.wrapping_mul(31).wrapping_add(u64::from(byte));
@@ -245,7 +245,7 @@
     pairs.find(|(own, _)| *own == name).map(|(_, value)| value)
 }
 
-/// The fields of an answer with rows: how many, and the engine's load.
+/// The fields of an answer with rows: the number of rows and the engine's load.
 fn load_report_fields(engine: &Engine) -> String {
     let report = engine.report();
     format!(
@@ -260,14 +260,14 @@
 /// A stream that ends when the engine is killed.
 struct IncarnationStream<'a> {
     stream: TcpStream,
-    present: &'a AtomicU64,
+    current: &'a AtomicU64,
     /// The incarnation that accepted the connection.
     incarnation: u64,
 }
 
 impl Read for IncarnationStream<'_> {
     fn read(&mut self, into: &mut [u8]) -> std::io::Result<usize> {
-        while self.present.load(Ordering::SeqCst) == self.incarnation {
+        while self.current.load(Ordering::SeqCst) == self.incarnation {
             match self.stream.read(into) {
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 result => return result,
--- a/crates/simulator/src/toml_file.rs
+++ b/crates/simulator/src/toml_file.rs
@@ -1,22 +1,22 @@
-//! TOML files with errors of one line.
+//! TOML files, with one-line errors.
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why a TOML text was not accepted.
+/// Why a TOML text could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: {message}")]
 pub struct TomlError {
-    /// The line at fault, counted from 1.
+    /// The line with the error, counted from 1.
     pub line: usize,
     /// The first line of the parser's message.
     pub message: String,
 }
 
-/// Reads a TOML text.
+/// Parses a TOML text.
 ///
 /// # Errors
-/// Where the text is not TOML or does not have the fields of the type.
+/// Returns an error if the text is not TOML or does not match the fields of the type.
 pub fn from_toml<T: DeserializeOwned>(text: &str) -> Result<T, TomlError> {
     toml::from_str(text).map_err(|error| {
         let offset = error.span().map_or(0, |span| span.start);
--- a/crates/simulator/src/trial/coordinator.rs
+++ b/crates/simulator/src/trial/coordinator.rs
@@ -13,10 +13,11 @@
 /// What the daemon prints once it listens, with its address as the last word.
 const READY_MARK: &str = "listens on";
 
-/// The daemon's program: beside this one, where a build of the workspace puts both. It is built if it is not there.
+/// The daemon's executable: next to this one, where a build of the workspace puts both. It is built if it
+/// does not exist.
 ///
 /// # Errors
-/// Where it cannot be built, with the command that does.
+/// Returns an error if it cannot be built, with the command that builds it.
 pub fn program() -> Result<PathBuf, TrialError> {
     let own = std::env::current_exe()?;
     let path = own.with_file_name("dahliaspoke");
@@ -37,19 +38,19 @@
     }
 }
 
-/// What all coordinators of a trial have in common.
+/// The parameters that all coordinators of a trial share.
 pub(super) struct CoordinatorSetup {
-    /// The daemon's program.
+    /// The daemon's executable.
     pub program: PathBuf,
-    /// Where configurations are written.
+    /// The folder for configuration files.
     pub folder: PathBuf,
-    /// Where the directory answers.
+    /// The address of the directory.
     pub directory: SocketAddr,
     /// The engines that the configuration lists.
     pub engines: Vec<DirectoryEntry>,
 }
 
-/// A coordinator that runs. It is killed when it is dropped.
+/// A running coordinator, which is killed on drop.
 pub(super) struct Coordinator {
     child: Child,
     /// The address of its HTTP listener.
@@ -58,7 +59,7 @@
 
 impl Drop for Coordinator {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.kill(); // it may have exited already
         let _ = self.child.wait();
     }
 }
@@ -88,7 +89,8 @@
     }
 }
 
-/// Waits for the line that names the coordinator's address. Later lines are read and dropped, or it would block.
+/// Waits for the line with the coordinator's address. Later lines are read and discarded, or the coordinator
+/// would block.
 fn wait_until_ready(child: &mut Child, name: &str) -> Result<SocketAddr, TrialError> {
     let stdout = child.stdout.take().ok_or(TrialError::NoOutput)?;
     let mut lines = BufReader::new(stdout).lines().map_while(Result::ok);
--- a/crates/simulator/src/trial/mod.rs
+++ b/crates/simulator/src/trial/mod.rs
@@ -1,5 +1,5 @@
-//! A trial: a directory, engines, two coordinators that are the real program, load, and a kill of each in the middle. It
-//! starts from nothing and leaves nothing.
+//! A trial: a directory, engines, two coordinators that are the real program, load, and a kill of an engine
+//! and of a coordinator in the middle. It creates everything it needs and removes it afterwards.
 
 mod coordinator;
 mod error;
@@ -19,29 +19,30 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Engines.
+/// Number of engines.
 const ENGINES: usize = 4;
-/// Cores of each engine: a small machine carries all of them.
+/// Cores of each engine; few, so that a small machine can run the trial.
 const CORES: f64 = 4.0;
 /// The zone of all engines.
 const ZONE: &str = "hall-0";
-/// Connections of the load generator, at the most.
+/// Maximum number of connections of the load generator.
 const CONNECTIONS: usize = 600;
-/// How long the last answers are waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long the load generator waits for the last answers.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 /// When the engine is killed, as a share of the trial.
 const ENGINE_KILL: f64 = 0.35;
-/// From the kill of the engine to its restart, and from there to the kill of the coordinator.
+/// Time from the kill of the engine to its restart, and from there to the kill of the coordinator, as a share
+/// of the trial.
 const BETWEEN_FAULTS: f64 = 0.1;
-/// From the kill of the coordinator to its restart.
+/// Time from the kill of the coordinator to its restart, as a share of the trial.
 const COORDINATOR_DOWN: f64 = 0.05;
 
-/// What a trial consists of.
+/// The parameters of a trial.
 #[derive(Clone, Copy, Debug)]
 pub struct TrialParameters {
     /// How long load is sent (s).
     pub seconds: f64,
-    /// Load, as a share of what all engines do.
+    /// Load, as a share of the capacity of all engines.
     pub load: f64,
     /// Seed of the requests.
     pub seed: u64,
@@ -55,35 +56,35 @@
     pub queries: u64,
 }
 
-/// What a trial came to. It prints as a table.
+/// The results of a trial. [`Display`](std::fmt::Display) prints them as a table.
 pub struct TrialOutcome {
-    /// Of all requests.
+    /// The summary of all requests.
     pub summary: Summary,
-    /// Queries by engine.
+    /// Queries served, by engine.
     pub served: Vec<EngineTotal>,
 }
 
-/// The stand-ins of a trial.
-struct Site {
+/// The stand-ins of a trial, and the parameters of its coordinators.
+struct Testbed {
     engines: Vec<EngineServer>,
     directory: Directory,
     setup: CoordinatorSetup,
 }
 
-/// Plays a trial; `announce` is given a line for each thing that happens.
+/// Runs a trial; `announce` is called with a line for each step.
 ///
 /// # Errors
-/// Where the daemon or a stand-in cannot be started.
+/// Returns an error if the daemon or a stand-in cannot be started.
 pub fn play(parameters: TrialParameters, announce: impl Fn(&str) + Sync) -> Result<TrialOutcome, TrialError> {
     let program = program()?;
     let folder = std::env::temp_dir().join(format!("dahliaspoke-trial-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
-    let outcome = Site::start(&program, &folder).and_then(|site| site.play(parameters, announce));
-    let _ = std::fs::remove_dir_all(&folder); // a trial leaves nothing
+    let outcome = Testbed::start(&program, &folder).and_then(|site| site.play(parameters, announce));
+    let _ = std::fs::remove_dir_all(&folder); // a failure leaves only temporary files behind
     outcome
 }
 
-impl Site {
+impl Testbed {
     fn start(program: &Path, folder: &Path) -> Result<Self, TrialError> {
         let scenario = Scenario::default();
         let mut spec = scenario.engine.clone();
@@ -117,7 +118,7 @@
         let driver = driver(&target, parameters);
         let driver = std::thread::scope(|scope| {
             let faults = scope.spawn(|| self.inject_faults(second, parameters.seconds, &announce));
-            let driver = run(driver, &target, PATIENCE);
+            let driver = run(driver, &target, ANSWER_TIMEOUT);
             let restarted = faults.join().map_err(|_| TrialError::FaultThread)?;
             restarted.map(|_| driver)
         })?;
@@ -125,7 +126,7 @@
         Ok(TrialOutcome { summary: driver.summary(), served: self.engines.iter().map(total).collect() })
     }
 
-    /// Kills an engine, then a coordinator, and starts both again. Returns the coordinator that was started.
+    /// Kills an engine, then a coordinator, and starts both again. Returns the restarted coordinator.
     fn inject_faults(
         &self,
         coordinator: Coordinator,
@@ -134,13 +135,13 @@
     ) -> Result<Coordinator, TrialError> {
         let sleep = |share: f64| std::thread::sleep(Duration::from_secs_f64(seconds * share));
         sleep(ENGINE_KILL);
-        announce("an engine is killed, and comes back cold");
+        announce("an engine is killed, and restarts with a warm-up");
         self.engines[0].kill();
         sleep(BETWEEN_FAULTS);
         self.engines[0].restart();
         self.directory.change(|entries| entries[0].started_ms = unix_millis());
         sleep(BETWEEN_FAULTS);
-        announce("a coordinator is killed, and starts again");
+        announce("a coordinator is killed, and restarts");
         let listen = coordinator.address.to_string();
         drop(coordinator);
         sleep(COORDINATOR_DOWN);
@@ -177,7 +178,7 @@
     }
 }
 
-/// A driver whose requests ask for the trial's load in the mean.
+/// Creates a driver whose requests amount to the trial's load on average.
 fn driver(target: &Target, parameters: TrialParameters) -> Driver {
     let TrialParameters { seconds, load, seed } = parameters;
     let classes = Scenario::default().classes;
--- a/crates/simulator/src/trial/table.rs
+++ b/crates/simulator/src/trial/table.rs
@@ -1,4 +1,4 @@
-//! The outcome of a trial as a table.
+//! Prints the outcome of a trial as a table.
 
 use super::TrialOutcome;
 use crate::load::{ClassSummary, Summary};
--- a/crates/simulator/src/world/attempts.rs
+++ b/crates/simulator/src/world/attempts.rs
@@ -9,9 +9,9 @@
 use dahliaspoke::policy::{AttemptEnd, Event, Outcome, Progress};
 use rand::Rng;
 
-/// Attempts of one submission beyond which none reaches an engine: the policy would go on for ever.
+/// Attempts of one submission after which no more reach an engine, in case a policy retries forever.
 const MAX_ATTEMPTS: u32 = 100;
-/// The shortest way over the network, over the mean, and how much longer the longest is.
+/// The shortest network delay, and the range from there to the longest, both relative to the mean.
 const NETWORK_JITTER: (f64, f64) = (0.85, 0.3);
 
 impl World<'_> {
@@ -27,10 +27,10 @@
         let number = self.submissions[submission].attempts.len() as u32;
         self.auditor.attempt_sent(self.now, Pair { coordinator, engine }, submission as u64);
         let attempt = self.attempts.len();
-        self.attempts.push(Attempt { submission, number, engine, out: true });
+        self.attempts.push(Attempt { submission, number, engine, in_flight: true });
         self.submissions[submission].attempts.push(attempt);
         if number >= MAX_ATTEMPTS {
-            self.attempts[attempt].out = false; // the auditor has counted it
+            self.attempts[attempt].in_flight = false; // the auditor has recorded it
             return;
         }
         if self.submissions[submission].over || engine >= self.engines.len() {
@@ -40,15 +40,15 @@
         self.tally.attempts += 1;
         self.tally.cross_zone_attempts += u64::from(!same_zone);
         let at =
-            self.now + self.take_connection(coordinator, engine) + self.network_delay(coordinator, engine);
+            self.now + self.acquire_connection(coordinator, engine) + self.network_delay(coordinator, engine);
         self.queue.push(at, ModelEvent::AttemptArrives { attempt });
         let timeout_at = timeout.map_or(Micros::MAX, |timeout| self.now + micros(timeout));
         let until = self.submissions[submission].deadline.min(timeout_at);
         self.queue.push(until, ModelEvent::AttemptTimesOut { attempt });
     }
 
-    /// Takes a connection to an engine; how long it takes to open one where none is free (us).
-    fn take_connection(&mut self, coordinator: usize, engine: usize) -> Micros {
+    /// Acquires a connection to an engine and returns the time to open one (us), 0 if one is free.
+    fn acquire_connection(&mut self, coordinator: usize, engine: usize) -> Micros {
         let connections = &mut self.coordinators[coordinator].connections[engine];
         connections.in_use += 1;
         if connections.in_use <= connections.open {
@@ -63,7 +63,7 @@
         self.coordinators[coordinator].zone == engine % self.scenario.zones
     }
 
-    /// Draws the time of one way between a coordinator and an engine (us).
+    /// Draws the one-way network delay between a coordinator and an engine (us).
     pub(super) fn network_delay(&mut self, coordinator: usize, engine: usize) -> Micros {
         let same_zone = self.is_same_zone(coordinator, engine);
         let mean = if same_zone { self.scenario.same_zone_ms } else { self.scenario.cross_zone_ms };
@@ -71,7 +71,7 @@
         micros(mean / 1000.0 * (shortest + range * self.rng.random::<f64>())).max(1)
     }
 
-    /// Draws the time of one way between an attempt's coordinator and its engine (us).
+    /// Draws the one-way network delay between an attempt's coordinator and its engine (us).
     pub(super) fn network_delay_of(&mut self, attempt: usize) -> Micros {
         self.network_delay(self.coordinator_of(attempt), self.attempts[attempt].engine)
     }
@@ -80,7 +80,7 @@
         self.submissions[self.attempts[attempt].submission].coordinator
     }
 
-    /// Whether an outage of a zone lies between a coordinator and an engine.
+    /// Whether a zone outage separates a coordinator from an engine.
     pub(super) fn is_unreachable(&self, coordinator: usize, engine: usize) -> bool {
         let zones = self.scenario.zones;
         let coordinator = &self.coordinators[coordinator];
@@ -88,21 +88,21 @@
     }
 
     pub(super) fn attempt_arrives(&mut self, attempt: usize) {
-        let Attempt { submission, engine, out, .. } = self.attempts[attempt];
-        if !out {
+        let Attempt { submission, engine, in_flight, .. } = self.attempts[attempt];
+        if !in_flight {
             return;
         }
         let coordinator = self.submissions[submission].coordinator;
-        let back = self.now + self.network_delay(coordinator, engine);
+        let response_at = self.now + self.network_delay(coordinator, engine);
         if self.is_unreachable(coordinator, engine) {
             let at = self.now + micros(self.scenario.connect_ms / 1000.0);
             return self.return_outcome(at, attempt, Outcome::Unreachable);
         }
         if !self.engines[engine].up {
-            return self.return_outcome(back, attempt, Outcome::Unreachable);
+            return self.return_outcome(response_at, attempt, Outcome::Unreachable);
         }
         if self.rng.random::<f64>() < self.engines[engine].error_share {
-            return self.return_outcome(back, attempt, Outcome::Error);
+            return self.return_outcome(response_at, attempt, Outcome::Error);
         }
         let job = self.job(attempt);
         let engine_state = &self.engines[engine];
@@ -110,11 +110,11 @@
         self.auditor.work_arrived(self.now, Pair { coordinator, engine }, job.work, warming_since);
         match self.engines[engine].admit(self.now, job) {
             Admission::Accepted => self.schedule_engine(engine),
-            Admission::Full => self.return_outcome(back, attempt, Outcome::Full),
+            Admission::Full => self.return_outcome(response_at, attempt, Outcome::Full),
             Admission::Overloaded => {
                 let window = self.engines[engine].spec.overload_window_s;
                 self.auditor.engine_overloaded(self.now, engine, window);
-                self.return_outcome(back, attempt, Outcome::Reset);
+                self.return_outcome(response_at, attempt, Outcome::Reset);
                 self.stop_engine(engine);
             }
         }
@@ -143,16 +143,16 @@
     }
 
     pub(super) fn attempt_times_out(&mut self, attempt: usize) {
-        if self.attempts[attempt].out {
+        if self.attempts[attempt].in_flight {
             self.send_cancel(attempt);
             self.end_and_notify(attempt, Outcome::Timeout);
         }
     }
 
-    /// A policy cancels an attempt by its number.
+    /// Cancels an attempt, by its number, for a policy.
     pub(super) fn cancel_attempt(&mut self, submission: usize, number: u32) {
         let attempt = self.submissions[submission].attempts.get(number as usize).copied();
-        if let Some(attempt) = attempt.filter(|attempt| self.attempts[*attempt].out) {
+        if let Some(attempt) = attempt.filter(|attempt| self.attempts[*attempt].in_flight) {
             self.send_cancel(attempt);
             self.end_and_queue(attempt, Outcome::Cancelled);
         }
@@ -177,21 +177,21 @@
     }
 
     pub(super) fn progress_arrives(&mut self, attempt: usize, progress: Progress) {
-        let Attempt { submission, number, out, .. } = self.attempts[attempt];
-        if out && self.is_current(submission) {
+        let Attempt { submission, number, in_flight, .. } = self.attempts[attempt];
+        if in_flight && self.is_current(submission) {
             let id = request_id(submission);
             let event = Event::Progress { id, attempt: number, progress };
             self.notify(self.submissions[submission].coordinator, event);
         }
     }
 
-    /// An attempt ends while its policy decides; the policy is handed the end afterwards.
+    /// Ends an attempt while its policy is handling an event; the policy receives the outcome afterwards.
     fn end_and_queue(&mut self, attempt: usize, outcome: Outcome) {
         let event = self.end_attempt(attempt, outcome);
         self.pending.extend(event);
     }
 
-    /// An attempt ends and its policy is handed the end at once.
+    /// Ends an attempt and immediately passes the outcome to its policy.
     pub(super) fn end_and_notify(&mut self, attempt: usize, outcome: Outcome) {
         let coordinator = self.coordinator_of(attempt);
         if let Some(event) = self.end_attempt(attempt, outcome) {
@@ -199,9 +199,10 @@
         }
     }
 
-    /// What the policy is to be handed; `None` where the attempt has ended before or its coordinator has crashed.
+    /// Ends an attempt and returns the event for its policy; `None` if the attempt had already ended or its
+    /// coordinator has crashed.
     fn end_attempt(&mut self, attempt: usize, outcome: Outcome) -> Option<Event> {
-        if !std::mem::replace(&mut self.attempts[attempt].out, false) {
+        if !std::mem::replace(&mut self.attempts[attempt].in_flight, false) {
             return None;
         }
         let Attempt { submission, number, engine, .. } = self.attempts[attempt];
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they send requests, retry them and give them up.
+//! Clients: they submit requests, retry them and give up.
 
 use super::event::ModelEvent;
 use super::setup::lognormal;
@@ -12,13 +12,14 @@
 
 /// Coefficient of variation of the memory that requests of one class need.
 const MEMORY_CV: f64 = 0.5;
-/// A client that finds no coordinator up submits again after this (us).
-const NO_COORDINATOR_PAUSE: Micros = 100_000;
-/// Clients never retry sooner than after this (us).
-const MIN_RETRY_PAUSE: Micros = 1000;
-/// A coordinator's answer may be this much later than the deadline (s).
+/// Delay before a client that finds no running coordinator submits again (us).
+const NO_COORDINATOR_DELAY: Micros = 100_000;
+/// Minimum delay before a client's retry (us).
+const MIN_RETRY_DELAY: Micros = 1000;
+/// How long after the deadline an answer is still accepted (s).
 const ANSWER_SLACK_S: f64 = 0.02;
-/// Distance between the coordinators that clients turn to in place of their own: a prime, so that all are met.
+/// Distance between the coordinators that a client tries when its own is down; a prime, so that all are
+/// tried.
 const FAILOVER_STRIDE: usize = 7919;
 /// Priority of requests for which the policy has set none.
 const DEFAULT_PRIORITY: u8 = 1;
@@ -26,8 +27,8 @@
 impl World<'_> {
     pub(super) fn schedule_next_request(&mut self, coordinator: usize) {
         let Coordinator { rate, burst, .. } = self.coordinators[coordinator];
-        let Ok(pause) = Exp::new(rate * burst) else { return };
-        let at = self.now + micros(pause.sample(&mut self.traffic_rng)).max(1);
+        let Ok(delay) = Exp::new(rate * burst) else { return };
+        let at = self.now + micros(delay.sample(&mut self.traffic_rng)).max(1);
         if at < self.end {
             self.queue.push(at, ModelEvent::RequestArrives { coordinator });
         }
@@ -81,11 +82,11 @@
     pub(super) fn submit(&mut self, number: usize) {
         let request = &mut self.requests[number];
         if request.over || self.now >= request.deadline {
-            return self.lose_request(number, false);
+            return self.give_up_request(number, false);
         }
         request.submissions += 1;
         let Some(coordinator) = self.reachable_coordinator(self.requests[number].home) else {
-            let at = self.now + NO_COORDINATOR_PAUSE;
+            let at = self.now + NO_COORDINATOR_DELAY;
             return self.queue.push(at, ModelEvent::ClientSubmits { request: number });
         };
         let submission = self.add_submission(number, coordinator);
@@ -129,8 +130,8 @@
         number
     }
 
-    /// A submission was rejected or failed: its client retries it, or gives it up. `retry_after` in seconds.
-    pub(super) fn retry_or_lose(&mut self, submission: usize, rejected: bool, retry_after: Option<f64>) {
+    /// Handles a rejected or failed submission: its client retries or gives up. `retry_after` in seconds.
+    pub(super) fn retry_or_give_up(&mut self, submission: usize, rejected: bool, retry_after: Option<f64>) {
         let number = self.submissions[submission].request;
         let request = &self.requests[number];
         let class = &self.scenario.classes[request.class];
@@ -141,16 +142,16 @@
             Idempotency::Never => rejected,
         };
         let honoured = retry_after.filter(|_| request.honours_retry_after);
-        let pause = honoured.unwrap_or(self.scenario.backoff_ms / 1000.0);
-        let at = self.now + micros(pause).max(MIN_RETRY_PAUSE);
+        let delay = honoured.unwrap_or(self.scenario.backoff_ms / 1000.0);
+        let at = self.now + micros(delay).max(MIN_RETRY_DELAY);
         if may_repeat && request.submissions <= self.scenario.retries && at < request.deadline {
             self.queue.push(at, ModelEvent::ClientSubmits { request: number });
         } else {
-            self.lose_request(number, rejected);
+            self.give_up_request(number, rejected);
         }
     }
 
-    pub(super) fn lose_request(&mut self, number: usize, rejected: bool) {
+    pub(super) fn give_up_request(&mut self, number: usize, rejected: bool) {
         let request = &mut self.requests[number];
         if !std::mem::replace(&mut request.over, true) {
             let class = &mut self.tally.classes[request.class];
@@ -171,17 +172,17 @@
         self.tally.request_served(request.arrived, self.now, request.class, weight, in_time);
     }
 
-    /// The deadline of a submission has passed without an answer: its client goes.
+    /// The deadline of a submission has passed without an answer: its client disconnects.
     pub(super) fn submission_expires(&mut self, submission: usize) {
         if self.submissions[submission].over {
             return;
         }
-        // Its coordinator owed it an answer, which the auditor records.
+        // The auditor tracks deadlines by itself and reports the missing answer.
         self.submissions[submission].over = true;
         let coordinator = self.submissions[submission].coordinator;
         if self.is_current(submission) {
             self.notify(coordinator, Event::ClientGone { id: request_id(submission) });
         }
-        self.lose_request(self.submissions[submission].request, false);
+        self.give_up_request(self.submissions[submission].request, false);
     }
 }
--- a/crates/simulator/src/world/coordinators.rs
+++ b/crates/simulator/src/world/coordinators.rs
@@ -1,4 +1,4 @@
-//! Coordinators: they hand events to their policies, carry out what those decide, crash and restart.
+//! Coordinators: they pass events to their policies, execute the resulting actions, crash and restart.
 
 use super::event::ModelEvent;
 use super::state::{Connections, Submission};
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 impl World<'_> {
-    /// Whether the coordinator that accepted a submission runs and has not restarted since.
+    /// Whether the coordinator that accepted a submission is up and has not restarted since.
     pub(super) fn is_current(&self, submission: usize) -> bool {
         let Submission { coordinator, incarnation, .. } = &self.submissions[submission];
         self.is_incarnation(*coordinator, *incarnation)
@@ -21,7 +21,7 @@
         coordinator.up && coordinator.incarnation == incarnation
     }
 
-    /// Hands an event to a coordinator's policy and carries out what it decides.
+    /// Passes an event to a coordinator's policy and executes the resulting actions.
     pub(super) fn notify(&mut self, coordinator: usize, event: Event) {
         self.pending.push_back(event);
         while let Some(event) = self.pending.pop_front() {
@@ -54,21 +54,22 @@
         }
     }
 
-    /// The final answer of a submission that was not served. `retry_after` in seconds.
+    /// Gives the final answer to a submission that was not served. `retry_after` in seconds.
     fn answer(&mut self, submission: usize, rejected: bool, retry_after: Option<f64>) {
         self.record(submission as u64, 1 + u64::from(rejected));
         self.auditor.request_answered(self.now, submission as u64, rejected);
         if !std::mem::replace(&mut self.submissions[submission].over, true) {
-            self.retry_or_lose(submission, rejected, retry_after);
+            self.retry_or_give_up(submission, rejected, retry_after);
         }
     }
 
-    /// Sets memory (MB) and priority of a submission; a changed priority goes to the engines that run it.
+    /// Sets memory (MB) and priority of a submission; the priority is also sent to the engines that are
+    /// running it.
     fn set_terms(&mut self, submission: usize, memory_grant: Option<f64>, priority: u8) {
         let state = &mut self.submissions[submission];
         (state.memory_grant, state.priority) = (memory_grant, priority);
         let mut running = state.attempts.clone();
-        running.retain(|attempt| self.attempts[*attempt].out);
+        running.retain(|attempt| self.attempts[*attempt].in_flight);
         for attempt in running {
             let at = self.now + self.network_delay_of(attempt);
             self.queue.push(at, ModelEvent::PriorityArrives { attempt, priority });
@@ -94,7 +95,7 @@
         self.auditor.engine_notified(self.now, pair, entry.lifecycle, started);
     }
 
-    /// A coordinator crashes: its clients notice and submit again, its attempts are cancelled.
+    /// Crashes a coordinator: its clients notice and submit again, its attempts are cancelled.
     pub(super) fn crash_coordinator(&mut self, number: usize) {
         let coordinator = &mut self.coordinators[number];
         coordinator.up = false;
@@ -114,9 +115,9 @@
     fn abandon_submission(&mut self, submission: usize) {
         self.submissions[submission].over = true;
         self.auditor.request_released(submission as u64);
-        // The connections are gone, and with them the attempts.
+        // The attempts end with the connections of the coordinator.
         for attempt in self.submissions[submission].attempts.clone() {
-            if std::mem::replace(&mut self.attempts[attempt].out, false) {
+            if std::mem::replace(&mut self.attempts[attempt].in_flight, false) {
                 self.send_cancel(attempt);
             }
         }
--- a/crates/simulator/src/world/engines.rs
+++ b/crates/simulator/src/world/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of a run: they finish queries, report their load and the progress of queries, and stop.
+//! Engines of a run: they finish queries, report their load and the progress of their queries, and stop.
 
 use super::event::ModelEvent;
 use super::{World, ORACLE_INTERVAL};
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 impl World<'_> {
-    /// Schedules the next query that finishes on an engine if nothing changes before.
+    /// Schedules the next query completion on an engine, which is valid until the engine changes.
     pub(super) fn schedule_engine(&mut self, engine: usize) {
         if let Some(at) = self.engines[engine].next_completion() {
             let version = self.engines[engine].version;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// An engine stops: its attempts are reset.
+    /// Stops an engine and resets its attempts.
     pub(super) fn stop_engine(&mut self, engine: usize) {
         for tag in self.engines[engine].stop(self.now) {
             let attempt = tag as usize;
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the scenario, and how discovery tells coordinators of changed engines.
+//! Faults of the scenario, and notifications of changed engines from discovery.
 
 use super::event::ModelEvent;
 use super::World;
@@ -7,11 +7,11 @@
 use dahliaspoke::policy::{EngineEntry, Lifecycle};
 use rand::Rng;
 
-/// From one step of a replacement to the next: draining, gone, ready again (s).
+/// Time between the steps of a replacement: draining, gone, ready again (s).
 const REPLACEMENT_STEP_S: f64 = 4.0;
 
 impl World<'_> {
-    /// A fault begins or ends.
+    /// Starts or ends a fault.
     pub(super) fn change_fault(&mut self, number: usize, begins: bool) {
         let fault = self.scenario.faults[number].clone();
         if begins && fault.kind.has_end() {
@@ -27,7 +27,7 @@
                     self.crash_coordinator(coordinator);
                 }
             }
-            // A request that is scheduled already arrives as it was drawn: the rate is late by one request at most.
+            // The next request is already scheduled, so the new rate applies from the one after it.
             FaultKind::Burst => {
                 let affected = self.affected_coordinators(&fault);
                 for coordinator in self.coordinators.iter_mut().take(affected) {
@@ -48,7 +48,7 @@
         (fault.share * self.coordinators.len() as f64).round() as usize
     }
 
-    /// Engines at equal distances, shifted by the number of the fault.
+    /// Evenly spaced engines, offset by the number of the fault.
     fn affected_engines(&self, number: usize, fault: &Fault) -> Vec<usize> {
         let total = self.engines.len();
         let count = ((fault.share * total as f64).round() as usize).max(1).min(total);
@@ -104,7 +104,7 @@
     }
 
     fn restart_engine(&mut self, engine: usize) {
-        self.stop_engine(engine); // resets what it may still run
+        self.stop_engine(engine); // resets the attempts that it may still run
         self.engines[engine].restart(self.now);
         self.engines[engine].stolen_cores = 0.0;
         let started = Some(seconds(self.now));
@@ -113,7 +113,7 @@
         self.notify_coordinators(engine);
     }
 
-    /// Discovery tells every coordinator of a changed engine, each after a delay of its own.
+    /// Notifies every coordinator of a changed engine, each after its own discovery delay.
     fn notify_coordinators(&mut self, engine: usize) {
         let entry = self.entries[engine].clone();
         for coordinator in 0..self.coordinators.len() {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,12 +1,12 @@
 //! A run of the model: clients, coordinators, the network, discovery, engines and faults, in virtual time.
 //!
-//! - `event` lists what can happen; `state` what is known of coordinators, requests and attempts;
-//! - `setup` builds the start of a run from a scenario and a seed;
+//! - `event` defines the events; `state` the state of coordinators, requests and attempts;
+//! - `setup` builds the initial state of a run from a scenario and a seed;
 //! - `clients` submit requests and retry them;
-//! - `coordinators` carry out what policies decide, crash and restart;
-//! - `attempts` travel to engines and back;
-//! - `engines` run them and report;
-//! - `faults` plays the faults of the scenario and tells coordinators of changed engines.
+//! - `coordinators` execute the actions of policies, crash and restart;
+//! - `attempts` are sent to engines and end;
+//! - `engines` run queries and report load and progress;
+//! - `faults` applies the faults of the scenario and notifies coordinators of changed engines.
 
 mod attempts;
 mod clients;
@@ -30,12 +30,12 @@
 use state::{Attempt, Coordinator, Request, Submission};
 use std::collections::VecDeque;
 
-/// Requests that arrived near the end get this much longer to end (s).
+/// Time after the last arrival in which requests may still finish (s).
 const COOL_DOWN_S: f64 = 30.0;
-/// How old the state is that the oracle policy sees, at the most (us).
+/// Maximum age of the state that the oracle policy sees (us).
 const ORACLE_INTERVAL: Micros = 100_000;
 
-/// Makes the policy of a coordinator from its settings and a seed.
+/// Creates the policy of a coordinator from its settings and a seed.
 type PolicyFactory<'a> = &'a dyn Fn(&Settings, u64) -> Box<dyn Policy>;
 
 /// One run.
@@ -45,48 +45,48 @@
     settings: Vec<Settings>,
     kind: PolicyKind,
     make_policy: PolicyFactory<'a>,
-    /// Draws of what clients request: the same whichever policy decides.
+    /// Random numbers of the clients' traffic, separate so that every policy gets the same traffic.
     traffic_rng: Pcg64Mcg,
-    /// All other draws.
+    /// All other random numbers.
     rng: Pcg64Mcg,
     queue: Queue<ModelEvent>,
     now: Micros,
-    /// When the last requests arrive.
+    /// When requests stop arriving.
     end: Micros,
     coordinators: Vec<Coordinator>,
     engines: Vec<Engine>,
-    /// What discovery says of each engine.
+    /// The discovery entry of each engine.
     entries: Vec<EngineEntry>,
     /// The last load report of each engine.
     load_reports: Vec<LoadReport>,
     /// Whether load reports are not refreshed.
     reports_frozen: bool,
-    /// Share of the answers that is lost.
+    /// Share of the answers that are lost.
     lost_answers: f64,
-    /// The zone that cannot be reached.
+    /// The zone that is unreachable.
     unreachable_zone: Option<usize>,
     requests: Vec<Request>,
     submissions: Vec<Submission>,
     attempts: Vec<Attempt>,
-    /// What the oracle policy sees: how long the work in hand of each engine takes (s).
+    /// What the oracle policy sees: the time that each engine needs for its pending work (s).
     engine_delays: Vec<f64>,
     auditor: Auditor,
     tally: Tally,
     trace: RunTrace,
-    /// Buffer for what a policy decides.
+    /// Reused buffer for the actions of a policy.
     actions: Vec<Action>,
-    /// Events that a policy is yet to be handed.
+    /// Events that the notified policy has yet to handle.
     pending: VecDeque<Event>,
 }
 
-/// Plays a scenario with a policy and a seed.
+/// Runs a scenario with a policy and a seed.
 #[must_use]
 pub fn play(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Report {
     play_with(scenario, kind, seed, |settings, seed| policy::make(kind, settings, seed))
 }
 
-/// Plays a scenario and a seed with policies of the caller's own, made from settings and a seed. `kind` says whether
-/// they are told what the oracle sees.
+/// Runs a scenario with policies that `make` creates from settings and a seed. The `engine_delays` that they
+/// are passed are kept up to date only if `kind` is [`PolicyKind::Oracle`].
 pub fn play_with(
     scenario: &Scenario,
     kind: PolicyKind,
@@ -143,7 +143,7 @@
         self.tally.into_report(audit, self.trace)
     }
 
-    /// Mixes what happened now into the fingerprint of the run.
+    /// Mixes an event at the current time into the fingerprint of the run.
     fn record(&mut self, subject: u64, detail: u64) {
         self.trace.mix(self.now, subject, detail);
     }
@@ -176,12 +176,12 @@
     }
 }
 
-/// The id of a submission, as policies know it.
+/// The request id by which policies know a submission.
 fn request_id(submission: usize) -> RequestId {
     submission.to_string().into()
 }
 
-/// The submission that a policy names.
+/// The submission with a policy's request id.
 fn submission_of(id: &str) -> usize {
     id.parse().unwrap_or_default()
 }
--- a/crates/simulator/src/world/setup.rs
+++ b/crates/simulator/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! The start of a run, drawn from a scenario and a seed.
+//! The initial state of a run, drawn from a scenario and a seed.
 
 use super::state::{Connections, Coordinator};
 use super::{PolicyFactory, World};
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// The slowest and the fastest engine, over the mean.
+/// Speed of the slowest and the fastest engine, relative to the mean.
 const ENGINE_SPEED_RANGE: (f64, f64) = (0.5, 2.0);
 
 impl<'a> World<'a> {
@@ -82,7 +82,8 @@
     (0..scenario.engines).map(engine).collect()
 }
 
-/// Requests a second of each coordinator's clients: in all what the scenario's load asks of all engines.
+/// Request rate of each coordinator's clients (1/s); together they make up the scenario's load on all
+/// engines.
 fn draw_rates(scenario: &Scenario, engines: &[Engine], rng: &mut Pcg64Mcg) -> Vec<f64> {
     let distribution = lognormal(1.0, scenario.traffic_cv);
     let weights: Vec<f64> = (0..scenario.coordinators).map(|_| distribution.sample(rng)).collect();
@@ -105,10 +106,10 @@
     }
 }
 
-/// A log-normal distribution by its mean and coefficient of variation.
+/// A log-normal distribution with this mean and coefficient of variation.
 pub(super) fn lognormal(mean: f64, cv: f64) -> LogNormal<f64> {
     LogNormal::from_mean_cv(mean.max(1e-9), cv.max(0.0)).unwrap_or_else(|_| {
-        // Only where the mean or the variation is not a number, which the scenario's validation leaves out.
+        // Only if the mean or the variation is not a number, which the validation of scenarios rules out.
         LogNormal::new(0.0, 0.0).unwrap_or_else(|_| unreachable!("a standard deviation of 0 is valid"))
     })
 }
--- a/crates/simulator/src/world/state.rs
+++ b/crates/simulator/src/world/state.rs
@@ -6,9 +6,9 @@
 /// Connections of a coordinator to one engine.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Connections {
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: u32,
-    /// Those of them that carry an attempt.
+    /// Number of open connections with an attempt in flight.
     pub in_use: u32,
 }
 
@@ -16,15 +16,15 @@
 pub(super) struct Coordinator {
     /// Its zone, by number.
     pub zone: usize,
-    /// What decides for it.
+    /// The policy that makes its decisions.
     pub policy: Box<dyn Policy>,
-    /// How often it has crashed: events of an earlier incarnation are void.
+    /// Number of crashes so far; events for an earlier incarnation are ignored.
     pub incarnation: u32,
-    /// Whether it runs.
+    /// Whether it is running.
     pub up: bool,
-    /// Requests of its clients (1/s).
+    /// Request rate of its clients (1/s).
     pub rate: f64,
-    /// Factor on the rate, during a burst.
+    /// Factor on the rate; above 1 during a burst.
     pub burst: f64,
     /// Its connections, by engine.
     pub connections: Vec<Connections>,
@@ -32,7 +32,7 @@
     pub submissions: Vec<usize>,
 }
 
-/// What a client wants, however often it submits it.
+/// A request of a client, which may submit it several times.
 pub(super) struct Request {
     /// Position of its class in the scenario.
     pub class: usize,
@@ -44,11 +44,11 @@
     pub work: f64,
     /// Memory that it needs (MB).
     pub memory: f64,
-    /// What its client declares of the work (ms).
+    /// Work that its client declares (ms).
     pub estimate: f64,
     /// The group of tables that it reads or loads.
     pub table_group: i64,
-    /// How often it was submitted.
+    /// Number of submissions.
     pub submissions: u32,
     /// Whether it has ended.
     pub over: bool,
@@ -58,7 +58,7 @@
     pub honours_retry_after: bool,
 }
 
-/// A request as it was submitted once to one coordinator.
+/// One submission of a request to one coordinator.
 pub(super) struct Submission {
     /// The request.
     pub request: usize,
@@ -66,9 +66,9 @@
     pub coordinator: usize,
     /// The incarnation of the coordinator that accepted it.
     pub incarnation: u32,
-    /// By when it must be answered.
+    /// Time by which it must be answered.
     pub deadline: Micros,
-    /// Whether it has its final answer, or needs none any more.
+    /// Whether it has its final answer or no longer needs one.
     pub over: bool,
     /// Memory that its attempts are granted (MB).
     pub memory_grant: Option<f64>,
@@ -78,7 +78,7 @@
     pub attempts: Vec<usize>,
 }
 
-/// One try to run a submission on one engine.
+/// One attempt to run a submission on one engine.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     /// The submission.
@@ -87,6 +87,6 @@
     pub number: u32,
     /// The engine.
     pub engine: usize,
-    /// Whether its coordinator still waits for its end.
-    pub out: bool,
+    /// Whether its coordinator still waits for its outcome.
+    pub in_flight: bool,
 }
--- a/crates/simulator/tests/experiment.rs
+++ b/crates/simulator/tests/experiment.rs
@@ -66,5 +66,5 @@
         bad("baseline = \"module\"", "baseline = \"oracle\""),
         "baseline: it is not among the policies"
     );
-    assert_eq!(bad("[0.5, 1.2]", "[\"a\"]"), "vary: \"a\" is no number");
+    assert_eq!(bad("[0.5, 1.2]", "[\"a\"]"), "vary: \"a\" is not a number");
 }
--- a/src/bin/dahliaspoke-simhost/main.rs
+++ b/src/bin/dahliaspoke-simhost/main.rs
@@ -1,4 +1,5 @@
-//! Speaks the bench's wire on standard input and output; every decision is the library's.
+//! Adapter for the bench's simulator: handles events from standard input and writes the resulting actions to
+//! standard output. The library makes all decisions.
 
 mod wire;
 
