--- a/crates/simulator/src/load/mod.rs
+++ b/crates/simulator/src/load/mod.rs
@@ -18,7 +18,7 @@
 /// Whether answers delay requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Requests are sent when the schedule has them due.
+    /// Requests are sent at their scheduled times.
     Open,
     /// Each connection sends again as soon as it has its answer, but not before the scheduled time.
     Closed,
--- a/crates/simulator/src/trial/mod.rs
+++ b/crates/simulator/src/trial/mod.rs
@@ -79,7 +79,7 @@
     let program = program()?;
     let folder = std::env::temp_dir().join(format!("dahliaspoke-trial-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(FileError::at(&folder))?;
-    let outcome = Testbed::start(&program, &folder).and_then(|site| site.play(parameters, announce));
+    let outcome = Testbed::start(&program, &folder).and_then(|testbed| testbed.play(parameters, announce));
     let _ = std::fs::remove_dir_all(&folder); // a failure leaves only temporary files behind
     outcome
 }
--- a/crates/simulator/tests/account.rs
+++ b/crates/simulator/tests/account.rs
@@ -1,8 +1,8 @@
-//! The account of logs, on logs whose sums are known.
+//! The account of logs, for logs with known sums.
 
 use dahliaspoke_simulator::account::{Account, Average, ClassAccount, PoolAccount, ProblemCounts};
 
-const ONE: &str = "c0 listens on 127.0.0.1:1
+const FIRST_LOG: &str = "c0 listens on 127.0.0.1:1
 10.000 taken a 0 100 3.000
 10.100 sent a 0 e1
 10.200 ended a 0 Error
@@ -16,7 +16,7 @@
 11.500 engine e1 ejected
 ";
 
-const OTHER: &str = "0.500 10.500 taken c 0 100 3.000
+const SECOND_LOG: &str = "0.500 10.500 taken c 0 100 3.000
 10.500 sent c 0 e1
 10.900 ended c 0 Timeout
 10.950 pool 2000 3000 1
@@ -29,22 +29,22 @@
 ";
 
 #[test]
-fn sums_by_engine_class_and_second_are_those_of_the_logs() {
+fn sums_by_engine_class_and_second_match_the_logs() {
     let mut account = Account::default();
-    account.read(ONE);
-    account.read(OTHER);
+    account.read(FIRST_LOG);
+    account.read(SECOND_LOG);
     let e1 = &account.engines["e1"];
     assert_eq!((e1.work, e1.attempts, e1.coordinators.len()), (200.0, 2, 2));
     assert_eq!(e1.errors.values().sum::<u64>(), 2);
     let e2 = &account.engines["e2"];
     assert_eq!((e2.work, e2.attempts, e2.coordinators.len(), e2.errors.len()), (150.0, 2, 2, 0));
-    let looked = ClassAccount { accepted: 3, served: 1, rejected_untried: 0, rejected_tried: 1, failed: 1 };
-    assert_eq!(account.classes[&0], looked);
+    let lookups = ClassAccount { accepted: 3, served: 1, rejected_untried: 0, rejected_tried: 1, failed: 1 };
+    assert_eq!(account.classes[&0], lookups);
     assert_eq!(
         account.classes[&1],
         ClassAccount { accepted: 1, rejected_untried: 1, ..ClassAccount::default() }
     );
-    // Second 10: 200 and 100, of a mean of 150; second 12: all at one of the two.
+    // Second 10: 200 and 100, a mean of 150; second 12: all work on one of the two engines.
     assert_eq!(account.peaks().map(|p| (p * 100.0).round()), [133.0, 133.0, 200.0]);
     assert_eq!(account.malformed_lines, 2);
     let second = &account.seconds()[&10];
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn logs_without_steps_make_an_empty_account() {
+fn logs_without_steps_give_an_empty_account() {
     let mut account = Account::default();
     account.read("");
     account.read("no line of ours\n5.0\n6.0 taken\n");
--- a/crates/simulator/tests/arrivals.rs
+++ b/crates/simulator/tests/arrivals.rs
@@ -1,15 +1,15 @@
-//! Schedules of arrivals.
+//! Schedules of arrival times.
 
 use dahliaspoke_simulator::arrivals::{schedule, Intervals, Shape};
 
 #[test]
-fn every_shape_has_the_mean_rate_and_points_in_order() {
+fn every_shape_has_the_mean_rate_and_sorted_points() {
     for shape in [Shape::Steady, Shape::Ramp, Shape::Spike, Shape::Steps, Shape::OnOff] {
         for intervals in [Intervals::Even, Intervals::Poisson, Intervals::Heavy] {
             let points = schedule(500.0, 40.0, shape, intervals, 1);
             let count = points.len() as f64;
-            let spread = if intervals == Intervals::Heavy { 0.1 } else { 0.02 };
-            assert!((count / 20_000.0 - 1.0).abs() < spread, "{shape:?} {intervals:?}: {count}");
+            let tolerance = if intervals == Intervals::Heavy { 0.1 } else { 0.02 };
+            assert!((count / 20_000.0 - 1.0).abs() < tolerance, "{shape:?} {intervals:?}: {count}");
             assert!(points.is_sorted() && points.last().is_some_and(|at| *at <= 40_001_000));
         }
     }
--- a/crates/simulator/tests/queue.rs
+++ b/crates/simulator/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The wheel against the heap, which is the plain model.
+//! The wheel is compared with the heap, a simple reference implementation.
 
 use dahliaspoke_simulator::queue::{Heap, Wheel};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
     #[test]
-    fn both_give_the_same_events_in_the_same_order(steps in prop::collection::vec(
+    fn wheel_and_heap_pop_the_same_events_in_the_same_order(steps in prop::collection::vec(
         prop_oneof![
             4 => (0..50_000u64).prop_map(Some),
             2 => (0..20_000_000u64).prop_map(Some),
@@ -18,9 +18,9 @@
     {
         let (mut heap, mut wheel, mut now) = (Heap::default(), Wheel::default(), 0);
         for (number, step) in steps.into_iter().enumerate() {
-            if let Some(after) = step {
-                heap.push(now + after, number);
-                wheel.push(now + after, number);
+            if let Some(delay) = step {
+                heap.push(now + delay, number);
+                wheel.push(now + delay, number);
             } else {
                 let next = heap.pop();
                 prop_assert_eq!(wheel.pop(), next);
--- a/crates/simulator/tests/sockets.rs
+++ b/crates/simulator/tests/sockets.rs
@@ -1,5 +1,4 @@
-//! The load tool against a stand-in coordinator on loopback. Counts only: no verdict hangs on how long anything
-//! takes.
+//! The load generator against a stand-in coordinator on loopback. Asserts only counts, never durations.
 
 use dahliaspoke_simulator::arrivals::{schedule, Intervals, Shape};
 use dahliaspoke_simulator::load::{ClassSummary, Mode, RetryBehaviour};
@@ -10,17 +9,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Ids and keys that came, in order.
-type Came = Arc<Mutex<Vec<(String, Option<String>)>>>;
+/// Ids and keys of the requests received, in order.
+type Received = Arc<Mutex<Vec<(String, Option<String>)>>>;
 
-/// Refuses every third call, ends the connection on every hundredth, serves the others.
-fn coordinator() -> (SocketAddr, Came) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (address, came) = (listener.local_addr().expect("bound"), Came::default());
-    let told = came.clone();
+/// Starts a coordinator that rejects every third request, closes the connection on every hundredth, and
+/// serves the others.
+fn coordinator() -> (SocketAddr, Received) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let (address, received) = (listener.local_addr().expect("a bound address"), Received::default());
+    let shared = received.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let came = told.clone();
+            let received = shared.clone();
             std::thread::spawn(move || {
                 let mut writer = stream.try_clone().ok()?;
                 let mut reader = BufReader::new(stream);
@@ -41,9 +41,9 @@
                     }
                     reader.read_exact(&mut vec![0; length]).ok()?;
                     let number = {
-                        let mut came = came.lock().ok()?;
-                        came.push((id, key));
-                        came.len()
+                        let mut received = received.lock().ok()?;
+                        received.push((id, key));
+                        received.len()
                     };
                     let answer: &[u8] = match number {
                         n if n % 100 == 0 => return Some(()),
@@ -55,7 +55,7 @@
             });
         }
     });
-    (address, came)
+    (address, received)
 }
 
 fn class(name: &str, share: f64, keyed: bool) -> TrafficClass {
@@ -64,37 +64,37 @@
 
 #[test]
 fn every_request_that_is_due_is_sent_and_counted_once() {
-    let (address, came) = coordinator();
+    let (address, received) = coordinator();
     let classes = vec![class("lookup", 3.0, false), class("load", 1.0, true)];
-    let target = Target::new(vec![address], classes, 7).expect("loopback");
+    let target = Target::new(vec![address], classes, 7).expect("a loopback address");
     let points = schedule(1000.0, 1.0, Shape::Steady, Intervals::Poisson, 1);
     let driver = target.driver(&points, Mode::Open, RetryBehaviour::HonourRetryAfter, 400);
     let summary = run(driver, &target, Duration::from_secs(20)).summary();
-    let came = came.lock().expect("held");
+    let received = received.lock().expect("the lock is not poisoned");
     assert_eq!(summary.due, points.len());
     assert_eq!(summary.served + summary.rejected + summary.failed, summary.due);
-    assert_eq!(summary.tries, came.len(), "each try reached it once");
-    assert_eq!(summary.failed, came.len() / 100);
+    assert_eq!(summary.tries, received.len(), "each try arrived once");
+    assert_eq!(summary.failed, received.len() / 100);
     let sum = |of: fn(&ClassSummary) -> usize| summary.classes.iter().map(of).sum::<usize>();
     let all = [summary.due, summary.served, summary.rejected, summary.failed];
     assert_eq!([sum(|g| g.due), sum(|g| g.served), sum(|g| g.rejected), sum(|g| g.failed)], all, "by class");
-    assert!(summary.classes.iter().all(|g| g.due > 100), "both classes came");
-    // Every try has an id of its own; tries of one request share their key.
-    let mut ids: Vec<&String> = came.iter().map(|(id, _)| id).collect();
+    assert!(summary.classes.iter().all(|g| g.due > 100), "both classes were sent");
+    // Every try has a unique id; tries of one request share their key.
+    let mut ids: Vec<&String> = received.iter().map(|(id, _)| id).collect();
     ids.sort();
     ids.dedup();
-    assert_eq!(ids.len(), came.len());
+    assert_eq!(ids.len(), received.len());
     let mut keys: HashMap<&String, usize> = HashMap::new();
-    came.iter().filter_map(|(_, key)| key.as_ref()).for_each(|key| *keys.entry(key).or_default() += 1);
+    received.iter().filter_map(|(_, key)| key.as_ref()).for_each(|key| *keys.entry(key).or_default() += 1);
     assert!(!keys.is_empty() && keys.values().any(|tries| *tries > 1));
 }
 
 #[test]
 fn an_address_that_is_not_on_loopback_is_rejected() {
     let classes = || vec![class("lookup", 1.0, false)];
-    let other = "192.0.2.1:80".parse().expect("an address");
-    let error = Target::new(vec!["127.0.0.1:1".parse().expect("an address"), other], classes(), 1)
-        .expect_err("refused");
+    let other = "192.0.2.1:80".parse().expect("a valid address");
+    let error = Target::new(vec!["127.0.0.1:1".parse().expect("a valid address"), other], classes(), 1)
+        .expect_err("not on loopback");
     assert!(error.to_string().contains("192.0.2.1:80 is not on loopback"), "{error}");
     assert!(Target::new(Vec::new(), classes(), 1).is_err());
 }
--- a/crates/simulator/tests/trial.rs
+++ b/crates/simulator/tests/trial.rs
@@ -1,5 +1,5 @@
-//! The trial from end to end: the real program, stand-in engines and directory, a kill of each in the middle. Counts
-//! only: no verdict hangs on how long anything takes.
+//! The trial from end to end: the real program, stand-in engines and directory, and a kill of an engine and
+//! of a coordinator. Asserts only counts, never durations.
 
 use std::process::Command;
 
@@ -8,10 +8,10 @@
     let trial = Command::new(env!("CARGO_BIN_EXE_dahliaspoke-simulator"))
         .args(["try", "--seconds", "4", "--load", "0.6", "--seed", "3"])
         .output()
-        .expect("it runs");
+        .expect("the program starts");
     let text = String::from_utf8_lossy(&trial.stdout);
     let error = String::from_utf8_lossy(&trial.stderr);
-    // A machine that is busy makes the figures void, which is told; the counts hold all the same.
+    // On a busy machine the figures may be void (exit code 3); the counts must be right nevertheless.
     assert!(matches!(trial.status.code(), Some(0 | 3)), "{text}{error}");
     let count = |name: &str| -> usize {
         let line =
@@ -27,10 +27,12 @@
 
 #[test]
 fn invalid_arguments_are_reported() {
-    let run = |words: &[&str]| {
-        let lab =
-            Command::new(env!("CARGO_BIN_EXE_dahliaspoke-simulator")).args(words).output().expect("it runs");
-        (lab.status.code(), String::from_utf8_lossy(&lab.stderr).into_owned())
+    let run = |arguments: &[&str]| {
+        let result = Command::new(env!("CARGO_BIN_EXE_dahliaspoke-simulator"))
+            .args(arguments)
+            .output()
+            .expect("the program starts");
+        (result.status.code(), String::from_utf8_lossy(&result.stderr).into_owned())
     };
     let (code, error) = run(&["load", "--to", "192.0.2.1:80"]);
     assert!(code == Some(2) && error.contains("not on loopback"), "{error}");
--- a/src/bin/dahliaspoke-simhost/wire.rs
+++ b/src/bin/dahliaspoke-simhost/wire.rs
@@ -59,7 +59,7 @@
         WireError::Malformed(format!("{}: value {at} is not {expected}", self.name))
     }
     fn text(&self, at: usize) -> Result<&'a str, WireError> {
-        self.get(at).and_then(Value::as_str).ok_or_else(|| self.type_error(at, "a text"))
+        self.get(at).and_then(Value::as_str).ok_or_else(|| self.type_error(at, "a string"))
     }
     fn integer(&self, at: usize) -> Result<u64, WireError> {
         self.get(at).and_then(Value::as_u64).ok_or_else(|| self.type_error(at, "a whole number"))
@@ -82,8 +82,8 @@
     let row = Row { name: "catalog entry", values };
     Ok(EngineEntry {
         id: row.text(0)?.into(),
-        zone: row.optional(1, |v| v.as_str().map(Arc::from), "a text")?.unwrap_or_else(|| "".into()),
-        kind: row.optional(2, |v| v.as_str().map(Arc::from), "a text")?.unwrap_or_else(|| "".into()),
+        zone: row.optional(1, |v| v.as_str().map(Arc::from), "a string")?.unwrap_or_else(|| "".into()),
+        kind: row.optional(2, |v| v.as_str().map(Arc::from), "a string")?.unwrap_or_else(|| "".into()),
         cell: row.optional(3, Value::as_i64, "a whole number")?.unwrap_or(0),
         lifecycle: match row.text(4)? {
             "ready" => Lifecycle::Ready,
@@ -166,7 +166,7 @@
             id: row.text(2)?.into(),
             class: self.classes.iter().position(|c| c == class).ok_or("knock: unknown class")?,
             tenant: tenant.and_then(|t| self.tenants.iter().position(|name| name == t)),
-            key: row.optional(5, |v| v.as_str().map(Arc::from), "a text")?,
+            key: row.optional(5, |v| v.as_str().map(Arc::from), "a string")?,
             time_left: row.number(6)?,
             work: work.map(|w| w * 1000.0),
             memory: row.optional(8, Value::as_f64, "a number")?.filter(|mb| *mb > 0.0),
