--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -58,7 +58,7 @@
     class: usize,
     deadline: Micros,
     attempts: Vec<Attempt>,
-    over: bool,
+    ended: bool,
     /// Whether no answer is required any more: the client has disconnected or the coordinator has crashed.
     released: bool,
 }
@@ -150,7 +150,7 @@
 
     /// A coordinator has accepted a request.
     pub fn request_accepted(&mut self, request: u64, class: usize, deadline: Micros) {
-        let state = Request { class, deadline, attempts: Vec::new(), over: false, released: false };
+        let state = Request { class, deadline, attempts: Vec::new(), ended: false, released: false };
         self.requests.insert(request, state);
     }
 
@@ -187,11 +187,11 @@
         };
         let class = &self.settings.classes[state.class];
         let may_repeat = may_repeat(class, &state.attempts, now);
-        let over = state.over;
+        let ended = state.ended;
         let in_flight = state.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
         state.attempts.push(Attempt { sent: now, outcome: None });
         let count = state.attempts.len();
-        if over {
+        if ended {
             self.violation("answers", now, format!("an attempt for {request}, which has ended"));
         }
         if !may_repeat {
@@ -286,7 +286,7 @@
         };
         let may_have_run = state.attempts.iter().any(Attempt::may_have_run);
         let may_reject = may_reject(&self.settings.classes[state.class], may_have_run);
-        let already_answered = std::mem::replace(&mut state.over, true);
+        let already_answered = std::mem::replace(&mut state.ended, true);
         let late = now > state.deadline + self.answer_slack && !state.released;
         if already_answered {
             self.violation("answers", now, format!("a second answer to {request}"));
@@ -302,14 +302,14 @@
     /// The client has disconnected or its coordinator has crashed: no answer is required.
     pub fn request_released(&mut self, request: u64) {
         if let Some(state) = self.requests.get_mut(&request) {
-            (state.over, state.released) = (true, true);
+            (state.ended, state.released) = (true, true);
         }
     }
 
     /// Ends the run: requests past their deadline must have been answered.
     pub fn close(&mut self, now: Micros) {
         let slack = self.answer_slack;
-        let is_unanswered = |state: &Request| !state.over && now > state.deadline + slack;
+        let is_unanswered = |state: &Request| !state.ended && now > state.deadline + slack;
         let unanswered = self.requests.iter().filter(|(_, state)| is_unanswered(state));
         let mut unanswered: Vec<u64> = unanswered.map(|(id, _)| *id).collect();
         unanswered.sort_unstable();
--- a/crates/simulator/src/load/mod.rs
+++ b/crates/simulator/src/load/mod.rs
@@ -72,7 +72,7 @@
 struct Request {
     due: Micros,
     tries: u32,
-    over: bool,
+    done: bool,
 }
 
 /// A try that is not due yet or waits for a connection. Ordered by time.
@@ -131,7 +131,7 @@
     /// Creates a driver for a schedule of due times, with at most this number of connections.
     #[must_use]
     pub fn new(schedule: &[Micros], mode: Mode, behaviour: RetryBehaviour, connections: usize) -> Self {
-        let requests = schedule.iter().map(|due| Request { due: *due, tries: 0, over: false }).collect();
+        let requests = schedule.iter().map(|due| Request { due: *due, tries: 0, done: false }).collect();
         Self {
             mode,
             behaviour,
@@ -169,7 +169,7 @@
 
     /// Whether nothing is left to do.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.next == self.requests.len() && self.queue.is_empty() && self.retries.is_empty() && self.open == 0
     }
 
@@ -226,7 +226,7 @@
         self.free.push(outgoing.connection);
         self.open -= 1;
         let state = &mut self.requests[outgoing.request];
-        if std::mem::replace(&mut state.over, true) {
+        if std::mem::replace(&mut state.done, true) {
             return; // already counted
         }
         match response {
@@ -237,7 +237,7 @@
             Response::Rejected(retry_after)
                 if self.behaviour != RetryBehaviour::GiveUp && state.tries < MAX_TRIES =>
             {
-                state.over = false;
+                state.done = false;
                 self.schedule_retry(now, outgoing.request, retry_after);
             }
             Response::Rejected(_) => {
--- a/crates/simulator/src/scenario/classes.rs
+++ b/crates/simulator/src/scenario/classes.rs
@@ -26,7 +26,7 @@
     /// Requests earn their full weight within this time (s) ...
     #[serde(rename = "aim_s")]
     pub latency_objective_s: f64,
-    /// ... plus this times work over threads.
+    /// ... plus this factor times the work divided by the threads.
     #[serde(rename = "stretch")]
     pub objective_stretch: f64,
     /// How long a client waits in total, including retries (s).
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -33,7 +33,7 @@
         most: f64,
     },
     /// The list of classes is empty.
-    #[error("class: there is none")]
+    #[error("class: at least one is required")]
     NoClass,
 }
 
--- a/crates/simulator/src/scenario/settings.rs
+++ b/crates/simulator/src/scenario/settings.rs
@@ -4,9 +4,10 @@
 use crate::report::{CONNECTION_PRICE, CROSS_ZONE_PRICE};
 use dahliaspoke::policy::{ClassSettings, DedupScope, KindSettings, Settings};
 
-/// Declared initial capacity over the real one: operators declare a little less, and a longer warm-up.
+/// Declared initial capacity, relative to the real one: operators declare a little less, and a longer
+/// warm-up.
 const DECLARED_INITIAL_CAPACITY: f64 = 0.85;
-/// Declared warm-up over the real one.
+/// Declared warm-up, relative to the real one.
 const DECLARED_WARMUP: f64 = 1.2;
 /// Maximum Retry-After of a rejection (s).
 const MAX_RETRY_AFTER_S: f64 = 0.5;
--- a/crates/simulator/src/sockets/mod.rs
+++ b/crates/simulator/src/sockets/mod.rs
@@ -30,7 +30,7 @@
     let started = Instant::now();
     let since = |at: Instant| at.saturating_duration_since(started).as_micros() as Micros;
     let mut last_send = started;
-    while !driver.is_over() {
+    while !driver.is_done() {
         for outgoing in driver.poll(since(Instant::now())) {
             last_send = Instant::now();
             let start = || start_worker(outgoing.connection, target, &answer_sender);
--- a/crates/simulator/src/world/attempts.rs
+++ b/crates/simulator/src/world/attempts.rs
@@ -33,7 +33,7 @@
             self.attempts[attempt].in_flight = false; // the auditor has recorded it
             return;
         }
-        if self.submissions[submission].over || engine >= self.engines.len() {
+        if self.submissions[submission].ended || engine >= self.engines.len() {
             return self.end_and_queue(attempt, Outcome::Expired);
         }
         let same_zone = self.is_same_zone(coordinator, engine);
@@ -212,8 +212,8 @@
         }
         self.auditor.attempt_ended(self.now, submission as u64, number, outcome);
         self.release_connection(self.submissions[submission].coordinator, engine, outcome);
-        if outcome == Outcome::Ok && !self.submissions[submission].over {
-            self.submissions[submission].over = true;
+        if outcome == Outcome::Ok && !self.submissions[submission].ended {
+            self.submissions[submission].ended = true;
             self.auditor.request_answered(self.now, submission as u64, false);
             self.request_served(self.submissions[submission].request);
         }
@@ -222,7 +222,7 @@
             id: request_id(submission),
             attempt: number,
             outcome,
-            finished: self.submissions[submission].over,
+            finished: self.submissions[submission].ended,
             work: None,
             memory: None,
             report: self.load_reports.get(engine).copied().filter(|_| has_report),
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -62,7 +62,7 @@
             estimate: work * estimate_error,
             table_group,
             submissions: 0,
-            over: false,
+            ended: false,
             home,
             honours_retry_after,
         }
@@ -81,7 +81,7 @@
     /// A client submits its request to its own coordinator or, if that is down, to another one.
     pub(super) fn submit(&mut self, number: usize) {
         let request = &mut self.requests[number];
-        if request.over || self.now >= request.deadline {
+        if request.ended || self.now >= request.deadline {
             return self.give_up_request(number, false);
         }
         request.submissions += 1;
@@ -121,7 +121,7 @@
             coordinator,
             incarnation: self.coordinators[coordinator].incarnation,
             deadline: self.requests[request].deadline,
-            over: false,
+            ended: false,
             memory_grant: None,
             priority: DEFAULT_PRIORITY,
             attempts: Vec::new(),
@@ -153,7 +153,7 @@
 
     pub(super) fn give_up_request(&mut self, number: usize, rejected: bool) {
         let request = &mut self.requests[number];
-        if !std::mem::replace(&mut request.over, true) {
+        if !std::mem::replace(&mut request.ended, true) {
             let class = &mut self.tally.classes[request.class];
             *if rejected { &mut class.rejected } else { &mut class.failed } += 1;
         }
@@ -161,7 +161,7 @@
 
     pub(super) fn request_served(&mut self, number: usize) {
         let request = &mut self.requests[number];
-        if std::mem::replace(&mut request.over, true) {
+        if std::mem::replace(&mut request.ended, true) {
             return;
         }
         let class = &self.scenario.classes[request.class];
@@ -174,11 +174,11 @@
 
     /// The deadline of a submission has passed without an answer: its client disconnects.
     pub(super) fn submission_expires(&mut self, submission: usize) {
-        if self.submissions[submission].over {
+        if self.submissions[submission].ended {
             return;
         }
         // The auditor tracks deadlines by itself and reports the missing answer.
-        self.submissions[submission].over = true;
+        self.submissions[submission].ended = true;
         let coordinator = self.submissions[submission].coordinator;
         if self.is_current(submission) {
             self.notify(coordinator, Event::ClientGone { id: request_id(submission) });
--- a/crates/simulator/src/world/coordinators.rs
+++ b/crates/simulator/src/world/coordinators.rs
@@ -58,7 +58,7 @@
     fn answer(&mut self, submission: usize, rejected: bool, retry_after: Option<f64>) {
         self.record(submission as u64, 1 + u64::from(rejected));
         self.auditor.request_answered(self.now, submission as u64, rejected);
-        if !std::mem::replace(&mut self.submissions[submission].over, true) {
+        if !std::mem::replace(&mut self.submissions[submission].ended, true) {
             self.retry_or_give_up(submission, rejected, retry_after);
         }
     }
@@ -103,7 +103,7 @@
         coordinator.connections.fill(Connections::default());
         self.auditor.coordinator_restarted(number);
         for submission in std::mem::take(&mut self.coordinators[number].submissions) {
-            if !self.submissions[submission].over {
+            if !self.submissions[submission].ended {
                 self.abandon_submission(submission);
             }
         }
@@ -113,7 +113,7 @@
     }
 
     fn abandon_submission(&mut self, submission: usize) {
-        self.submissions[submission].over = true;
+        self.submissions[submission].ended = true;
         self.auditor.request_released(submission as u64);
         // The attempts end with the connections of the coordinator.
         for attempt in self.submissions[submission].attempts.clone() {
--- a/crates/simulator/src/world/engines.rs
+++ b/crates/simulator/src/world/engines.rs
@@ -30,7 +30,7 @@
         let coordinator = self.coordinator_of(attempt);
         let lost = self.rng.random::<f64>() < self.lost_answers || self.is_unreachable(coordinator, engine);
         let submission = &self.submissions[self.attempts[attempt].submission];
-        if submission.over {
+        if submission.ended {
             self.tally.wasted_work += self.requests[submission.request].work;
         }
         if !lost {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -131,7 +131,7 @@
 
     fn into_report(mut self) -> Report {
         self.auditor.close(self.now);
-        for request in self.requests.iter().filter(|request| !request.over) {
+        for request in self.requests.iter().filter(|request| !request.ended) {
             self.tally.classes[request.class].failed += 1;
         }
         self.tally.wasted_work += self.engines.iter().map(|engine| engine.wasted).sum::<f64>();
--- a/crates/simulator/src/world/state.rs
+++ b/crates/simulator/src/world/state.rs
@@ -51,7 +51,7 @@
     /// Number of submissions.
     pub submissions: u32,
     /// Whether it has ended.
-    pub over: bool,
+    pub ended: bool,
     /// The coordinator that its client prefers.
     pub home: usize,
     /// Whether its client honours Retry-After.
@@ -69,7 +69,7 @@
     /// Time by which it must be answered.
     pub deadline: Micros,
     /// Whether it has its final answer or no longer needs one.
-    pub over: bool,
+    pub ended: bool,
     /// Memory that its attempts are granted (MB).
     pub memory_grant: Option<f64>,
     /// Priority of its attempts, 0 to 3.
--- a/crates/simulator/tests/load.rs
+++ b/crates/simulator/tests/load.rs
@@ -19,7 +19,7 @@
 ) -> Summary {
     let (mut answers, mut now) = (Heap::default(), 0);
     let mut next_answer = answers.pop();
-    while !driver.is_over() {
+    while !driver.is_done() {
         let next = [next_answer.as_ref().map(|(at, _)| *at), driver.next()].into_iter().flatten().min();
         now = (now + poll_interval).max(next.expect("an answer or a request is due"));
         while let Some((at, (outgoing, response))) = next_answer.take() {
