--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -161,7 +161,7 @@
     assert!(statuses.keys().all(|status| [200, 502, 503].contains(status)), "{statuses:?}");
     assert!(2 * statuses[&200] > mix.requests, "most are served: {statuses:?}");
     let sums = sums.into_inner().expect("held");
-    let taken = ledger.taken.lock().expect("held");
+    let taken = ledger.received.lock().expect("held");
     for (id, taken) in taken.iter() {
         assert!(taken.iter().all(|t| t.sum == sums[id]), "{id} was altered");
         let number = u64::from_str_radix(id, 16).expect("a number");
@@ -217,7 +217,7 @@
     engines[0].kill();
     assert_eq!(clients[1].answer().0, 502);
     assert_eq!(clients[0].answer().0, 200);
-    let taken = ledger.taken.lock().expect("held");
+    let taken = ledger.received.lock().expect("held");
     let count = |number: u64| taken[&format!("{number:016x}")].len();
     assert_eq!((count(0), count(1)), (2, 1));
     for (number, body) in bodies.iter().enumerate() {
@@ -298,7 +298,7 @@
     client.send(&body[MB..]).expect("sent");
     assert_eq!(client.answer().0, 200);
     assert_eq!(engines[its].begun.load(Ordering::SeqCst), 1);
-    assert_eq!(ledger.taken.lock().expect("held").len(), 7);
+    assert_eq!(ledger.received.lock().expect("held").len(), 7);
 }
 
 #[test]
@@ -314,7 +314,7 @@
         client.head("load", id, true, body.len()).expect("sent");
         client.send(&body).expect("sent");
         assert_eq!(client.answer().0, 200);
-        let taken = ledger.taken.lock().expect("held");
+        let taken = ledger.received.lock().expect("held");
         let taken = &taken[&format!("{id:016x}")];
         assert!(taken.len() == 1 && taken[0].sum == crc32fast::hash(&body));
     }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -21,7 +21,7 @@
 /// What all engines of a run know.
 #[derive(Default)]
 pub struct Ledger {
-    pub taken: Mutex<HashMap<String, Vec<Taken>>>,
+    pub received: Mutex<HashMap<String, Vec<Taken>>>,
     /// One in so many attempts is turned away; 0: none.
     pub full: AtomicU64,
     pub count: AtomicU64,
@@ -80,8 +80,8 @@
         let every = ledger.full.load(Ordering::SeqCst);
         let full = every > 0 && number % every == 0;
         let (sum, keyed) = (sum.finalize(), words[2].contains("op="));
-        let taken = Taken { sum, at: Instant::now(), keyed, full };
-        ledger.taken.lock().expect("held").entry(words[1].clone()).or_default().push(taken);
+        let received = Taken { sum, at: Instant::now(), keyed, full };
+        ledger.received.lock().expect("held").entry(words[1].clone()).or_default().push(received);
         if ledger.silent.load(Ordering::SeqCst) {
             continue;
         }
