--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes of the program, and a link from each to each other one.
+//! A set of processes of the program, with a link from each to every other.
 
 use crate::process::{Addresses, Process};
 use crate::relay::{Direction, Pace, Relay};
@@ -8,39 +8,39 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Tells the fleets of one test program apart.
-static FLEETS: AtomicUsize = AtomicUsize::new(0);
+/// Number of the next fleet of this test program; keeps the folders of fleets distinct.
+static NEXT_FLEET: AtomicUsize = AtomicUsize::new(0);
 
-/// The files of a process before its first start: names and contents.
+/// The files written before the first start of a process: names and contents.
 pub type Files = Vec<(String, String)>;
 
-/// 3 to 24 processes. Dropped, they are killed and their folders removed.
+/// 3 to 24 processes. Dropping the fleet kills them and removes their folders.
 pub struct Fleet {
     /// The processes, by position.
     pub processes: Vec<Process>,
-    /// The present addresses of their listeners, by position.
+    /// The current addresses of their listeners, by position.
     pub addresses: Vec<Addresses>,
-    /// The links by which the first process reaches the second one.
+    /// The links by `(from, to)`: each carries the connections that `from` opens to `to`.
     pub links: BTreeMap<(usize, usize), Relay>,
-    /// The listener that the links lead to.
+    /// The name of the listener that the links connect to.
     linked_listener: &'static str,
-    /// The folder that is a process's disk, for [`Step::StartEmpty`].
+    /// The file or folder that serves as the disk of a process; [`Step::StartEmpty`] removes it.
     disk: &'static str,
     folder: PathBuf,
 }
 
-/// A direction of a link.
+/// One direction of a link.
 struct LinkDirection<'a> {
     link: &'a Relay,
     direction: Direction,
 }
 
 impl Fleet {
-    /// Starts `count` processes, linked by that listener. `files` gives the files of each one's folder: it is given the
-    /// position of the process and, by position, the addresses at which it reaches the others.
+    /// Starts `count` processes whose links connect to `linked_listener`. `files` returns the files for the folder of a
+    /// process, given its position and the addresses, by position, at which it reaches the others.
     ///
     /// # Panics
-    /// Where a folder or a port cannot be had.
+    /// If a folder cannot be created or a port cannot be bound.
     pub fn start(
         program: &Path,
         count: usize,
@@ -48,47 +48,48 @@
         disk: &'static str,
         files: impl Fn(usize, &BTreeMap<usize, SocketAddr>) -> Files,
     ) -> Self {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("dahliaspoke-test-harness-{}-{number}", std::process::id()));
         let links = start_links(count);
         let mut processes = Vec::new();
-        for at in 0..count {
-            let process = Process::new(program, &format!("c{at}"), &folder).expect("a folder");
-            let own_links = links.iter().filter(|((from, _), _)| *from == at);
-            let reach = own_links.map(|((_, to), link)| (*to, link.address)).collect();
-            for (name, text) in files(at, &reach) {
+        for position in 0..count {
+            let process = Process::new(program, &format!("c{position}"), &folder).expect("a folder");
+            let own_links = links.iter().filter(|((from, _), _)| *from == position);
+            let peer_addresses = own_links.map(|((_, to), link)| (*to, link.address)).collect();
+            for (name, text) in files(position, &peer_addresses) {
                 process.write_file(&name, &text);
             }
             processes.push(process);
         }
         let addresses = vec![Addresses::new(); count];
         let mut fleet = Self { processes, addresses, links, linked_listener, disk, folder };
-        for at in 0..count {
-            fleet.start_process(at, None);
+        for position in 0..count {
+            fleet.start_process(position, None);
         }
         fleet
     }
 
-    /// Starts a process, with a kill point or without; the links to it lead to its new address.
-    pub fn start_process(&mut self, at: usize, kill_point: Option<&str>) {
-        self.addresses[at] = self.processes[at].start(kill_point);
-        let Some(address) = self.addresses[at].get(self.linked_listener) else { return };
-        for (_, link) in self.links.iter().filter(|((_, to), _)| *to == at) {
+    /// Starts a process, optionally with a kill point, and points the links to it at its new address.
+    pub fn start_process(&mut self, position: usize, kill_point: Option<&str>) {
+        self.addresses[position] = self.processes[position].start(kill_point);
+        let Some(address) = self.addresses[position].get(self.linked_listener) else { return };
+        for (_, link) in self.links.iter().filter(|((_, to), _)| *to == position) {
             link.set_target(*address);
         }
     }
 
-    /// Positions of the processes that run and are not suspended.
+    /// Positions of the processes that are running and not suspended.
     pub fn running(&mut self) -> Vec<usize> {
-        let running = |(at, process): (usize, &mut Process)| {
-            (process.is_running() && !process.is_suspended()).then_some(at)
+        let running = |(position, process): (usize, &mut Process)| {
+            (process.is_running() && !process.is_suspended()).then_some(position)
         };
         self.processes.iter_mut().enumerate().filter_map(running).collect()
     }
 
-    /// The ways from one process to another: on the links that it opened, and back on those that were opened to it.
-    fn ways(&self, from: usize, to: usize) -> [LinkDirection<'_>; 2] {
+    /// The link directions that carry bytes from one process to another: outbound on its own connections, and back on the
+    /// connections that were opened to it.
+    fn link_directions(&self, from: usize, to: usize) -> [LinkDirection<'_>; 2] {
         [
             LinkDirection { link: &self.links[&(from, to)], direction: Direction::Out },
             LinkDirection { link: &self.links[&(to, from)], direction: Direction::Back },
@@ -97,44 +98,44 @@
 
     /// Sets the pace of everything that one process sends to another.
     pub fn set_pace(&self, from: usize, to: usize, pace: Pace) {
-        for LinkDirection { link, direction } in self.ways(from, to) {
+        for LinkDirection { link, direction } in self.link_directions(from, to) {
             link.set_pace(direction, pace);
         }
     }
 
-    /// Cuts the links between two processes, both ways.
+    /// Cuts the links between two processes, in both directions.
     fn cut(&self, one: usize, other: usize) {
         self.links[&(one, other)].cut();
         self.links[&(other, one)].cut();
     }
 
-    /// Cuts all links between the two sides, both ways.
+    /// Cuts all links between the two groups, in both directions.
     pub fn partition(&self, one: &[usize], other: &[usize]) {
         for (a, b) in one.iter().flat_map(|a| other.iter().map(move |b| (*a, *b))) {
             self.cut(a, b);
         }
     }
 
-    /// Takes the faults of all links away.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         self.links.values().for_each(Relay::heal);
     }
 
-    /// Applies a step of a script; `holds` says whether a named condition holds.
+    /// Applies a step of a script; `holds` evaluates a named condition.
     pub fn apply(&mut self, step: &Step, mut holds: impl FnMut(&mut Self, &str) -> bool) {
         match step {
-            Step::Suspend(at) => self.processes[*at].suspend(),
-            Step::Resume(at) => self.processes[*at].resume(),
-            Step::Kill(at) => self.processes[*at].kill(),
-            Step::KillAt(at, point) => {
-                self.processes[*at].kill();
-                self.start_process(*at, Some(point));
+            Step::Suspend(position) => self.processes[*position].suspend(),
+            Step::Resume(position) => self.processes[*position].resume(),
+            Step::Kill(position) => self.processes[*position].kill(),
+            Step::KillAt(position, point) => {
+                self.processes[*position].kill();
+                self.start_process(*position, Some(point));
             }
-            Step::Start(at) => self.start_if_ended(*at),
-            Step::StartEmpty(at) => {
-                self.processes[*at].kill();
-                self.processes[*at].remove_data(self.disk);
-                self.start_if_ended(*at);
+            Step::Start(position) => self.start_if_ended(*position),
+            Step::StartEmpty(position) => {
+                self.processes[*position].kill();
+                self.processes[*position].remove_data(self.disk);
+                self.start_if_ended(*position);
             }
             Step::Await(condition) => crate::until(condition, || holds(self, condition).then_some(())),
             link_step => self.apply_to_links(link_step),
@@ -148,12 +149,12 @@
             Step::Delay(from, to, ms) => self.set_pace(*from, *to, Pace::Delay(*ms)),
             Step::Trickle(from, to, bytes) => self.set_pace(*from, *to, Pace::Trickle(*bytes)),
             Step::Reset(from, to, bytes) => {
-                for LinkDirection { link, direction } in self.ways(*from, *to) {
+                for LinkDirection { link, direction } in self.link_directions(*from, *to) {
                     link.reset_after(direction, *bytes);
                 }
             }
             Step::HalfClose(from, to) => {
-                for LinkDirection { link, direction } in self.ways(*from, *to) {
+                for LinkDirection { link, direction } in self.link_directions(*from, *to) {
                     link.half_close(direction);
                 }
             }
@@ -163,19 +164,19 @@
                 self.links[&(*b, *a)].heal();
             }
             Step::HealAll => self.heal(),
-            _ => unreachable!("{step} is not a step of links"),
+            _ => unreachable!("{step} is not a link step"),
         }
     }
 
-    fn start_if_ended(&mut self, at: usize) {
-        if !self.processes[at].is_running() {
-            self.processes[at].kill();
-            self.start_process(at, None);
+    fn start_if_ended(&mut self, position: usize) {
+        if !self.processes[position].is_running() {
+            self.processes[position].kill();
+            self.start_process(position, None);
         }
     }
 }
 
-/// A link from each process to each other one.
+/// Creates a link from each process to every other.
 fn start_links(count: usize) -> BTreeMap<(usize, usize), Relay> {
     let mut links = BTreeMap::new();
     for from in 0..count {
@@ -189,6 +190,6 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.processes.clear();
-        let _ = std::fs::remove_dir_all(&self.folder); // a test leaves nothing
+        let _ = std::fs::remove_dir_all(&self.folder); // best effort: a test should leave no files behind
     }
 }
--- a/crates/test-harness/src/history/mod.rs
+++ b/crates/test-harness/src/history/mod.rs
@@ -1,5 +1,5 @@
-//! Histories of calls and answers, and whether one order of all calls explains the answers: linearizability, by Wing and
-//! Gong's search with Lowe's memory of what was tried (Testing for linearizability, 2017).
+//! Histories of calls and answers, and a check that they are linearizable: Wing and Gong's search with Lowe's memoization
+//! of configurations that were already tried (Testing for linearizability, 2017).
 
 mod register;
 mod search;
@@ -8,17 +8,17 @@
 
 use std::time::Instant;
 
-/// What a register holds: the version of the last write, and a value.
+/// The content of a register: the version of the last write, and its value. `None` if it was never written.
 pub type RegisterValue = Option<(u64, String)>;
 
 /// A call on one register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Call {
-    /// Read it.
+    /// Reads it.
     Read,
-    /// Write it.
+    /// Writes it.
     Write(String),
-    /// Write it if it still has that version (0: if it holds nothing).
+    /// Writes it if it has this version (0: if it is empty).
     CompareAndSwap(u64, String),
 }
 
@@ -27,25 +27,25 @@
 pub enum Answer {
     /// What a read returned.
     Value(RegisterValue),
-    /// A write succeeded; the register has this version now.
+    /// A write succeeded and gave the register this version.
     Written(u64),
-    /// The register has another version than the expected one.
+    /// The compare-and-swap failed: the register has a version other than the expected one.
     VersionMismatch,
 }
 
-/// One call of one client. Times are on one clock.
+/// One call of one client. All times are read from the same clock.
 #[derive(Clone, Debug)]
 pub struct Operation {
     /// When it was called.
     pub called: u64,
-    /// When it was answered, and how; `None` where it is not known whether it was executed.
+    /// When it was answered, and the answer; `None` if it is unknown whether it was executed.
     pub answered: Option<(u64, Answer)>,
     /// The call.
     pub call: Call,
 }
 
 impl Operation {
-    /// When it was answered; never, for one without an answer.
+    /// When it was answered; `u64::MAX` if it has no answer.
     fn answered_at(&self) -> u64 {
         self.answered.as_ref().map_or(u64::MAX, |(at, _)| *at)
     }
--- a/crates/test-harness/src/history/register.rs
+++ b/crates/test-harness/src/history/register.rs
@@ -1,8 +1,8 @@
-//! A register as the search sees it.
+//! The model of a register that the search applies operations to.
 
 use super::{Answer, Call};
 
-/// What a register may hold. The version is unknown after a write without an answer; it is at least `min_version`.
+/// The content of a register. The version is unknown after a write without an answer, but at least `min_version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Register {
     value: Option<String>,
@@ -15,12 +15,13 @@
         Self { value: Some(value.into()), version: Some(version), min_version: version }
     }
 
-    /// Whether its version may be this one.
+    /// Whether it may have this version.
     fn may_have(&self, version: u64) -> bool {
         self.value.is_some() && self.version.map_or(version >= self.min_version, |own| own == version)
     }
 
-    /// The register after a call, if the answer is possible. Without an answer the call was executed.
+    /// The register after a call, or `None` if the answer is impossible. A call without an answer is assumed to have been
+    /// executed.
     pub(super) fn after(&self, call: &Call, answer: Option<&Answer>) -> Option<Self> {
         match call {
             Call::Read => self.after_read(answer),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Versions grow with each write.
+    /// Each write increases the version.
     fn after_write(&self, value: &str, answer: Option<&Answer>) -> Option<Self> {
         match answer {
             Some(Answer::Written(version)) => {
--- a/crates/test-harness/src/history/search.rs
+++ b/crates/test-harness/src/history/search.rs
@@ -1,27 +1,29 @@
-//! The search for an order of operations that explains all answers.
+//! Searches for a linearization: an order of the operations that explains all answers.
 
 use super::register::Register;
 use super::{Call, Operation};
 use std::collections::HashSet;
 
-/// Unanswered operations in a row that are tried before an answered one.
+/// Maximum number of consecutive unanswered operations tried before an answered one.
 const MAX_UNANSWERED_IN_A_ROW: usize = 2;
 
-/// Whether some order of the operations, in which none comes before one that was answered before it was called, gives all
-/// their answers. Operations without an answer may have been executed at any time, or never.
+/// Whether some order of the operations produces all their answers without placing an operation before one that was
+/// answered before it was called. An operation without an answer may have been executed at any time after its call, or
+/// never.
 ///
-/// Only a later answer needs an unanswered operation; so each is tried just before an answer that is not possible without
-/// it, two in a row at the most. Otherwise histories with many of them could not be searched.
+/// An unanswered operation matters only if a later answer depends on it. So each is tried only directly before an answer
+/// that is impossible without it, and at most two in a row. Otherwise the search would be infeasible for histories with
+/// many of them.
 #[must_use]
 pub fn is_linearizable(operations: &[Operation]) -> bool {
     let positions = |is_answered: bool| {
-        let is_selected = |at: &usize| operations[*at].answered.is_some() == is_answered;
+        let is_selected = |index: &usize| operations[*index].answered.is_some() == is_answered;
         let mut positions: Vec<usize> = (0..operations.len()).filter(is_selected).collect();
-        positions.sort_by_key(|at| operations[*at].called);
+        positions.sort_by_key(|index| operations[*index].called);
         positions
     };
     let mut unanswered = positions(false);
-    unanswered.retain(|at| operations[*at].call != Call::Read);
+    unanswered.retain(|index| operations[*index].call != Call::Read);
     let search = Search {
         operations,
         answered: positions(true),
@@ -32,7 +34,7 @@
     search.run()
 }
 
-/// Operations that are executed together, and the register after them.
+/// Operations to append to the order together, and the register after them.
 struct Extension {
     executed: Vec<usize>,
     register: Register,
@@ -44,20 +46,20 @@
     answered: Vec<usize>,
     /// Unanswered writes by position, in the order of their calls.
     unanswered: Vec<usize>,
-    /// Which operations the present order contains.
+    /// Which operations the current order contains, by position.
     executed: Vec<bool>,
-    /// Sets of executed operations, as bits, with the register after them: Lowe's memory.
+    /// Lowe's memoization: the sets of executed operations already tried, as bits, with the register after them.
     tried: HashSet<(Vec<u64>, Register)>,
 }
 
-/// A prefix of the order, and what can follow it.
+/// A prefix of the order, and the candidates to follow it.
 struct Frame {
     register: Register,
-    /// The first answered operation that is not executed, by its place in `Search::answered`.
+    /// Index in `Search::answered` of the first operation that is not executed.
     first: usize,
-    /// The place of the next operation to try.
+    /// Index in `Search::answered` of the next operation to try.
     next: usize,
-    /// Extensions that are not tried yet.
+    /// Extensions not tried yet.
     extensions: Vec<Extension>,
     /// The last operations of the prefix.
     executed: Vec<usize>,
@@ -70,7 +72,7 @@
 }
 
 impl Search<'_> {
-    /// Searches depth first with a stack of its own: histories are longer than recursion may be deep.
+    /// Searches depth first with an explicit stack, since long histories would overflow the call stack.
     fn run(mut self) -> bool {
         let mut stack = vec![Frame::new(Register::default(), 0, Vec::new())];
         while let Some(frame) = stack.last_mut() {
@@ -98,8 +100,8 @@
     }
 
     fn mark(&mut self, operations: &[usize], executed: bool) {
-        for at in operations {
-            self.executed[*at] = executed;
+        for index in operations {
+            self.executed[*index] = executed;
         }
     }
 
@@ -114,23 +116,23 @@
             if let Some(extension) = frame.extensions.pop() {
                 return Some(extension);
             }
-            let at = *self.answered.get(frame.next)?;
-            if self.operations[at].called > earliest_answer {
+            let index = *self.answered.get(frame.next)?;
+            if self.operations[index].called > earliest_answer {
                 return None;
             }
             frame.next += 1;
-            if !self.executed[at] {
+            if !self.executed[index] {
                 frame.extensions =
-                    self.extensions(&frame.register, at, earliest_answer, MAX_UNANSWERED_IN_A_ROW);
+                    self.extensions(&frame.register, index, earliest_answer, MAX_UNANSWERED_IN_A_ROW);
             }
         }
     }
 
-    /// The first answer among the operations that are not executed: only operations called before it may be next.
+    /// The earliest answer time of the operations that are not executed. Only operations called before it may come next.
     fn earliest_answer(&self, first: usize) -> u64 {
         let mut earliest = u64::MAX;
-        for at in self.answered[first..].iter().filter(|at| !self.executed[**at]) {
-            let operation = &self.operations[*at];
+        for index in self.answered[first..].iter().filter(|index| !self.executed[**index]) {
+            let operation = &self.operations[*index];
             if operation.called > earliest {
                 break;
             }
@@ -139,28 +141,28 @@
         earliest
     }
 
-    /// How an answered operation can follow: at once, or after up to `unanswered` operations without an answer.
+    /// The ways in which an answered operation can follow: directly, or after up to `unanswered` unanswered operations.
     fn extensions(
         &self,
         register: &Register,
-        at: usize,
+        index: usize,
         earliest_answer: u64,
         unanswered: usize,
     ) -> Vec<Extension> {
-        let operation = &self.operations[at];
+        let operation = &self.operations[index];
         if let Some(register) = register.after(&operation.call, operation.answer()) {
-            return vec![Extension { executed: vec![at], register }];
+            return vec![Extension { executed: vec![index], register }];
         }
         if unanswered == 0 {
             return Vec::new();
         }
         let mut extensions = Vec::new();
-        for other in self.open_unanswered(earliest_answer) {
-            let between = register.after(&self.operations[other].call, None);
+        for unanswered_index in self.open_unanswered(earliest_answer) {
+            let between = register.after(&self.operations[unanswered_index].call, None);
             let Some(between) = between.filter(|between| between != register) else { continue };
-            for mut extension in self.extensions(&between, at, earliest_answer, unanswered - 1) {
-                if !extension.executed.contains(&other) {
-                    extension.executed.push(other);
+            for mut extension in self.extensions(&between, index, earliest_answer, unanswered - 1) {
+                if !extension.executed.contains(&unanswered_index) {
+                    extension.executed.push(unanswered_index);
                     extensions.push(extension);
                 }
             }
@@ -168,9 +170,9 @@
         extensions
     }
 
-    /// Unanswered operations that are not executed and were called before that time.
+    /// Unanswered operations that are not executed and were called no later than `until`.
     fn open_unanswered(&self, until: u64) -> impl Iterator<Item = usize> + '_ {
-        let is_open = move |at: &usize| !self.executed[*at] && self.operations[*at].called <= until;
+        let is_open = move |index: &usize| !self.executed[*index] && self.operations[*index].called <= until;
         self.unanswered.iter().copied().filter(is_open)
     }
 }
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,14 +1,15 @@
-//! A test harness: several real processes of the program on loopback, with faults between them. For tests alone; nothing
-//! of it is in the daemon's build.
+//! A test harness that runs several real processes of the program on loopback and injects faults between them. Used by
+//! tests only; the daemon does not link it.
 //!
-//! - [`relay`]: links between processes, each direction with faults of its own: cut, held, slow, reset, duplicated;
-//! - [`process`]: a process that is suspended, killed, killed at a named point, started again with or without its disk;
+//! - [`relay`]: links between processes, with faults per direction: cut, stalled, slow, reset, duplicated;
+//! - [`process`]: a process that can be suspended, killed, killed at a failpoint and restarted with or without its disk;
 //! - [`fleet`]: processes and the links between them;
-//! - [`script`]: fault schedules from a seed, which print as text and can be played again from it;
+//! - [`script`]: fault schedules generated from a seed, which print as text and can be replayed from it;
 //! - [`queries`]: queries to stub engines, and an auditor of their answers and attempts;
-//! - [`history`]: calls and answers of clients, and whether one order explains them (linearizability).
+//! - [`history`]: histories of client calls, and a linearizability checker.
 //!
-//! Tests wait for conditions. [`PATIENCE`] is far beyond what any of them takes: only a failure waits so long.
+//! Tests wait for conditions, up to [`PATIENCE`]. It is far longer than any condition needs, so only a failing test waits
+//! that long.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,23 +22,23 @@
 
 use std::time::{Duration, Instant};
 
-/// The longest that a condition is waited for.
+/// Time limit of every wait for a condition.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Pause between two checks of a condition.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until `find` returns something.
+/// Polls `find` until it returns a value.
 ///
 /// # Panics
-/// Where it has not within [`PATIENCE`]; names the condition.
+/// If that takes longer than [`PATIENCE`]; the message names the condition.
 pub fn until<T>(condition: &str, mut find: impl FnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
-        if let Some(found) = find() {
-            return found;
+        if let Some(value) = find() {
+            return value;
         }
-        assert!(began.elapsed() < PATIENCE, "waited in vain: {condition}");
+        assert!(began.elapsed() < PATIENCE, "timed out waiting for: {condition}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program in a folder of its own.
+//! A process of the program, in its own folder.
 
 use crate::until;
 use rustix::process::{kill_process, Pid, Signal};
@@ -9,32 +9,32 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The environment variable that names the kill point of a test build: `point`, or `point@3` for the third time that it
-/// gets there.
+/// The environment variable that names the kill point of a test build: `point`, or `point@3` to kill the process the
+/// third time that it reaches the point.
 pub const KILL_POINT_VARIABLE: &str = "DAHLIASPOKE_KILL_AT";
 
-/// What the program prints before the address of a listener.
+/// The log line with which the program reports the address of a listener.
 struct ListenerLine {
-    /// The words before the address.
-    words: &'static str,
-    /// The listener's name.
+    /// The text before the address.
+    preceding_text: &'static str,
+    /// The name of the listener in [`Addresses`].
     listener: &'static str,
 }
 
 const LISTENER_LINES: [ListenerLine; 4] = [
-    ListenerLine { words: "listens on", listener: "http" },
-    ListenerLine { words: "stores on", listener: "store" },
-    ListenerLine { words: "hears operators on", listener: "console" },
-    ListenerLine { words: "speaks MySQL on", listener: "mysql" },
+    ListenerLine { preceding_text: "listens on", listener: "http" },
+    ListenerLine { preceding_text: "stores on", listener: "store" },
+    ListenerLine { preceding_text: "hears operators on", listener: "console" },
+    ListenerLine { preceding_text: "speaks MySQL on", listener: "mysql" },
 ];
 
-/// Addresses by the names of the listeners: `http`, `store`, `console`, `mysql`.
+/// Addresses by listener name: `http`, `store`, `console`, `mysql`.
 pub type Addresses = BTreeMap<&'static str, SocketAddr>;
 
-/// Lines that a process has printed.
+/// Lines printed by a process.
 type Output = Arc<Mutex<Vec<String>>>;
 
-/// One process, running or not. Its folder lasts until this is dropped.
+/// One process, running or not. Dropping it kills the process and removes its folder.
 pub struct Process {
     /// Its name.
     pub name: String,
@@ -43,15 +43,15 @@
     child: Option<Child>,
     output: Output,
     suspended: bool,
-    /// Commands that a shell runs before it becomes the program.
+    /// Commands that a shell runs before it executes the program in its place.
     pub shell_prefix: Option<String>,
 }
 
 impl Process {
-    /// A process that is not started yet, with a folder in `parent`.
+    /// Creates the folder of a process in `parent`, without starting the process.
     ///
     /// # Errors
-    /// Where its folder cannot be created.
+    /// If the folder cannot be created.
     pub fn new(program: &Path, name: &str, parent: &Path) -> std::io::Result<Self> {
         let folder = parent.join(name);
         std::fs::create_dir_all(folder.join("deploy"))?;
@@ -69,24 +69,24 @@
     /// Writes a file into its folder.
     ///
     /// # Panics
-    /// Where that cannot be done.
+    /// If the file cannot be written.
     pub fn write_file(&self, name: &str, text: &str) {
         std::fs::write(self.folder.join(name), text).unwrap_or_else(|e| panic!("{}: {name}: {e}", self.name));
     }
 
-    /// A path in its folder.
+    /// The path of a file in its folder.
     #[must_use]
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// Starts it, and waits until it serves or ends. With a kill point, it kills itself there. Returns the addresses of
-    /// its listeners.
+    /// Starts it, and waits until its HTTP listener is open or it has exited. With a kill point, it kills itself there.
+    /// Returns the addresses of its listeners.
     ///
     /// # Panics
-    /// Where it neither serves nor ends.
+    /// If it is already running or cannot be spawned, or if it neither opens its HTTP listener nor exits in time.
     pub fn start(&mut self, kill_point: Option<&str>) -> Addresses {
-        assert!(!self.is_running(), "{} runs already", self.name);
+        assert!(!self.is_running(), "{} is already running", self.name);
         let mut command = self.command(kill_point);
         let mut child = command.spawn().unwrap_or_else(|e| panic!("{}: {e}", self.program.display()));
         self.output = Output::default();
@@ -98,7 +98,7 @@
         }
         self.child = Some(child);
         self.suspended = false;
-        until(&format!("{} serves or ends", self.name), || {
+        until(&format!("{} serves or exits", self.name), || {
             let addresses = self.addresses();
             (addresses.contains_key("http") || !self.is_running()).then_some(addresses)
         })
@@ -129,25 +129,25 @@
     fn addresses(&self) -> Addresses {
         let mut addresses = Addresses::new();
         for line in self.output() {
-            for ListenerLine { words, listener } in LISTENER_LINES {
-                let address = line.split_once(words).and_then(|(_, rest)| rest.trim().parse().ok());
+            for ListenerLine { preceding_text, listener } in LISTENER_LINES {
+                let address = line.split_once(preceding_text).and_then(|(_, rest)| rest.trim().parse().ok());
                 addresses.extend(address.map(|address| (listener, address)));
             }
         }
         addresses
     }
 
-    /// All lines that it has printed since its start.
+    /// All lines that it has printed since its last start.
     pub fn output(&self) -> Vec<String> {
         self.output.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whether it runs.
+    /// Whether it is running.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Its process id, while it has one.
+    /// Its process id; `None` if it was never started or was killed.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -157,11 +157,11 @@
             return;
         }
         let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
-        // It may end in this moment.
+        // The signal fails if the process has exited since the check.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
 
-    /// Suspends it with SIGSTOP, wherever it is.
+    /// Suspends it with SIGSTOP, at whatever point of its work.
     pub fn suspend(&mut self) {
         self.signal(Signal::STOP);
         self.suspended = true;
@@ -179,29 +179,29 @@
         self.suspended
     }
 
-    /// Sends SIGTERM: it ends when it has finished its work.
+    /// Sends SIGTERM: it exits after finishing its work.
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kills it with SIGKILL, and waits until it has ended.
+    /// Kills it with SIGKILL, and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
-            let _ = child.wait(); // it was started, so it ends
+            let _ = child.wait(); // it was started and has been sent SIGKILL, so the wait ends
         }
         self.suspended = false;
     }
 
-    /// Waits until it has ended by itself. Whether it succeeded.
+    /// Waits until it exits by itself; returns whether its exit status is success.
     pub fn wait_for_exit(&mut self) -> bool {
-        until(&format!("{} ends", self.name), || {
+        until(&format!("{} exits", self.name), || {
             let child = self.child.as_mut()?;
             child.try_wait().ok()?.map(|status| status.success())
         })
     }
 
-    /// Removes a file or folder of its folder: a disk that is lost.
+    /// Removes a file or folder from its folder, as if a disk were lost.
     pub fn remove_data(&self, name: &str) {
         let path = self.folder.join(name);
         let _ = if path.is_dir() { std::fs::remove_dir_all(path) } else { std::fs::remove_file(path) };
@@ -215,7 +215,7 @@
     }
 }
 
-/// Collects the lines of a pipe on a thread of its own.
+/// Collects the lines of a pipe on a separate thread.
 fn collect_lines(pipe: impl Read + Send + 'static, output: Output) {
     std::thread::spawn(move || {
         for line in BufReader::new(pipe).lines().map_while(Result::ok) {
--- a/crates/test-harness/src/queries/audit.rs
+++ b/crates/test-harness/src/queries/audit.rs
@@ -7,35 +7,35 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// How long an answer is waited for.
+/// Time limit for each read of an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 /// The text of every query.
 const QUERY: &str = "SELECT n FROM sales_1.orders";
-/// Asks for the health of the coordinator.
+/// Requests the health of the coordinator.
 const HEALTH_REQUEST: &[u8] = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-/// Stands for a failure that the coordinator reports with status 200.
+/// Recorded in place of status 200 if the answer reports a failed query.
 const FAILED_STATUS: u16 = 500;
 
-/// How often a query may be sent after an attempt that may have run.
+/// Whether a query may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
-    /// Any number of times.
+    /// It may, any number of times.
     Any,
-    /// Never.
+    /// It must not.
     Never,
 }
 
 /// One query.
 struct SentQuery {
     repeats: Repeats,
-    /// The statuses that it was answered with.
+    /// The statuses of all its answers.
     statuses: Vec<u16>,
 }
 
-/// What the auditor found.
+/// The findings of the audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// What is wrong, a line each.
+    /// Descriptions of the violations, one line each.
     pub violations: Vec<String>,
     /// Queries that were served.
     pub served: usize,
@@ -45,21 +45,21 @@
     pub failed: usize,
 }
 
-/// Queries and their answers.
+/// Records queries and their answers, for an audit.
 #[derive(Default)]
 pub struct QueryAudit {
     queries: Mutex<BTreeMap<String, SentQuery>>,
 }
 
-/// An answer over HTTP.
+/// An HTTP response.
 struct HttpAnswer {
     status: u16,
     body: String,
 }
 
 impl QueryAudit {
-    /// Sends a query on a connection of its own and returns the status of its answer; `None` where the connection failed
-    /// before. Checks that no second answer follows: a health request after the answer must be answered with the health.
+    /// Sends a query on a new connection and returns the status of its answer; `None` if the connection failed before the
+    /// answer. Also detects a second answer: a health request sent after the answer must receive the health response.
     pub fn send(&self, coordinator: SocketAddr, class: &str, repeats: Repeats, id: u64) -> Option<u16> {
         let id = format!("{id:016x}");
         lock(&self.queries).insert(id.clone(), SentQuery { repeats, statuses: Vec::new() });
@@ -76,7 +76,7 @@
         Some(status)
     }
 
-    /// Checks all queries against what the engines were sent.
+    /// Checks the answers of all queries against the attempts that the engines recorded.
     pub fn verdict(&self, engines: &StubEngines) -> Verdict {
         let possible_runs = engines.possible_runs();
         let mut verdict = Verdict::default();
@@ -119,7 +119,8 @@
     )
 }
 
-/// The status of a second answer, if there is one. A coordinator that closes after its answer has none.
+/// The status of a second answer, if there is one. If the coordinator closes the connection after its answer, there is
+/// none.
 fn second_answer(reader: &mut BufReader<TcpStream>) -> Option<u16> {
     reader.get_mut().write_all(HEALTH_REQUEST).ok()?;
     let HttpAnswer { status, body } = read_answer(reader)?;
@@ -128,7 +129,7 @@
 }
 
 impl HttpAnswer {
-    /// The status of a query: a rejection or a failure may come with status 200.
+    /// The status of the query: [`FAILED_STATUS`] if an answer with status 200 reports an error.
     fn query_status(&self) -> u16 {
         if self.status == 200 && self.body.contains("\"err\"") {
             FAILED_STATUS
@@ -138,7 +139,7 @@
     }
 }
 
-/// Reads a complete answer; `None` where the connection ends or the answer is malformed.
+/// Reads a complete answer; `None` if the connection ends or the answer is malformed.
 fn read_answer(reader: &mut BufReader<TcpStream>) -> Option<HttpAnswer> {
     let status = read_line(reader)?.split(' ').nth(1)?.parse().ok()?;
     let mut length = 0;
@@ -158,7 +159,7 @@
     Some(HttpAnswer { status, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
-/// A line without its end; `None` where the connection has ended.
+/// Reads a line and strips its line ending; `None` if the connection has ended.
 fn read_line(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|count| *count > 0)?;
--- a/crates/test-harness/src/queries/engines.rs
+++ b/crates/test-harness/src/queries/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that record what they are sent.
+//! Stub engines that record the queries they receive.
 
 use super::lock;
 use dahliaspoke_simulator::standin::read_command;
@@ -8,44 +8,44 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// What an engine does with queries.
+/// How an engine responds to queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineBehaviour {
     /// Serves them.
     Serve,
-    /// Answers that they failed: they may have run.
+    /// Answers that they failed; they count as possibly executed.
     Fail,
-    /// Answers that it is full: they never ran.
+    /// Answers that it is full; they were not executed.
     Full,
-    /// Resets the connection: they may have run.
+    /// Resets the connection; they count as possibly executed.
     Reset,
 }
 
-/// What the engines were sent: by id, whether each attempt may have run.
+/// For each query id, one entry per attempt: whether the attempt may have run.
 type Attempts = Arc<Mutex<BTreeMap<String, Vec<bool>>>>;
 
-/// One engine.
+/// A stub engine.
 #[derive(Clone)]
 struct StubEngine {
     behaviour: Arc<Mutex<EngineBehaviour>>,
     attempts: Attempts,
-    /// Connections that were opened to it.
+    /// Number of accepted connections.
     connections: Arc<AtomicUsize>,
 }
 
-/// Engines that record what they are sent.
+/// A set of stub engines that record the queries they receive.
 pub struct StubEngines {
-    /// Their ids, and where each listens.
+    /// The id and the address of each engine.
     pub list: Vec<(String, SocketAddr)>,
     engines: Vec<StubEngine>,
     attempts: Attempts,
 }
 
 impl StubEngines {
-    /// Starts this many, which serve.
+    /// Starts `count` engines that serve queries.
     ///
     /// # Panics
-    /// Where no port can be bound.
+    /// If no port can be bound.
     #[must_use]
     pub fn start(count: usize) -> Self {
         let attempts = Attempts::default();
@@ -64,24 +64,24 @@
         Self { list, engines, attempts }
     }
 
-    /// Connections that were opened to one of them.
+    /// Number of connections accepted by one engine.
     #[must_use]
-    pub fn connections(&self, at: usize) -> usize {
-        self.engines[at].connections.load(Ordering::SeqCst)
+    pub fn connections(&self, position: usize) -> usize {
+        self.engines[position].connections.load(Ordering::SeqCst)
     }
 
-    /// Ids of the queries that they were sent, each once.
+    /// The distinct ids of the queries that any engine received.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
         lock(&self.attempts).keys().cloned().collect()
     }
 
-    /// Sets what one of them does.
-    pub fn set_behaviour(&self, at: usize, behaviour: EngineBehaviour) {
-        *lock(&self.engines[at].behaviour) = behaviour;
+    /// Sets the behaviour of one engine.
+    pub fn set_behaviour(&self, position: usize, behaviour: EngineBehaviour) {
+        *lock(&self.engines[position].behaviour) = behaviour;
     }
 
-    /// How often each query may have run.
+    /// For each query id, the number of attempts that may have run.
     pub(super) fn possible_runs(&self) -> BTreeMap<String, usize> {
         let count = |attempts: &Vec<bool>| attempts.iter().filter(|may_have_run| **may_have_run).count();
         lock(&self.attempts).iter().map(|(id, attempts)| (id.clone(), count(attempts))).collect()
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Serves a connection until it ends.
+    /// Serves a connection until it ends, fails or is reset.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         let mut writer = stream.try_clone().ok()?;
         let mut reader = BufReader::new(stream);
@@ -113,7 +113,7 @@
                     return None;
                 }
                 ("PING" | "LOAD", _) => "well",
-                _ => continue, // DROP, RANK and CLOSE are not answered
+                _ => continue, // DROP, RANK and CLOSE get no answer
             };
             if command[0] == "GET" {
                 self.record_attempt(&command[1], status != "full");
--- a/crates/test-harness/src/queries/mod.rs
+++ b/crates/test-harness/src/queries/mod.rs
@@ -1,5 +1,5 @@
-//! Queries through a coordinator's HTTP listener to stub engines, and an auditor: exactly one final answer each, and no
-//! attempt after one that may have run but as the class allows.
+//! Sends queries through a coordinator's HTTP listener to stub engines, and audits them: each query gets exactly one final
+//! answer, and after an attempt that may have run there is another one only if the class allows it.
 
 mod audit;
 mod engines;
@@ -9,7 +9,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a panic of another thread: each update leaves the state valid.
+/// Locks a mutex and ignores poisoning: each update leaves the state valid, even if a thread panics.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-harness/src/relay/datagrams.rs
+++ b/crates/test-harness/src/relay/datagrams.rs
@@ -1,4 +1,4 @@
-//! UDP links that lose, duplicate, reorder and delay datagrams.
+//! UDP links that drop, duplicate, reorder and delay datagrams.
 
 use super::{lock, Direction};
 use rand_core::{RngCore, SeedableRng};
@@ -9,19 +9,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Bytes of a datagram, at the most.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Faults of one direction. Shares are 0 to 1.
+/// Faults of one direction. Shares range from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
-    /// Share that is lost.
+    /// Share of datagrams dropped.
     pub lost: f64,
-    /// Share that arrives twice.
+    /// Share of datagrams forwarded twice.
     pub duplicated: f64,
-    /// Share that arrives behind the next one.
+    /// Share of datagrams forwarded after the next one.
     pub reordered: f64,
-    /// How much later all arrive (ms).
+    /// Delay added to each datagram (ms). It also delays those behind it.
     pub delay_ms: u64,
 }
 
@@ -30,16 +30,16 @@
 
 /// A UDP link.
 pub struct DatagramRelay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     faults: SharedFaults,
 }
 
 impl DatagramRelay {
-    /// Starts a link to a target; faults are drawn from the seed.
+    /// Starts a link to `target`; `seed` determines which datagrams the faults affect.
     ///
     /// # Errors
-    /// Where no port can be bound.
+    /// If no port can be bound.
     pub fn start(target: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = socket.local_addr()?;
@@ -55,13 +55,13 @@
     }
 }
 
-/// Forwards datagrams from clients to the target, and answers back.
+/// Forwards datagrams from clients to the target, and answers back to the clients.
 struct Forwarder {
     socket: UdpSocket,
     target: SocketAddr,
     seed: u64,
     faults: SharedFaults,
-    /// A socket towards the target for each client, so that answers reach the client that asked.
+    /// A separate socket towards the target for each client, so that each answer is forwarded to the right client.
     upstreams: HashMap<SocketAddr, Arc<UdpSocket>>,
 }
 
@@ -74,7 +74,7 @@
             let faults = lock(&self.faults)[Direction::Out as usize];
             model.forward(faults, &buffer[..length], |bytes| {
                 if let Some(upstream) = &upstream {
-                    let _ = upstream.send_to(bytes, self.target); // the target may have gone
+                    let _ = upstream.send_to(bytes, self.target); // the target may have closed its socket
                 }
             });
         }
@@ -105,15 +105,15 @@
     while let Ok((length, _)) = answers.recv_from(&mut buffer) {
         let faults = lock(faults)[Direction::Back as usize];
         model.forward(faults, &buffer[..length], |bytes| {
-            let _ = socket.send_to(bytes, client); // the client may have gone
+            let _ = socket.send_to(bytes, client); // the client may have closed its socket
         });
     }
 }
 
-/// Draws what becomes of each datagram.
+/// Applies random faults to datagrams.
 struct FaultModel {
     rng: Pcg64Mcg,
-    /// A datagram that is sent behind the next one.
+    /// A datagram held back until the next one has been sent.
     delayed: Option<Vec<u8>>,
 }
 
@@ -122,7 +122,7 @@
         Self { rng: Pcg64Mcg::seed_from_u64(seed), delayed: None }
     }
 
-    /// A number from 0 to 1.
+    /// A random number in [0, 1).
     fn draw(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/test-harness/src/relay/mod.rs
+++ b/crates/test-harness/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Links between processes. A [`Relay`] stands between one that connects and one that listens; a [`DatagramRelay`] does
-//! so for UDP. Each direction has faults of its own.
+//! Links between processes. A [`Relay`] is a TCP proxy between a process that connects and one that listens; a
+//! [`DatagramRelay`] is the same for UDP. Faults are set per direction.
 
 mod datagrams;
 mod pump;
@@ -14,7 +14,7 @@
 
 /// How often a thread checks whether the faults have changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a change of faults waits for bytes that are being forwarded.
+/// How long a change of faults waits for writes in progress.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A direction of a link.
@@ -29,13 +29,13 @@
 /// How a direction forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// At once.
+    /// Bytes are forwarded immediately.
     Free,
-    /// Bytes are received and not forwarded: a stalled link, or one-way loss. They arrive when the pace changes.
+    /// Bytes are received but not forwarded until the pace changes: a stalled link, or loss in one direction.
     Hold,
-    /// Each byte arrives this much later (ms).
+    /// Each byte is delayed by this time (ms).
     Delay(u64),
-    /// This many bytes a millisecond.
+    /// At most this many bytes per millisecond are forwarded.
     Trickle(usize),
 }
 
@@ -43,13 +43,13 @@
 #[derive(Clone, Copy)]
 struct DirectionState {
     pace: Pace,
-    /// Reset the connection after this many more bytes.
+    /// Resets the connection after this many more bytes.
     reset_after: Option<u64>,
-    /// Shut this direction of the open connections down.
+    /// Shuts down this direction of the open connections.
     half_close: bool,
     /// Bytes forwarded so far.
     forwarded: u64,
-    /// Connections that forward bytes at this moment.
+    /// Number of connections with a write in progress.
     forwarding: usize,
 }
 
@@ -57,7 +57,7 @@
     target: Option<SocketAddr>,
     cut: bool,
     duplicate: bool,
-    /// Grows with each cut: connections of an earlier incarnation end.
+    /// Incremented by each cut; connections of an earlier incarnation are closed.
     incarnation: u64,
     directions: [DirectionState; 2],
 }
@@ -68,14 +68,14 @@
     }
 }
 
-/// A TCP link. Connections come to [`Relay::address`] and go on to the target of that time.
+/// A TCP link. Connections to [`Relay::address`] are forwarded to the target set at the time they are accepted.
 pub struct Relay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<LinkState>>,
 }
 
-/// Locks a mutex, also after a panic of another thread: each update leaves the state valid.
+/// Locks a mutex and ignores poisoning: each update leaves the state valid, even if a thread panics.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -84,7 +84,7 @@
     /// Starts a link without a target.
     ///
     /// # Errors
-    /// Where no port can be bound.
+    /// If no port can be bound.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -108,18 +108,19 @@
         Ok(Self { address, state })
     }
 
-    /// Sets where connections go on to from now on.
+    /// Sets the target of connections accepted from now on.
     pub fn set_target(&self, target: SocketAddr) {
         lock(&self.state).target = Some(target);
     }
 
-    /// Sets the pace of a direction, also for bytes that were received and not forwarded yet.
+    /// Sets the pace of a direction. It also applies to bytes already received but not yet forwarded.
     pub fn set_pace(&self, direction: Direction, pace: Pace) {
         lock(&self.state).direction(direction).pace = pace;
         self.settle();
     }
 
-    /// Waits until nothing is being forwarded under the faults of before. A write that blocks forwards nothing.
+    /// Waits until no write started under the previous faults is in progress. Gives up after [`SETTLE_TIMEOUT`]: a blocked
+    /// write forwards nothing.
     fn settle(&self) {
         let began = Instant::now();
         let is_forwarding = || lock(&self.state).directions.iter().any(|direction| direction.forwarding > 0);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Ends all connections and accepts none until the link is healed.
+    /// Closes all connections, and each new one at once until the link is healed.
     pub fn cut(&self) {
         let mut state = lock(&self.state);
         state.cut = true;
@@ -137,22 +138,22 @@
         self.settle();
     }
 
-    /// Resets the connections after this many more bytes in a direction: in the middle of a message.
+    /// Resets a connection after this many more bytes in a direction, possibly in the middle of a message.
     pub fn reset_after(&self, direction: Direction, bytes: u64) {
         lock(&self.state).direction(direction).reset_after = Some(bytes);
     }
 
-    /// Shuts a direction of the open connections down; the other goes on.
+    /// Shuts down a direction of the open connections; the other direction stays open.
     pub fn half_close(&self, direction: Direction) {
         lock(&self.state).direction(direction).half_close = true;
     }
 
-    /// Sets whether connections that open from now on reach the target twice: it receives everything two times.
+    /// Sets whether connections accepted from now on are duplicated: the target receives all their bytes twice.
     pub fn set_duplicate(&self, duplicate: bool) {
         lock(&self.state).duplicate = duplicate;
     }
 
-    /// Takes all faults away. Bytes that were held are forwarded.
+    /// Removes all faults. Stalled bytes are forwarded.
     pub fn heal(&self) {
         let mut state = lock(&self.state);
         (state.cut, state.duplicate) = (false, false);
@@ -168,8 +169,8 @@
     }
 }
 
-/// Connects clients to the target. Without a target, or while the link is cut, a connection ends at once: the nearest to
-/// a refusal that an open port gives.
+/// Connects clients to the target. Without a target, or while the link is cut, a connection is closed immediately: the
+/// closest to a refused connection that is possible while the port stays open.
 fn accept(listener: &TcpListener, state: &Arc<Mutex<LinkState>>) {
     for client in listener.incoming().map_while(Result::ok) {
         let (target, duplicate, incarnation) = {
@@ -180,22 +181,22 @@
         let Ok(server) = TcpStream::connect(target) else { continue };
         let second = if duplicate { TcpStream::connect(target).ok() } else { None };
         let connection = Connection { client, server, second, incarnation };
-        let _ = connection.start(state); // a socket that breaks here ends the two
+        let _ = connection.start(state); // on an error, dropping the sockets closes the connection
     }
 }
 
-/// A connection of a link.
+/// A connection through a link.
 struct Connection {
     client: TcpStream,
     server: TcpStream,
     /// A second connection to the target that receives the same bytes.
     second: Option<TcpStream>,
-    /// The incarnation of the link that accepted it.
+    /// The incarnation of the link when it was accepted.
     incarnation: u64,
 }
 
 impl Connection {
-    /// Forwards bytes, each direction on a thread.
+    /// Starts a forwarding thread for each direction.
     fn start(self, state: &Arc<Mutex<LinkState>>) -> io::Result<()> {
         let Self { client, server, second, incarnation } = self;
         for socket in [&client, &server] {
--- a/crates/test-harness/src/relay/pump.rs
+++ b/crates/test-harness/src/relay/pump.rs
@@ -1,4 +1,4 @@
-//! Forwards the bytes of one direction of one connection, under the faults of the link.
+//! Forwards the bytes of one direction of a connection, subject to the faults of the link.
 
 use super::{lock, Direction, DirectionState, LinkState, Pace, POLL_INTERVAL};
 use std::collections::VecDeque;
@@ -7,22 +7,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Bytes that a direction holds before it receives no more: as a kernel's buffers would.
-const MAX_HELD_BYTES: usize = 4 << 20;
-/// Bytes received at a time.
+/// Queued bytes at which a direction stops reading, so that it applies backpressure as full kernel buffers would.
+const MAX_QUEUED_BYTES: usize = 4 << 20;
+/// Maximum number of bytes per read.
 const BUFFER_BYTES: usize = 16 << 10;
 
 /// How a pump ended.
 enum PumpEnd {
-    /// The sockets are left as they are: the other direction may go on.
+    /// Only this direction ended: the sockets stay open for the other one.
     Direction,
-    /// The connection ends.
+    /// The connection is closed.
     Closed,
     /// The connection is reset.
     Reset,
 }
 
-/// Bytes that were received together.
+/// Bytes received by one read.
 struct Chunk {
     received: Instant,
     bytes: Vec<u8>,
@@ -37,11 +37,11 @@
     second: Option<TcpStream>,
     incarnation: u64,
     state: Arc<Mutex<LinkState>>,
-    /// Bytes that were received and not forwarded, in order.
-    waiting: VecDeque<Chunk>,
-    /// How many they are.
-    held: usize,
-    /// Whether `from` has said its last.
+    /// Bytes received but not yet forwarded, in order.
+    queue: VecDeque<Chunk>,
+    /// Number of bytes in `queue`.
+    queued_bytes: usize,
+    /// Whether `from` has shut down its sending side.
     from_ended: bool,
     buffer: Vec<u8>,
 }
@@ -61,14 +61,14 @@
             second: None,
             incarnation,
             state,
-            waiting: VecDeque::new(),
-            held: 0,
+            queue: VecDeque::new(),
+            queued_bytes: 0,
             from_ended: false,
             buffer: vec![0; BUFFER_BYTES],
         }
     }
 
-    /// Forwards everything to another connection as well, if there is one.
+    /// Also forwards everything to a second connection, if there is one.
     pub(super) fn duplicated_to(self, second: Option<TcpStream>) -> Self {
         Self { second, ..self }
     }
@@ -91,9 +91,9 @@
     }
 
     fn step(&mut self) -> Option<PumpEnd> {
-        let Some(faults) = self.present_faults() else { return Some(PumpEnd::Closed) };
+        let Some(faults) = self.current_faults() else { return Some(PumpEnd::Closed) };
         if faults.half_close {
-            let _ = self.to.shutdown(Shutdown::Write); // it may have gone
+            let _ = self.to.shutdown(Shutdown::Write); // the peer may have closed it
             lock(&self.state).direction(self.direction).half_close = false;
             return Some(PumpEnd::Direction);
         }
@@ -103,31 +103,31 @@
         if let Some(end) = self.forward(faults.pace) {
             return Some(end);
         }
-        if self.from_ended && self.waiting.is_empty() {
-            let _ = self.to.shutdown(Shutdown::Write); // it may have gone
+        if self.from_ended && self.queue.is_empty() {
+            let _ = self.to.shutdown(Shutdown::Write); // the peer may have closed it
             return Some(PumpEnd::Direction);
         }
         None
     }
 
-    /// The faults of the direction; `None` where the link was cut.
-    fn present_faults(&self) -> Option<DirectionState> {
+    /// The current faults of the direction; `None` if the link was cut after the connection was accepted.
+    fn current_faults(&self) -> Option<DirectionState> {
         let mut state = lock(&self.state);
         (state.incarnation == self.incarnation).then(|| *state.direction(self.direction))
     }
 
-    /// Waits for bytes for a moment. An error is one of the connection.
+    /// Reads available bytes, waiting at most the read timeout of the socket. An error means that the connection failed.
     fn receive(&mut self) -> io::Result<()> {
         let now = Instant::now();
-        if self.from_ended || self.held >= MAX_HELD_BYTES {
+        if self.from_ended || self.queued_bytes >= MAX_QUEUED_BYTES {
             std::thread::sleep(POLL_INTERVAL);
             return Ok(());
         }
         match self.from.read(&mut self.buffer) {
             Ok(0) => self.from_ended = true,
             Ok(count) => {
-                self.waiting.push_back(Chunk { received: now, bytes: self.buffer[..count].to_vec() });
-                self.held += count;
+                self.queue.push_back(Chunk { received: now, bytes: self.buffer[..count].to_vec() });
+                self.queued_bytes += count;
             }
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(error) => return Err(error),
@@ -135,14 +135,14 @@
         Ok(())
     }
 
-    /// Forwards what is due at that pace.
+    /// Forwards the bytes that are due at this pace.
     fn forward(&mut self, pace: Pace) -> Option<PumpEnd> {
         let mut allowance = bytes_per_step(pace);
         let delay = if let Pace::Delay(ms) = pace { Duration::from_millis(ms) } else { Duration::ZERO };
         while let Some(available) = self.due_bytes(delay).filter(|_| allowance > 0) {
             let Some(faults) = self.begin_write() else { break };
             let until_reset = faults.reset_after.map_or(usize::MAX, |bytes| bytes as usize);
-            let piece = self.take_piece(available.min(allowance).min(until_reset));
+            let piece = self.dequeue(available.min(allowance).min(until_reset));
             allowance -= piece.len();
             let written = self.to.write_all(&piece);
             let reset = self.end_write(written.is_ok(), piece.len(), faults.reset_after.is_some());
@@ -158,35 +158,37 @@
         None
     }
 
-    /// Bytes of the first chunk, if it has waited for the delay.
+    /// Length of the first chunk, if it was received at least `delay` ago.
     fn due_bytes(&self, delay: Duration) -> Option<usize> {
-        let first = self.waiting.front()?;
+        let first = self.queue.front()?;
         (first.received.elapsed() >= delay).then_some(first.bytes.len())
     }
 
-    fn take_piece(&mut self, count: usize) -> Vec<u8> {
-        let Some(first) = self.waiting.front_mut() else { return Vec::new() };
+    fn dequeue(&mut self, count: usize) -> Vec<u8> {
+        let Some(first) = self.queue.front_mut() else { return Vec::new() };
         let piece: Vec<u8> = first.bytes.drain(..count).collect();
         if first.bytes.is_empty() {
-            self.waiting.pop_front();
+            self.queue.pop_front();
         }
-        self.held -= piece.len();
+        self.queued_bytes -= piece.len();
         piece
     }
 
-    /// Announces a write. `None` where it must not begin: the faults may have changed since the step began.
+    /// Registers the start of a write and returns the current faults, or `None` if they no longer allow a write. Checked
+    /// again here, since the faults may have changed since the start of the step.
     fn begin_write(&self) -> Option<DirectionState> {
         let mut state = lock(&self.state);
-        let is_present = state.incarnation == self.incarnation;
+        let is_current = state.incarnation == self.incarnation;
         let direction = state.direction(self.direction);
-        if !is_present || direction.half_close || direction.pace == Pace::Hold {
+        if !is_current || direction.half_close || direction.pace == Pace::Hold {
             return None;
         }
         direction.forwarding += 1;
         Some(*direction)
     }
 
-    /// Counts a write. Whether the connection is to be reset now; only a reset that was set before the write counts.
+    /// Records the end of a write; returns whether the connection must be reset now. Only a reset that was set before the
+    /// write started is considered.
     fn end_write(&self, succeeded: bool, count: usize, has_reset: bool) -> bool {
         let mut state = lock(&self.state);
         let direction = state.direction(self.direction);
@@ -209,7 +211,7 @@
     }
 }
 
-/// Bytes that a pace lets through in one step.
+/// Number of bytes that may be forwarded in one step at this pace.
 fn bytes_per_step(pace: Pace) -> usize {
     match pace {
         Pace::Free | Pace::Delay(_) => usize::MAX,
@@ -219,7 +221,8 @@
 }
 
 fn end_connection(socket: &TcpStream, reset: bool) {
-    // To connect a socket to nowhere aborts its connection, whoever else holds the socket. It may have gone.
+    // Connecting to AF_UNSPEC aborts the connection even if the socket has other descriptors; closing this one would not.
+    // It fails if the connection is closed already.
     if !reset || rustix::net::connect_unspec(socket).is_err() {
         let _ = socket.shutdown(Shutdown::Both);
     }
--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -1,4 +1,4 @@
-//! Fault schedules, drawn from a seed. A schedule prints as text, and the text can be parsed and played again.
+//! Fault schedules generated from a seed. A schedule prints as text, which can be parsed and replayed.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,26 +7,26 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// One change of a fleet or its links. Processes go by position.
+/// One change to a fleet or its links. Processes are identified by position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Cuts the links between two processes until they are healed.
     Cut(usize, usize),
-    /// Holds everything that the first sends to the second, on the links that it opens and on those opened to it.
+    /// Stalls everything that the first sends to the second, both on its own connections and on those opened to it.
     Hold(usize, usize),
     /// Delays each byte that the first sends to the second (ms).
     Delay(usize, usize, u64),
-    /// Lets this many bytes a millisecond through from the first to the second.
+    /// Limits the rate from the first to the second to this many bytes per millisecond.
     Trickle(usize, usize, usize),
-    /// Resets the connections after this many more bytes from the first to the second.
+    /// Resets the connections between them after this many more bytes from the first to the second.
     Reset(usize, usize, u64),
-    /// Shuts the direction from the first to the second down; the other goes on.
+    /// Shuts down the direction from the first to the second; the other direction stays open.
     HalfClose(usize, usize),
     /// From the next connection on, the second receives everything from the first twice.
     Duplicate(usize, usize),
-    /// Takes the faults of the links between two processes away, in both directions.
+    /// Removes the faults of the links between two processes, in both directions.
     Heal(usize, usize),
-    /// Takes the faults of all links away.
+    /// Removes the faults of all links.
     HealAll,
     /// Suspends a process with SIGSTOP.
     Suspend(usize),
@@ -34,17 +34,17 @@
     Resume(usize),
     /// Kills a process with SIGKILL.
     Kill(usize),
-    /// Kills a process and starts it with that kill point.
+    /// Kills a process and starts it with this kill point.
     KillAt(usize, String),
-    /// Starts a process unless it runs.
+    /// Starts a process unless it is running.
     Start(usize),
     /// Kills a process and starts it without its disk.
     StartEmpty(usize),
-    /// Waits for a condition of that name; what it means is the test's to say.
+    /// Waits for the condition of this name, which the test defines.
     Await(String),
 }
 
-/// Why a line is not a step.
+/// Why a line could not be parsed as a step.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseStepError {
     /// A number is missing.
@@ -52,7 +52,7 @@
     MissingNumber {
         /// The line.
         line: String,
-        /// Position of the word.
+        /// The position of the missing word; the name of the step is at 0.
         position: usize,
     },
     /// A word is not a number.
@@ -62,17 +62,17 @@
         line: String,
         /// The word.
         word: String,
-        /// What is wrong.
+        /// The reason.
         source: ParseIntError,
     },
-    /// A name is missing.
-    #[error("{line:?}: too short")]
+    /// The name of the kill point is missing.
+    #[error("{line:?}: the kill point is missing")]
     MissingName {
         /// The line.
         line: String,
     },
-    /// There is no step of that name.
-    #[error("{line:?}: no step is called {name:?}")]
+    /// There is no step of this name.
+    #[error("{line:?}: unknown step {name:?}")]
     UnknownStep {
         /// The line.
         line: String,
@@ -166,7 +166,7 @@
     }
 }
 
-/// A schedule of faults. It prints as one step a line.
+/// A fault schedule. It prints as one step per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Script(pub Vec<Step>);
 
@@ -189,16 +189,17 @@
 }
 
 impl Script {
-    /// Draws this many faults among that many processes. At most one process is away and one link has a fault at a time;
-    /// between each fault and its end the condition is awaited, and again after the end.
+    /// Generates a schedule of `faults` rounds; the processes are disrupted in turn. Each round adds a random link fault and
+    /// suspends or kills one process, awaits the condition, undoes both, and awaits the condition again. So at most one
+    /// process is down and one link is faulty at a time.
     #[must_use]
     pub fn rotation(seed: u64, processes: usize, faults: usize, condition: &str) -> Self {
-        let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
+        let mut generator = FaultGenerator(Pcg64Mcg::seed_from_u64(seed));
         let mut steps = Vec::new();
         for number in 0..faults {
             let process = number % processes;
-            steps.push(draw.link_fault(processes));
-            let suspends = draw.below(3) == 0;
+            steps.push(generator.link_fault(processes));
+            let suspends = generator.below(3) == 0;
             steps.push(if suspends { Step::Suspend(process) } else { Step::Kill(process) });
             steps.push(Step::Await(condition.into()));
             steps.push(if suspends { Step::Resume(process) } else { Step::Start(process) });
@@ -209,16 +210,16 @@
     }
 }
 
-/// Draws faults.
-struct Draw(Pcg64Mcg);
+/// Generates random faults.
+struct FaultGenerator(Pcg64Mcg);
 
-impl Draw {
-    /// A number below `limit`.
+impl FaultGenerator {
+    /// A random number below `limit`.
     fn below(&mut self, limit: usize) -> usize {
         (self.0.next_u64() % limit as u64) as usize
     }
 
-    /// A fault of the link between two different processes.
+    /// A random fault of a link between two different processes.
     fn link_fault(&mut self, processes: usize) -> Step {
         let from = self.below(processes);
         let distance = 1 + self.below(processes - 1);
--- a/crates/test-harness/tests/history.rs
+++ b/crates/test-harness/tests/history.rs
@@ -1,4 +1,4 @@
-//! The checker of histories, beside stateright's own tester on histories small enough for it.
+//! Compares the linearizability checker with stateright's tester, on histories small enough for the latter.
 
 use dahliaspoke_test_harness::history::{is_linearizable, Answer, Call, Operation};
 use proptest::prelude::*;
@@ -25,47 +25,47 @@
     }
 }
 
-/// What a client does next: calls, takes effect, is answered.
-fn draw() -> impl Strategy<Value = Vec<(u8, u8, u8)>> {
+/// Steps for [`simulate`]: the client to advance, the kind of a call, and the version that a compare-and-swap expects.
+fn client_steps() -> impl Strategy<Value = Vec<(u8, u8, u8)>> {
     prop::collection::vec((0u8..3, 0u8..3, 0u8..5), 4..40)
 }
 
-/// Plays clients against a register. Each step moves one client on: call, effect, answer.
-fn play(steps: &[(u8, u8, u8)]) -> Vec<(usize, Operation)> {
+/// Simulates clients of a register. Each step advances one client to its next phase: call, execution or answer.
+fn simulate(steps: &[(u8, u8, u8)]) -> Vec<(usize, Operation)> {
     let mut register = Register::default();
     let mut now = 0;
-    let mut open: [Option<(u64, Call, Option<Answer>)>; 3] = Default::default();
+    let mut calls: [Option<(u64, Call, Option<Answer>)>; 3] = Default::default();
     let mut ops = Vec::new();
-    for (who, kind, version) in steps {
+    for (client_number, kind, version) in steps {
         now += 1;
-        let client = *who as usize;
-        match open[client].take() {
+        let client = *client_number as usize;
+        match calls[client].take() {
             None => {
                 let call = match kind {
                     0 => Call::Read,
                     1 => Call::Write(format!("v{now}")),
                     _ => Call::CompareAndSwap(u64::from(*version), format!("v{now}")),
                 };
-                open[client] = Some((now, call, None));
+                calls[client] = Some((now, call, None));
             }
             Some((at, call, None)) => {
                 let answer = register.invoke(&call);
-                open[client] = Some((at, call, Some(answer)));
+                calls[client] = Some((at, call, Some(answer)));
             }
             Some((called, call, Some(answer))) => {
                 ops.push((client, Operation { called, answered: Some((now, answer)), call }));
             }
         }
     }
-    let unknown = open.into_iter().enumerate();
-    ops.extend(unknown.filter_map(|(client, held)| {
-        held.map(|(called, call, _)| (client, Operation { called, answered: None, call }))
+    let unknown = calls.into_iter().enumerate();
+    ops.extend(unknown.filter_map(|(client, slot)| {
+        slot.map(|(called, call, _)| (client, Operation { called, answered: None, call }))
     }));
     ops
 }
 
-/// The same by stateright.
-fn told(ops: &[(usize, Operation)]) -> bool {
+/// Whether stateright finds the history linearizable.
+fn stateright_accepts(ops: &[(usize, Operation)]) -> bool {
     let mut events: Vec<(u64, usize, Option<Answer>, Call)> = Vec::new();
     for (client, op) in ops {
         events.push((op.called, *client, None, op.call.clone()));
@@ -80,12 +80,12 @@
             None => tester.on_invoke(client, call).map(|_| ()),
             Some(answer) => tester.on_return(client, answer).map(|_| ()),
         };
-        done.expect("one call at a time");
+        done.expect("each client has one call at a time");
     }
     tester.is_consistent()
 }
 
-fn alone(ops: &[(usize, Operation)]) -> Vec<Operation> {
+fn without_clients(ops: &[(usize, Operation)]) -> Vec<Operation> {
     ops.iter().map(|(_, op)| op.clone()).collect()
 }
 
@@ -93,19 +93,19 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_history_of_a_register_is_linearizable(steps in draw()) {
-        let ops = play(&steps);
-        prop_assert!(is_linearizable(&alone(&ops)));
-        prop_assert!(told(&ops));
+    fn histories_of_a_register_are_linearizable(steps in client_steps()) {
+        let ops = simulate(&steps);
+        prop_assert!(is_linearizable(&without_clients(&ops)));
+        prop_assert!(stateright_accepts(&ops));
     }
 
-    /// The answers of two reads change places: both checkers say the same, where every call was answered. (Of writes,
-    /// stateright's register wants versions without gaps, and ours does not.)
+    /// Swaps the answers of two reads: the two checkers must agree, provided that every call was answered. The answers of
+    /// writes are not swapped, since stateright's register requires versions without gaps and ours does not.
     #[test]
-    fn both_checkers_agree_on_corrupt_histories(steps in draw(), one in 0usize..40, other in 0usize..40) {
-        // Enough steps of everyone to end with no call open.
+    fn both_checkers_agree_on_corrupt_histories(steps in client_steps(), one in 0usize..40, other in 0usize..40) {
+        // Enough further steps of each client to complete its open call.
         let rest = (0..9).map(|n| (n % 3, 0, 0));
-        let mut ops = play(&steps.into_iter().chain(rest).collect::<Vec<_>>());
+        let mut ops = simulate(&steps.into_iter().chain(rest).collect::<Vec<_>>());
         ops.retain(|(_, op)| op.answered.is_some() || op.call != Call::Read);
         prop_assume!(ops.iter().all(|(_, op)| op.answered.is_some()));
         let reads: Vec<usize> = (0..ops.len()).filter(|at| ops[*at].1.call == Call::Read).collect();
@@ -114,11 +114,11 @@
         let take = |op: &Operation| op.answered.clone().map(|(_, answer)| answer);
         let (first, second) = (take(&ops[one].1), take(&ops[other].1));
         for (at, answer) in [(one, second), (other, first)] {
-            if let (Some((_, held)), Some(answer)) = (&mut ops[at].1.answered, answer) {
-                *held = answer;
+            if let (Some((_, slot)), Some(answer)) = (&mut ops[at].1.answered, answer) {
+                *slot = answer;
             }
         }
-        prop_assert_eq!(is_linearizable(&alone(&ops)), told(&ops));
+        prop_assert_eq!(is_linearizable(&without_clients(&ops)), stateright_accepts(&ops));
     }
 }
 
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_unacknowledged_write_counts_once_or_never() {
+fn an_unacknowledged_write_takes_effect_once_or_never() {
     let op = |called, at, answer, call| Operation { called, answered: Some((at, answer)), call };
     let lost = Operation { called: 1, answered: None, call: Call::Write("x".into()) };
     let seen = |at, version| op(at, at + 1, Answer::Value(Some((version, "x".to_string()))), Call::Read);
