--- a/benches/listeners.rs
+++ b/benches/listeners.rs
@@ -1,8 +1,9 @@
-//! What the spool costs and brings at the HTTP door: small look-ups with it off and on, large loads by tier.
+//! Cost and throughput of the body store at the HTTP listener: small look-ups with it off and on, large loads
+//! by tier.
 //!
 //!     cargo bench --bench listeners
 //!
-//! Off and on take turns, so that whatever else the machine does falls on both.
+//! Off and on alternate, so that other activity on the machine affects both alike.
 
 #[path = "../tests/daemon/mod.rs"]
 mod daemon;
@@ -26,14 +27,14 @@
     Daemon::start(&config, &files, None)
 }
 
-/// Time on a processor of the loop so far (us).
+/// CPU time of the event loop, the daemon's main thread, so far (us).
 fn cpu(daemon: &Daemon) -> f64 {
     let path = format!("/proc/{}/schedstat", daemon.child.id());
     let text = std::fs::read_to_string(path).expect("it runs");
     text.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).expect("a time") / 1000.0
 }
 
-struct Side {
+struct Variant {
     daemon: Daemon,
     client: Client,
     times: Histogram<u64>,
@@ -41,7 +42,7 @@
     next: u64,
 }
 
-impl Side {
+impl Variant {
     fn new(engines: &[Engine], file: Option<&str>) -> Self {
         let daemon = start(engines, file);
         let client = Client::new(&daemon);
@@ -63,7 +64,7 @@
     }
 }
 
-/// The middle one, which one disturbed round does not move.
+/// The median, which a single disturbed round does not shift.
 fn median(values: &[f64]) -> f64 {
     let mut values = values.to_vec();
     values.sort_by(f64::total_cmp);
@@ -74,23 +75,24 @@
     let (engines, _) = engines(2);
     let small = b"SELECT n FROM sales_17.orders WHERE n = 1";
     const ON: &str = "memory_mb = 64\nlargest_mb = 16\n";
-    let mut sides = [Side::new(&engines, None), Side::new(&engines, Some(ON))];
+    let mut variants = [Variant::new(&engines, None), Variant::new(&engines, Some(ON))];
     for round in 0..=ROUNDS {
         for at in [round as usize % 2, (round as usize + 1) % 2] {
-            sides[at].round("lookup", LOOKUPS, small);
+            variants[at].round("lookup", LOOKUPS, small);
         }
     }
-    let middle = sides.each_ref().map(|side| median(&side.cpu[1..]));
-    for (name, side, cpu) in [("off", &sides[0], middle[0]), ("on", &sides[1], middle[1])] {
-        let quantile = |q| side.times.value_at_quantile(q);
+    let medians = variants.each_ref().map(|variant| median(&variant.cpu[1..]));
+    for (name, variant, cpu) in [("off", &variants[0], medians[0]), ("on", &variants[1], medians[1])] {
+        let quantile = |q| variant.times.value_at_quantile(q);
         println!(
-            "look-up, spool {name:<4} {cpu:>7.2} us of the loop  p50 {} us  p99 {} us",
+            "look-up, body store {name:<4} {cpu:>7.2} us of the loop  p50 {} us  p99 {} us",
             quantile(0.5),
             quantile(0.99)
         );
     }
-    let pairs: Vec<f64> = sides[0].cpu.iter().zip(&sides[1].cpu).skip(1).map(|(off, on)| on / off).collect();
-    println!("look-up, on over off: {:.3} (middle of {ROUNDS} pairs)", median(&pairs));
+    let pairs: Vec<f64> =
+        variants[0].cpu.iter().zip(&variants[1].cpu).skip(1).map(|(off, on)| on / off).collect();
+    println!("look-up, on over off: {:.3} (median of {ROUNDS} pairs)", median(&pairs));
 
     let folder = std::env::temp_dir().join(format!("dahliaspoke-bench-{}", std::process::id()));
     let (memory, passed) = ("memory_mb = 128\nlargest_mb = 32\n", "[class.load]\nmemory_share = 0\n");
@@ -100,17 +102,17 @@
         for (name, file) in
             [("memory", memory), ("file", &in_files), ("passed on", &format!("{memory}{passed}"))]
         {
-            let mut side = Side::new(&engines, Some(file));
-            side.round("load", LOADS, &body);
-            let mean = side.times.mean() / 1e6;
+            let mut variant = Variant::new(&engines, Some(file));
+            variant.round("load", LOADS, &body);
+            let mean = variant.times.mean() / 1e6;
             println!(
                 "load of {:>2} MB, {name:<9} {:>6.0} MB/s  p50 {} us  p99 {} us",
                 length / MB,
                 length as f64 / MB as f64 / mean,
-                side.times.value_at_quantile(0.5),
-                side.times.value_at_quantile(0.99)
+                variant.times.value_at_quantile(0.5),
+                variant.times.value_at_quantile(0.99)
             );
         }
     }
-    let _ = std::fs::remove_dir_all(&folder); // only its lock is there
+    let _ = std::fs::remove_dir_all(&folder); // only the lock file of the body store is left
 }
--- a/crates/test-harness/src/fleet.rs
+++ b/crates/test-harness/src/fleet.rs
@@ -36,8 +36,9 @@
 }
 
 impl Fleet {
-    /// Starts `count` processes whose links connect to `linked_listener`. `files` returns the files for the folder of a
-    /// process, given its position and the addresses, by position, at which it reaches the others.
+    /// Starts `count` processes whose links connect to `linked_listener`. `files` returns the files for the
+    /// folder of a process, given its position and the addresses, by position, at which it reaches the
+    /// others.
     ///
     /// # Panics
     /// If a folder cannot be created or a port cannot be bound.
@@ -87,8 +88,8 @@
         self.processes.iter_mut().enumerate().filter_map(running).collect()
     }
 
-    /// The link directions that carry bytes from one process to another: outbound on its own connections, and back on the
-    /// connections that were opened to it.
+    /// The link directions that carry bytes from one process to another: outbound on its own connections, and
+    /// back on the connections that were opened to it.
     fn link_directions(&self, from: usize, to: usize) -> [LinkDirection<'_>; 2] {
         [
             LinkDirection { link: &self.links[&(from, to)], direction: Direction::Out },
--- a/crates/test-harness/src/history/mod.rs
+++ b/crates/test-harness/src/history/mod.rs
@@ -1,5 +1,5 @@
-//! Histories of calls and answers, and a check that they are linearizable: Wing and Gong's search with Lowe's memoization
-//! of configurations that were already tried (Testing for linearizability, 2017).
+//! Histories of calls and answers, and a check that they are linearizable: Wing and Gong's search with Lowe's
+//! memoization of configurations that were already tried (Testing for linearizability, 2017).
 
 mod register;
 mod search;
--- a/crates/test-harness/src/history/register.rs
+++ b/crates/test-harness/src/history/register.rs
@@ -2,7 +2,8 @@
 
 use super::{Answer, Call};
 
-/// The content of a register. The version is unknown after a write without an answer, but at least `min_version`.
+/// The content of a register. The version is unknown after a write without an answer, but at least
+/// `min_version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Register {
     value: Option<String>,
@@ -20,8 +21,8 @@
         self.value.is_some() && self.version.map_or(version >= self.min_version, |own| own == version)
     }
 
-    /// The register after a call, or `None` if the answer is impossible. A call without an answer is assumed to have been
-    /// executed.
+    /// The register after a call, or `None` if the answer is impossible. A call without an answer is assumed
+    /// to have been executed.
     pub(super) fn after(&self, call: &Call, answer: Option<&Answer>) -> Option<Self> {
         match call {
             Call::Read => self.after_read(answer),
--- a/crates/test-harness/src/history/search.rs
+++ b/crates/test-harness/src/history/search.rs
@@ -7,13 +7,13 @@
 /// Maximum number of consecutive unanswered operations tried before an answered one.
 const MAX_UNANSWERED_IN_A_ROW: usize = 2;
 
-/// Whether some order of the operations produces all their answers without placing an operation before one that was
-/// answered before it was called. An operation without an answer may have been executed at any time after its call, or
-/// never.
+/// Whether some order of the operations produces all their answers without placing an operation before one
+/// that was answered before it was called. An operation without an answer may have been executed at any time
+/// after its call, or never.
 ///
-/// An unanswered operation matters only if a later answer depends on it. So each is tried only directly before an answer
-/// that is impossible without it, and at most two in a row. Otherwise the search would be infeasible for histories with
-/// many of them.
+/// An unanswered operation matters only if a later answer depends on it. So each is tried only directly
+/// before an answer that is impossible without it, and at most two in a row. Otherwise the search would be
+/// infeasible for histories with many of them.
 #[must_use]
 pub fn is_linearizable(operations: &[Operation]) -> bool {
     let positions = |is_answered: bool| {
@@ -48,7 +48,8 @@
     unanswered: Vec<usize>,
     /// Which operations the current order contains, by position.
     executed: Vec<bool>,
-    /// Lowe's memoization: the sets of executed operations already tried, as bits, with the register after them.
+    /// Lowe's memoization: the sets of executed operations already tried, as bits, with the register after
+    /// them.
     tried: HashSet<(Vec<u64>, Register)>,
 }
 
@@ -128,7 +129,8 @@
         }
     }
 
-    /// The earliest answer time of the operations that are not executed. Only operations called before it may come next.
+    /// The earliest answer time of the operations that are not executed. Only operations called before it may
+    /// come next.
     fn earliest_answer(&self, first: usize) -> u64 {
         let mut earliest = u64::MAX;
         for index in self.answered[first..].iter().filter(|index| !self.executed[**index]) {
@@ -141,7 +143,8 @@
         earliest
     }
 
-    /// The ways in which an answered operation can follow: directly, or after up to `unanswered` unanswered operations.
+    /// The ways in which an answered operation can follow: directly, or after up to `unanswered` unanswered
+    /// operations.
     fn extensions(
         &self,
         register: &Register,
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,15 +1,16 @@
-//! A test harness that runs several real processes of the program on loopback and injects faults between them. Used by
-//! tests only; the daemon does not link it.
+//! A test harness that runs several real processes of the program on loopback and injects faults between
+//! them. Used by tests only; the daemon does not link it.
 //!
 //! - [`relay`]: links between processes, with faults per direction: cut, stalled, slow, reset, duplicated;
-//! - [`process`]: a process that can be suspended, killed, killed at a failpoint and restarted with or without its disk;
+//! - [`process`]: a process that can be suspended, killed, killed at a failpoint and restarted with or
+//!   without its disk;
 //! - [`fleet`]: processes and the links between them;
 //! - [`script`]: fault schedules generated from a seed, which print as text and can be replayed from it;
 //! - [`queries`]: queries to stub engines, and an auditor of their answers and attempts;
 //! - [`history`]: histories of client calls, and a linearizability checker.
 //!
-//! Tests wait for conditions, up to [`PATIENCE`]. It is far longer than any condition needs, so only a failing test waits
-//! that long.
+//! Tests wait for conditions, up to [`PATIENCE`]. It is far longer than any condition needs, so only a
+//! failing test waits that long.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/test-harness/src/process.rs
+++ b/crates/test-harness/src/process.rs
@@ -9,8 +9,8 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The environment variable that names the kill point of a test build: `point`, or `point@3` to kill the process the
-/// third time that it reaches the point.
+/// The environment variable that names the kill point of a test build: `point`, or `point@3` to kill the
+/// process the third time that it reaches the point.
 pub const KILL_POINT_VARIABLE: &str = "DAHLIASPOKE_KILL_AT";
 
 /// The log line with which the program reports the address of a listener.
@@ -80,11 +80,12 @@
         self.folder.join(name)
     }
 
-    /// Starts it, and waits until its HTTP listener is open or it has exited. With a kill point, it kills itself there.
-    /// Returns the addresses of its listeners.
+    /// Starts it, and waits until its HTTP listener is open or it has exited. With a kill point, it kills
+    /// itself there. Returns the addresses of its listeners.
     ///
     /// # Panics
-    /// If it is already running or cannot be spawned, or if it neither opens its HTTP listener nor exits in time.
+    /// If it is already running or cannot be spawned, or if it neither opens its HTTP listener nor exits in
+    /// time.
     pub fn start(&mut self, kill_point: Option<&str>) -> Addresses {
         assert!(!self.is_running(), "{} is already running", self.name);
         let mut command = self.command(kill_point);
--- a/crates/test-harness/src/queries/audit.rs
+++ b/crates/test-harness/src/queries/audit.rs
@@ -58,8 +58,9 @@
 }
 
 impl QueryAudit {
-    /// Sends a query on a new connection and returns the status of its answer; `None` if the connection failed before the
-    /// answer. Also detects a second answer: a health request sent after the answer must receive the health response.
+    /// Sends a query on a new connection and returns the status of its answer; `None` if the connection
+    /// failed before the answer. Also detects a second answer: a health request sent after the answer must
+    /// receive the health response.
     pub fn send(&self, coordinator: SocketAddr, class: &str, repeats: Repeats, id: u64) -> Option<u16> {
         let id = format!("{id:016x}");
         lock(&self.queries).insert(id.clone(), SentQuery { repeats, statuses: Vec::new() });
@@ -119,8 +120,8 @@
     )
 }
 
-/// The status of a second answer, if there is one. If the coordinator closes the connection after its answer, there is
-/// none.
+/// The status of a second answer, if there is one. If the coordinator closes the connection after its answer,
+/// there is none.
 fn second_answer(reader: &mut BufReader<TcpStream>) -> Option<u16> {
     reader.get_mut().write_all(HEALTH_REQUEST).ok()?;
     let HttpAnswer { status, body } = read_answer(reader)?;
--- a/crates/test-harness/src/queries/mod.rs
+++ b/crates/test-harness/src/queries/mod.rs
@@ -1,5 +1,6 @@
-//! Sends queries through a coordinator's HTTP listener to stub engines, and audits them: each query gets exactly one final
-//! answer, and after an attempt that may have run there is another one only if the class allows it.
+//! Sends queries through a coordinator's HTTP listener to stub engines, and audits them: each query gets
+//! exactly one final answer, and after an attempt that may have run there is another one only if the class
+//! allows it.
 
 mod audit;
 mod engines;
--- a/crates/test-harness/src/relay/datagrams.rs
+++ b/crates/test-harness/src/relay/datagrams.rs
@@ -61,7 +61,8 @@
     target: SocketAddr,
     seed: u64,
     faults: SharedFaults,
-    /// A separate socket towards the target for each client, so that each answer is forwarded to the right client.
+    /// A separate socket towards the target for each client, so that each answer is forwarded to the right
+    /// client.
     upstreams: HashMap<SocketAddr, Arc<UdpSocket>>,
 }
 
--- a/crates/test-harness/src/relay/mod.rs
+++ b/crates/test-harness/src/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Links between processes. A [`Relay`] is a TCP proxy between a process that connects and one that listens; a
-//! [`DatagramRelay`] is the same for UDP. Faults are set per direction.
+//! Links between processes. A [`Relay`] is a TCP proxy between a process that connects and one that listens;
+//! a [`DatagramRelay`] is the same for UDP. Faults are set per direction.
 
 mod datagrams;
 mod pump;
@@ -68,7 +68,8 @@
     }
 }
 
-/// A TCP link. Connections to [`Relay::address`] are forwarded to the target set at the time they are accepted.
+/// A TCP link. Connections to [`Relay::address`] are forwarded to the target set at the time they are
+/// accepted.
 pub struct Relay {
     /// The address that it listens on.
     pub address: SocketAddr,
@@ -119,8 +120,8 @@
         self.settle();
     }
 
-    /// Waits until no write started under the previous faults is in progress. Gives up after [`SETTLE_TIMEOUT`]: a blocked
-    /// write forwards nothing.
+    /// Waits until no write started under the previous faults is in progress. Gives up after
+    /// [`SETTLE_TIMEOUT`]: a blocked write forwards nothing.
     fn settle(&self) {
         let began = Instant::now();
         let is_forwarding = || lock(&self.state).directions.iter().any(|direction| direction.forwarding > 0);
@@ -148,7 +149,8 @@
         lock(&self.state).direction(direction).half_close = true;
     }
 
-    /// Sets whether connections accepted from now on are duplicated: the target receives all their bytes twice.
+    /// Sets whether connections accepted from now on are duplicated: the target receives all their bytes
+    /// twice.
     pub fn set_duplicate(&self, duplicate: bool) {
         lock(&self.state).duplicate = duplicate;
     }
@@ -169,8 +171,8 @@
     }
 }
 
-/// Connects clients to the target. Without a target, or while the link is cut, a connection is closed immediately: the
-/// closest to a refused connection that is possible while the port stays open.
+/// Connects clients to the target. Without a target, or while the link is cut, a connection is closed
+/// immediately: the closest to a refused connection that is possible while the port stays open.
 fn accept(listener: &TcpListener, state: &Arc<Mutex<LinkState>>) {
     for client in listener.incoming().map_while(Result::ok) {
         let (target, duplicate, incarnation) = {
--- a/crates/test-harness/src/relay/pump.rs
+++ b/crates/test-harness/src/relay/pump.rs
@@ -7,7 +7,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Queued bytes at which a direction stops reading, so that it applies backpressure as full kernel buffers would.
+/// Queued bytes at which a direction stops reading, so that it applies backpressure as full kernel buffers
+/// would.
 const MAX_QUEUED_BYTES: usize = 4 << 20;
 /// Maximum number of bytes per read.
 const BUFFER_BYTES: usize = 16 << 10;
@@ -116,7 +117,8 @@
         (state.incarnation == self.incarnation).then(|| *state.direction(self.direction))
     }
 
-    /// Reads available bytes, waiting at most the read timeout of the socket. An error means that the connection failed.
+    /// Reads available bytes, waiting at most the read timeout of the socket. An error means that the
+    /// connection failed.
     fn receive(&mut self) -> io::Result<()> {
         let now = Instant::now();
         if self.from_ended || self.queued_bytes >= MAX_QUEUED_BYTES {
@@ -174,8 +176,8 @@
         piece
     }
 
-    /// Registers the start of a write and returns the current faults, or `None` if they no longer allow a write. Checked
-    /// again here, since the faults may have changed since the start of the step.
+    /// Registers the start of a write and returns the current faults, or `None` if they no longer allow a
+    /// write. Checked again here, since the faults may have changed since the start of the step.
     fn begin_write(&self) -> Option<DirectionState> {
         let mut state = lock(&self.state);
         let is_current = state.incarnation == self.incarnation;
@@ -187,8 +189,8 @@
         Some(*direction)
     }
 
-    /// Records the end of a write; returns whether the connection must be reset now. Only a reset that was set before the
-    /// write started is considered.
+    /// Records the end of a write; returns whether the connection must be reset now. Only a reset that was
+    /// set before the write started is considered.
     fn end_write(&self, succeeded: bool, count: usize, has_reset: bool) -> bool {
         let mut state = lock(&self.state);
         let direction = state.direction(self.direction);
@@ -221,8 +223,8 @@
 }
 
 fn end_connection(socket: &TcpStream, reset: bool) {
-    // Connecting to AF_UNSPEC aborts the connection even if the socket has other descriptors; closing this one would not.
-    // It fails if the connection is closed already.
+    // Connecting to AF_UNSPEC aborts the connection even if the socket has other descriptors; closing this
+    // one would not. It fails if the connection is closed already.
     if !reset || rustix::net::connect_unspec(socket).is_err() {
         let _ = socket.shutdown(Shutdown::Both);
     }
--- a/crates/test-harness/src/script.rs
+++ b/crates/test-harness/src/script.rs
@@ -12,7 +12,8 @@
 pub enum Step {
     /// Cuts the links between two processes until they are healed.
     Cut(usize, usize),
-    /// Stalls everything that the first sends to the second, both on its own connections and on those opened to it.
+    /// Stalls everything that the first sends to the second, both on its own connections and on those opened
+    /// to it.
     Hold(usize, usize),
     /// Delays each byte that the first sends to the second (ms).
     Delay(usize, usize, u64),
@@ -189,9 +190,9 @@
 }
 
 impl Script {
-    /// Generates a schedule of `faults` rounds; the processes are disrupted in turn. Each round adds a random link fault and
-    /// suspends or kills one process, awaits the condition, undoes both, and awaits the condition again. So at most one
-    /// process is down and one link is faulty at a time.
+    /// Generates a schedule of `faults` rounds; the processes are disrupted in turn. Each round adds a random
+    /// link fault and suspends or kills one process, awaits the condition, undoes both, and awaits the
+    /// condition again. So at most one process is down and one link is faulty at a time.
     #[must_use]
     pub fn rotation(seed: u64, processes: usize, faults: usize, condition: &str) -> Self {
         let mut generator = FaultGenerator(Pcg64Mcg::seed_from_u64(seed));
--- a/crates/test-harness/tests/history.rs
+++ b/crates/test-harness/tests/history.rs
@@ -25,12 +25,14 @@
     }
 }
 
-/// Steps for [`simulate`]: the client to advance, the kind of a call, and the version that a compare-and-swap expects.
+/// Steps for [`simulate`]: the client to advance, the kind of a call, and the version that a compare-and-swap
+/// expects.
 fn client_steps() -> impl Strategy<Value = Vec<(u8, u8, u8)>> {
     prop::collection::vec((0u8..3, 0u8..3, 0u8..5), 4..40)
 }
 
-/// Simulates clients of a register. Each step advances one client to its next phase: call, execution or answer.
+/// Simulates clients of a register. Each step advances one client to its next phase: call, execution or
+/// answer.
 fn simulate(steps: &[(u8, u8, u8)]) -> Vec<(usize, Operation)> {
     let mut register = Register::default();
     let mut now = 0;
@@ -99,8 +101,9 @@
         prop_assert!(stateright_accepts(&ops));
     }
 
-    /// Swaps the answers of two reads: the two checkers must agree, provided that every call was answered. The answers of
-    /// writes are not swapped, since stateright's register requires versions without gaps and ours does not.
+    /// Swaps the answers of two reads: the two checkers must agree, provided that every call was answered.
+    /// The answers of writes are not swapped, since stateright's register requires versions without gaps and
+    /// ours does not.
     #[test]
     fn both_checkers_agree_on_corrupt_histories(steps in client_steps(), one in 0usize..40, other in 0usize..40) {
         // Enough further steps of each client to complete its open call.
--- a/crates/test-harness/tests/queries.rs
+++ b/crates/test-harness/tests/queries.rs
@@ -4,8 +4,8 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Starts a fake coordinator. It sends each query it receives once to every entry of `engines`, then answers the client
-/// with `response`.
+/// Starts a fake coordinator. It sends each query it receives once to every entry of `engines`, then answers
+/// the client with `response`.
 fn fake_coordinator(response: &'static str, engines: Vec<SocketAddr>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -20,7 +20,7 @@
                 let mut engine = TcpStream::connect(engine).expect("connected");
                 let values = ["GET", &id, "-", "x"].map(|value| format!("${}\r\n{value}\r\n", value.len()));
                 engine.write_all(format!("*4\r\n{}", values.concat()).as_bytes()).expect("sent");
-                let _ = engine.read(&mut [0; 64]); // once the engine answers or resets, it has recorded the attempt
+                let _ = engine.read(&mut [0; 64]); // the engine records the attempt before it answers or resets
             }
             let _ = client.write_all(response.as_bytes());
         }
--- a/crates/test-harness/tests/relay.rs
+++ b/crates/test-harness/tests/relay.rs
@@ -55,7 +55,8 @@
 #[test]
 fn a_reset_can_happen_in_the_middle_of_a_message() {
     let (relay, _listener, mut near, mut far) = link();
-    // After this message the link is already blocked in a read when the reset is set; it must apply to the next bytes.
+    // After this message the link is already blocked in a read when the reset is set; it must apply to the
+    // next bytes.
     near.write_all(b"on").expect("written");
     assert_eq!(read_text(&mut far, 2), "on");
     relay.reset_after(Direction::Out, 3);
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,31 +1,42 @@
-//! Plays the recorded byte exchanges in `tests/exchanges` against the program. A step a line:
+//! Replays the recorded byte exchanges in `tests/exchanges` against the program. Each line is a step:
 //!
-//! - `start e1 e2`: the program starts and knows these engines; `mysql`, `consul` and
-//!   `store` switch these on, `memory`, `files` or `nothing` has it keep bodies over 10 bytes there, `inherits` has it inherit its listening socket,
-//!   `patient` has calls wait for a connection for as long as it takes, `brief` makes its window for repeats 0.5 s, `traced` has it tell of each step of a request,
-//!   `narrow` has connections to engines hold some KB of what is not read, `few` leaves it one connection to engines,
-//!   `ordered` has it send loads of one key one after another, `teams` has two tenants: north, and south with a share of nothing; `again`: the program starts once more,
-//!   with what it has left behind; `beside`: the same beside the first, which is `old` from then on, as in
+//! - `start e1 e2`: starts the program with these engines in its list. Further words are options: `mysql`,
+//!   `consul` and `store` enable these features; `memory`, `files` or `nothing` selects the tier that stores
+//!   bodies over 10 bytes; `inherits` passes it its listening socket; `patient` raises the connect timeout to
+//!   60 s, longer than any step waits; `brief` shortens the dedup window to 0.5 s; `traced` logs each step of
+//!   a request; `narrow` limits the data that a connection to an engine buffers unread to some KB; `few`
+//!   leaves it one connection to engines; `ordered` sends loads with the same key one after another; `teams`
+//!   configures two tenants, north, and south with a quota of 0;
+//! - `again`: starts the program again in the same folder, and kills it before if it still runs; `beside`:
+//!   starts a second process in the same folder, on the same socket; the first is `old` from then on, as in
 //!   `old signal TERM`;
-//! - `a > bytes`, `a < bytes`: client `a` of the platform's front sends, or receives exactly that;
-//!   `m...` is a client of the `MySQL` front, `e...` an engine, `names` the directory, `consul` its agent, `p...` a
-//!   member of the store that is watched, `s...` an operator's connection to it, `o...` one to the operators' door;
-//! - `e1+` is another connection to that engine, beside the first;
-//! - `start e1 stops@client.overdue`: it stops where it first comes to that point, and `stopped` waits for that;
-//! - `counts sends=1`: its counters come to that, asked for by SIGUSR1 again and again;
-//! - `signal STOP`: it has stopped from here on, until `signal CONT`;
-//! - `a ended`, `a close`: its connection was ended, or it ends it; `a shuts`: it writes nothing more, and reads on; `e1 next`: the engine's next connection;
-//! - `e1 gone`: nobody listens there any more; `e1 deaf`: connections to it do not come up; `e1 hears`: they do again, those
-//!   that have waited within a second; `e1 up`: the engine's next connection comes up, and stays;
-//! - `crowd 200`: so many clients ask for the health and stay; `moves`: the directory has another address, and the
-//!   configuration names it; `former` is the one before; `spoils`: the configuration is none any more;
-//! - `stalls maintenance.json`: whoever opens that file waits;
-//! - `signal USR1`, `line text`, `exit 0`: a signal; a line on standard output; the program's end.
+//! - `a > bytes`, `a < bytes`: client `a` of the HTTP listener sends these bytes, or receives exactly these.
+//!   `m...` is a client of the `MySQL` listener, `e...` an engine, `names` the directory, `consul` the Consul
+//!   agent, `p...` a store member that the program watches, `s...` a connection to its store listener, `o...`
+//!   one to its console listener;
+//! - `e1+`: another connection to this engine, beside the first;
+//! - `start e1 stops@client.overdue`: the program suspends itself when it first reaches this failpoint;
+//!   `stopped` waits until it has;
+//! - `counts sends=1`: requests the counters with SIGUSR1 until they contain this;
+//! - `signal STOP`: suspends the program until `signal CONT`;
+//! - `a ended`: waits until the connection of `a` was closed or reset by the program; `a close`: closes it;
+//!   `a shuts`: shuts down its sending side and can still receive; `e1 next`: continues with the next
+//!   connection to the engine;
+//! - `e1 gone`: closes the listening socket of the engine; `e1 deaf`: connections to it are not established;
+//!   `e1 hears`: they are again, and pending ones within a second; `e1 up`: accepts the next connection to
+//!   the engine, which stays open;
+//! - `crowd 200`: this many clients request the health and stay connected; `moves`: the directory gets
+//!   another address and the configuration names it; `former` is the directory at the previous address;
+//!   `spoils`: makes the configuration invalid;
+//! - `stalls maintenance.json`: opening this file blocks;
+//! - `signal USR1`: sends a signal; `line text`: waits for a line with this text on standard output;
+//!   `exit 0`: waits until the program exits with this status.
 //!
-//! In bytes, `\r`, `\n`, `\t`, `\\` and `\x00` are escapes, `<n>` stands for digits, `<8>` for any eight
-//! bytes, `<9*x>` for that text nine times, and `<e1>` for that engine's port in two bytes,
-//! `<e1.>` in five digits, `<q>` for the number of the directory's last query, `<q2>` for that of
-//! the second step `names <`. Lines that begin with two blanks go on.
+//! In bytes, `\r`, `\n`, `\t`, `\\` and `\x00` are escapes. `<n>` stands for a decimal number, `<8>` for any
+//! eight bytes, `<9*x>` for nine repetitions of the text `x`, `<e1>` for the port of this engine as two
+//! bytes, `<e1.>` for the port as five digits, `<q>` for the id of the last query to the directory, and
+//! `<q2>` for the id of the query received by the second step `names <`. A line that starts with two spaces
+//! continues the previous one.
 
 mod daemon;
 use daemon::*;
@@ -45,7 +56,7 @@
 user = "gateway"
 "#;
 
-/// Bodies over 10 bytes go through the spool.
+/// Bodies over 10 bytes go through the body store.
 const BODIES: &str = r#"
 memory_mb = 8
 largest_mb = 1
@@ -62,37 +73,38 @@
 struct Player {
     daemon: Option<Daemon>,
     old: Option<Daemon>,
-    held: Option<TcpListener>,
+    /// The listening socket that the program inherits.
+    retained: Option<TcpListener>,
     engines: HashMap<String, EngineSocket>,
     ports: HashMap<String, u16>,
     streams: HashMap<String, TcpStream>,
     names: std::net::UdpSocket,
-    /// The exchange has steps of the directory: it answers nothing but what they say.
-    scripted: bool,
-    /// Else one that goes on telling of the engines of the start.
+    /// Whether the exchange has steps for the directory, which then sends only what they specify.
+    scripted_directory: bool,
+    /// Otherwise, the address of a directory that keeps listing the engines of the `start` step.
     directory: Option<SocketAddr>,
-    /// Where the directory was before it moved.
+    /// The socket of the directory before it moved.
     former: Option<std::net::UdpSocket>,
     crowd: Vec<TcpStream>,
-    /// Changes to the settings.
+    /// Text replacements in the configuration.
     settings: Vec<(&'static str, &'static str)>,
-    /// What fills the lines of engines that are deaf.
+    /// Connections that fill the accept queues of engines that are `deaf`.
     fillers: HashMap<String, TcpStream>,
-    asker: Option<SocketAddr>,
-    /// Steps that have met a question to the directory.
+    querier: Option<SocketAddr>,
+    /// Number of `names <` steps replayed.
     queries: usize,
 }
 
 impl Player {
-    /// The engines of the start: `e9` is not among them, only a list tells of it.
+    /// The engines configured at the start, all but `e9`, which only a list can add.
     fn known(&self) -> Vec<(&str, SocketAddr)> {
         let known = self.engines.values().filter(|e| e.id.starts_with('e') && e.id != "e9");
         known.map(|e| (e.id.as_str(), e.address())).collect()
     }
 
     fn config(&self) -> String {
-        let scripted = || self.names.local_addr().expect("bound");
-        let config = config(&self.known(), self.directory.unwrap_or_else(scripted));
+        let scripted_directory = || self.names.local_addr().expect("bound");
+        let config = config(&self.known(), self.directory.unwrap_or_else(scripted_directory));
         self.settings.iter().fold(config, |config, (from, to)| config.replace(from, to))
     }
 
@@ -117,7 +129,7 @@
                 match &rest[1..end] {
                     "n" => pieces.push(Piece::Digits),
                     name if name.contains('*') => {
-                        let (count, text) = name.split_once('*').expect("it holds one");
+                        let (count, text) = name.split_once('*').expect("contains `*`");
                         let text = text.repeat(count.parse().expect("a number"));
                         pieces.extend(text.bytes().map(Piece::Byte));
                     }
@@ -141,58 +153,58 @@
     fn bytes(&self, text: &str) -> Vec<u8> {
         let byte = |piece: Piece| match piece {
             Piece::Byte(byte) => byte,
-            _ => panic!("only what is received may be open: {text}"),
+            _ => panic!("wildcards are only possible in bytes to receive: {text}"),
         };
         self.pieces(text).into_iter().map(byte).collect()
     }
 
-    fn stream(&mut self, who: &str) -> &mut TcpStream {
-        if !self.streams.contains_key(who) {
-            let stream = if let Some(engine) = self.engines.get(who.trim_end_matches('+')) {
+    fn stream(&mut self, party: &str) -> &mut TcpStream {
+        if !self.streams.contains_key(party) {
+            let stream = if let Some(engine) = self.engines.get(party.trim_end_matches('+')) {
                 engine.next()
             } else {
                 let daemon = self.daemon.as_ref().expect("started");
-                let door = match who.as_bytes()[0] {
+                let target = match party.as_bytes()[0] {
                     b'm' => daemon.mysql,
                     b's' => daemon.store,
                     b'o' => daemon.console,
                     _ => daemon.http,
                 };
-                TcpStream::connect(door.expect("that door is open")).expect("connected")
+                TcpStream::connect(target.expect("this listener is open")).expect("connected")
             };
             stream.set_read_timeout(Some(PATIENCE)).expect("set");
-            self.streams.insert(who.into(), stream);
+            self.streams.insert(party.into(), stream);
         }
-        self.streams.get_mut(who).expect("there now")
+        self.streams.get_mut(party).expect("inserted above")
     }
 
-    fn receive(&mut self, who: &str, text: &str) {
+    fn receive(&mut self, party: &str, text: &str) {
         let pieces = self.pieces(text);
-        let stream = self.stream(who);
-        let (mut got, mut held) = (Vec::new(), None);
+        let stream = self.stream(party);
+        let (mut got, mut retained) = (Vec::new(), None);
         let mut byte = |got: &mut Vec<u8>| {
             let mut byte = [0];
             let read = stream.read_exact(&mut byte);
-            assert!(read.is_ok(), "{who} waits for {text}, got {}", got.escape_ascii());
+            assert!(read.is_ok(), "{party} failed to read {text}, got {}", got.escape_ascii());
             got.push(byte[0]);
             byte[0]
         };
         for piece in pieces {
             match piece {
-                Piece::Byte(wanted) => {
-                    let met = held.take().unwrap_or_else(|| byte(&mut got));
-                    assert_eq!(met, wanted, "{who} wants {text}, got {}", got.escape_ascii());
+                Piece::Byte(expected) => {
+                    let actual = retained.take().unwrap_or_else(|| byte(&mut got));
+                    assert_eq!(actual, expected, "{party} expected {text}, got {}", got.escape_ascii());
                 }
                 Piece::Any(count) => (0..count).for_each(|_| {
                     byte(&mut got);
                 }),
                 Piece::Digits => {
-                    let mut met = byte(&mut got);
-                    assert!(met.is_ascii_digit(), "{who} wants {text}, got {}", got.escape_ascii());
-                    while met.is_ascii_digit() || met == b'.' {
-                        met = byte(&mut got);
+                    let mut actual = byte(&mut got);
+                    assert!(actual.is_ascii_digit(), "{party} expected {text}, got {}", got.escape_ascii());
+                    while actual.is_ascii_digit() || actual == b'.' {
+                        actual = byte(&mut got);
                     }
-                    held = Some(met);
+                    retained = Some(actual);
                 }
             }
         }
@@ -203,36 +215,38 @@
         let (verb, text) = rest.split_once(' ').unwrap_or((rest, ""));
         match (first, verb) {
             ("start", _) => {
-                let parts: Vec<&str> = rest.split(' ').collect();
-                let listens = parts.iter().filter(|part| part.starts_with(['e', 'p']) || **part == "consul");
-                let named = if parts.contains(&"narrow") { EngineSocket::narrow } else { EngineSocket::new };
-                self.engines = listens.map(|id| (id.to_string(), named(id))).collect();
+                let options: Vec<&str> = rest.split(' ').collect();
+                let socket_ids =
+                    options.iter().filter(|option| option.starts_with(['e', 'p']) || **option == "consul");
+                let new_socket =
+                    if options.contains(&"narrow") { EngineSocket::narrow } else { EngineSocket::new };
+                self.engines = socket_ids.map(|id| (id.to_string(), new_socket(id))).collect();
                 self.ports = self.engines.iter().map(|(id, e)| (id.clone(), e.address().port())).collect();
-                if parts.contains(&"patient") {
+                if options.contains(&"patient") {
                     self.settings.push((r#""connectTimeout":0.25"#, r#""connectTimeout":60"#));
                 }
-                if parts.contains(&"brief") {
+                if options.contains(&"brief") {
                     self.settings.push((r#""memorySpan":20"#, r#""memorySpan":0.5"#));
                 }
-                if parts.contains(&"ordered") {
+                if options.contains(&"ordered") {
                     self.settings.push((r#""effect":"by_key""#, r#""effect":"by_key","inTurn":true"#));
                 }
-                if parts.contains(&"teams") {
+                if options.contains(&"teams") {
                     let teams = r#""tenants":[{"name":"north","quotaPerS":50},{"name":"south","quotaPerS":0}],"zones""#;
                     self.settings.push((r#""zones""#, teams));
                 }
-                if parts.contains(&"few") {
+                if options.contains(&"few") {
                     self.settings.push((r#""sockets":256"#, r#""sockets":60"#));
                 }
-                if !self.scripted {
+                if !self.scripted_directory {
                     self.directory = Some(directory(&self.known()));
                 }
                 let known = self.known();
                 let mut files = Vec::new();
-                if parts.contains(&"traced") {
+                if options.contains(&"traced") {
                     files.push(("trace.toml", "requests = true\n".into()));
                 }
-                if parts.contains(&"mysql") {
+                if options.contains(&"mysql") {
                     let address = |(id, a): &(&str, SocketAddr)| format!("{id} = \"{a}\"");
                     let list = known.iter().map(address).collect::<Vec<_>>().join(", ");
                     files.push(("mysql.toml", format!("{MYSQL}addresses = {{ {list} }}\n")));
@@ -242,29 +256,29 @@
                     let text = format!("agent = \"{agent}\"\nservice = \"query\"\nregister = \"gateway\"\n");
                     files.push(("consul.toml", text));
                 }
-                if parts.contains(&"store") {
+                if options.contains(&"store") {
                     let peers = self.engines.values().filter(|e| e.id.starts_with('p'));
                     let address = |p: &EngineSocket| format!("{} = \"{}\"", p.id, p.address());
                     let list = peers.map(address).collect::<Vec<_>>().join(", ");
-                    // One that has members to watch is none itself.
+                    // A process that watches the members of a store is not itself a member.
                     let own =
                         if list.is_empty() { "listen = \"127.0.0.1:0\"\nfolder = \"store\"\n" } else { "" };
                     let text = format!("{own}peers = {{ {list} }}\n");
                     files.push(("store.toml", text));
                 }
-                let kept = ["memory", "files", "nothing"].into_iter().find(|kept| parts.contains(kept));
-                if let Some(kept) = kept {
-                    let in_files = if kept == "files" { "files_mb = 8\nfolder = \"bodies\"\n" } else { "" };
-                    let share = if kept == "memory" { "" } else { "memory_share = 0" };
+                let tier = ["memory", "files", "nothing"].into_iter().find(|tier| options.contains(tier));
+                if let Some(tier) = tier {
+                    let in_files = if tier == "files" { "files_mb = 8\nfolder = \"bodies\"\n" } else { "" };
+                    let share = if tier == "memory" { "" } else { "memory_share = 0" };
                     let classes = format!("[class.load]\n{share}\n[class.lookup]\n{share}\npass = false\n");
                     files.push(("bodies.toml", format!("{BODIES}{in_files}{classes}")));
                 }
                 let config = self.config();
-                let held = parts.contains(&"inherits").then(|| TcpListener::bind("127.0.0.1:0"));
-                self.held = held.map(|socket| socket.expect("a port"));
-                let stop = parts.iter().find_map(|part| part.strip_prefix("stops@"));
+                let retained = options.contains(&"inherits").then(|| TcpListener::bind("127.0.0.1:0"));
+                self.retained = retained.map(|socket| socket.expect("a port"));
+                let stop = options.iter().find_map(|option| option.strip_prefix("stops@"));
                 self.daemon = Some(match stop {
-                    None => Daemon::start(&config, &files, self.held.as_ref()),
+                    None => Daemon::start(&config, &files, self.retained.as_ref()),
                     Some(point) => {
                         let first = format!("export DAHLIASPOKE_STOP_AT={point};");
                         Daemon::start_with(&config, &files, &first)
@@ -272,8 +286,8 @@
                 });
             }
             ("beside", _) => {
-                let held = self.held.as_ref().expect("inherits");
-                let beside = self.daemon.as_mut().expect("started").beside(held);
+                let retained = self.retained.as_ref().expect("inherits");
+                let beside = self.daemon.as_mut().expect("started").beside(retained);
                 self.old = self.daemon.replace(beside);
             }
             ("old", _) => {
@@ -308,49 +322,50 @@
             }
             ("names", "<") => {
                 let (query, from) = query(&self.names);
-                // The number of the query is its own affair.
+                // The program chooses the id of the query.
                 assert_eq!(query[2..], self.bytes(text), "the query");
                 let id = u16::from_be_bytes([query[0], query[1]]);
                 self.queries += 1;
                 self.ports.insert("q".into(), id);
                 self.ports.insert(format!("q{}", self.queries), id);
-                self.asker = Some(from);
+                self.querier = Some(from);
             }
             ("names" | "former", ">") => {
                 let answer = self.bytes(text);
                 let from = if first == "names" { Some(&self.names) } else { self.former.as_ref() };
-                from.expect("moved").send_to(&answer, self.asker.expect("asked")).expect("sent");
+                from.expect("moved").send_to(&answer, self.querier.expect("queried")).expect("sent");
             }
-            (who, ">") => {
+            (party, ">") => {
                 let bytes = self.bytes(text);
-                self.stream(who).write_all(&bytes).expect("sent");
+                self.stream(party).write_all(&bytes).expect("sent");
             }
-            (who, "<") => self.receive(who, text),
-            (who, "ended") => {
-                let read = self.stream(who).read(&mut [0]);
-                // A reset is an end as well.
+            (party, "<") => self.receive(party, text),
+            (party, "ended") => {
+                let read = self.stream(party).read(&mut [0]);
+                // A reset ends the connection, too.
                 let ended =
                     read.as_ref().map_or_else(|e| e.kind() != std::io::ErrorKind::WouldBlock, |n| *n == 0);
-                assert!(ended, "{who} is still open: {read:?}");
+                assert!(ended, "{party} is still open: {read:?}");
             }
-            (who, "shuts") => self.stream(who).shutdown(std::net::Shutdown::Write).expect("it was up"),
-            (who, "close" | "next") => drop(self.streams.remove(who)),
-            (who, "deaf") => {
-                let engine = &self.engines[who];
-                // One more connection than the line has places for, and the kernel drops what comes.
-                rustix::net::listen(&engine.listener, 0).expect("a shorter line");
+            (party, "shuts") => self.stream(party).shutdown(std::net::Shutdown::Write).expect("connected"),
+            (party, "close" | "next") => drop(self.streams.remove(party)),
+            (party, "deaf") => {
+                let engine = &self.engines[party];
+                // An accept queue with a backlog of 0 has room for one connection. Once the filler is in it,
+                // the kernel drops further connection attempts.
+                rustix::net::listen(&engine.listener, 0).expect("the backlog is reduced");
                 let filler = TcpStream::connect(engine.address()).expect("connected");
-                self.fillers.insert(who.into(), filler);
+                self.fillers.insert(party.into(), filler);
             }
-            (who, "hears") => {
-                let listener = &self.engines[who].listener;
-                rustix::net::listen(listener, 128).expect("a longer line");
-                drop((listener.accept().expect("the filler"), self.fillers.remove(who)));
+            (party, "hears") => {
+                let listener = &self.engines[party].listener;
+                rustix::net::listen(listener, 128).expect("the backlog is restored");
+                drop((listener.accept().expect("the filler"), self.fillers.remove(party)));
             }
-            (who, "up") => drop(self.stream(who).set_nodelay(true)),
-            (who, "gone") => {
-                self.streams.remove(who);
-                self.engines.remove(who);
+            (party, "up") => drop(self.stream(party).set_nodelay(true)),
+            (party, "gone") => {
+                self.streams.remove(party);
+                self.engines.remove(party);
             }
             _ => panic!("no such step: {step}"),
         }
@@ -358,27 +373,27 @@
 }
 
 #[rstest]
-fn an_exchange_goes_as_recorded(#[files("tests/exchanges/*.txt")] path: PathBuf) {
+fn exchange_matches_its_recording(#[files("tests/exchanges/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("readable");
-    let joined = text.replace("\n  ", "");
+    let unfolded = text.replace("\n  ", "");
     let mut player = Player {
         daemon: None,
         old: None,
-        held: None,
+        retained: None,
         engines: HashMap::new(),
         ports: HashMap::new(),
         streams: HashMap::new(),
         names: names(),
-        scripted: joined.lines().any(|step| step.starts_with("names ") || step == "moves"),
+        scripted_directory: unfolded.lines().any(|step| step.starts_with("names ") || step == "moves"),
         directory: None,
         former: None,
         crowd: Vec::new(),
         settings: Vec::new(),
         fillers: HashMap::new(),
-        asker: None,
+        querier: None,
         queries: 0,
     };
-    for step in joined.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
+    for step in unfolded.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
         player.step(step);
     }
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,11 +1,12 @@
-//! `.ci/known-red` passes over just the tests that it is told of, and fails on whatever it cannot take at its word.
+//! `.ci/known-red` skips exactly the listed tests, and fails on an invalid list.
 
 use std::process::Command;
 
 const LIST: &str =
     "a_list_is_read: test\nmodule::an_engine_dies: test\nthird: test\nfourth: test\nslow: benchmark\n";
 
-/// Whether it takes that file, its arguments for the test run, and what it tells.
+/// Runs the script on a list with these lines; returns whether it succeeded, its standard output (arguments
+/// for the test run) and its standard error.
 fn known_red(lines: &str) -> (bool, String, String) {
     let folder = std::env::temp_dir().join(format!(
         "known-red-{}-{:?}",
@@ -25,24 +26,24 @@
 }
 
 #[test]
-fn none_is_passed_over_where_none_is_named() {
+fn an_empty_list_skips_no_tests() {
     assert_eq!(known_red("# nothing\n\n"), (true, String::new(), String::new()));
 }
 
 #[test]
-fn those_that_are_named_are_passed_over_and_told() {
-    let (taken, arguments, told) =
+fn listed_tests_are_skipped_and_reported() {
+    let (accepted, arguments, stderr) =
         known_red("module::an_engine_dies | the link waits | issue 26\nthird | unknown yet | issue 3");
-    assert!(taken, "{told}");
+    assert!(accepted, "{stderr}");
     assert_eq!(arguments, "--skip\nmodule::an_engine_dies\n--skip\nthird\n--exact\n");
     assert!(
-        told.contains("module::an_engine_dies: the link waits (issue 26)") && told.contains("third: "),
-        "{told}"
+        stderr.contains("module::an_engine_dies: the link waits (issue 26)") && stderr.contains("third: "),
+        "{stderr}"
     );
 }
 
 #[test]
-fn what_cannot_be_taken_at_its_word_fails() {
+fn invalid_lists_are_rejected() {
     let red = |name: &str| format!("{name} | a cause | issue 1\n");
     let four: String = ["a_list_is_read", "module::an_engine_dies", "third", "fourth"].map(red).concat();
     let wrong = [
@@ -56,8 +57,8 @@
         ("third | a cause | issue\n".into(), "not 'test"),
         ("third a cause issue 1\n".into(), "not 'test"),
     ];
-    for (lines, why) in wrong {
-        let (taken, _, told) = known_red(&lines);
-        assert!(!taken && told.contains(why), "{lines}: {told}");
+    for (lines, reason) in wrong {
+        let (accepted, _, stderr) = known_red(&lines);
+        assert!(!accepted && stderr.contains(reason), "{lines}: {stderr}");
     }
 }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -1,5 +1,5 @@
-//! The `MySQL` door, by a client crate on one side and a small stand-in engine on the other, which speaks
-//! both wires. No verdict hangs on how long something takes.
+//! Tests of the `MySQL` listener, with a client crate on one side and a stand-in engine on the other. The
+//! engine speaks `MySQL` and the platform's protocol. No assertion depends on how long something takes.
 
 mod daemon;
 use daemon::*;
@@ -10,25 +10,25 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::Arc;
 
-/// What an engine does with an execution.
+/// How an engine responds to executions, and counters of its work.
 #[derive(Default)]
-struct Habits {
-    /// Answers nothing.
+struct Behaviour {
+    /// Leaves executions unanswered.
     silent: AtomicBool,
-    /// Ends the connection in place of an answer.
+    /// Closes the connection instead of answering.
     dies: AtomicBool,
-    /// The same, for the next one alone.
+    /// Closes the connection instead of answering, for the next execution only.
     dies_once: AtomicBool,
     prepared: AtomicU32,
     executed: AtomicU32,
 }
 
-/// An engine with a `MySQL` port and one of the platform's kind.
+/// An engine with a `MySQL` port and a port for the platform's protocol.
 struct Engine {
     id: &'static str,
     mysql: SocketAddr,
     resp: SocketAddr,
-    habits: Arc<Habits>,
+    behaviour: Arc<Behaviour>,
 }
 
 fn packet(out: &mut Vec<u8>, sequence: u8, payload: &[u8]) {
@@ -37,21 +37,21 @@
     out.extend_from_slice(payload);
 }
 
-/// A payload, in however many packets it comes.
+/// Reads a payload, which may span several packets.
 fn read_packet(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let (mut whole, mut length) = (Vec::new(), 0xff_ff_ff);
+    let (mut assembled, mut length) = (Vec::new(), 0xff_ff_ff);
     while length == 0xff_ff_ff {
         let mut header = [0; 4];
         stream.read_exact(&mut header).ok()?;
         length = u32::from_le_bytes([header[0], header[1], header[2], 0]) as usize;
-        let start = whole.len();
-        whole.resize(start + length, 0);
-        stream.read_exact(&mut whole[start..]).ok()?;
+        let start = assembled.len();
+        assembled.resize(start + length, 0);
+        stream.read_exact(&mut assembled[start..]).ok()?;
     }
-    Some(whole)
+    Some(assembled)
 }
 
-/// The text at the start of a value in an execution.
+/// The text of a length-encoded value of an execution. Panics if the value has another length.
 fn text_value(value: &[u8]) -> &[u8] {
     let prefix = match value[0] {
         252 => 3,
@@ -75,8 +75,9 @@
     out
 }
 
-/// One session: every execution answers with its first argument, or the sum of a long one; a text with its own.
-fn session(mut stream: TcpStream, habits: &Habits) -> Option<()> {
+/// Serves one `MySQL` session. An execution returns its numeric argument, or the checksum of a text or long
+/// argument; a text query returns its own checksum.
+fn session(mut stream: TcpStream, behaviour: &Behaviour) -> Option<()> {
     let mut greeting = b"\x0a8.0-stand-in\0\x01\0\0\0aaaaaaaa\0\xff\xff\x2d\x02\0\xff\xff\x15".to_vec();
     greeting.extend_from_slice(&[0; 10]);
     greeting.extend_from_slice(b"bbbbbbbbbbbb\0caching_sha2_password\0");
@@ -87,17 +88,17 @@
     out.clear();
     packet(&mut out, 2, OK);
     stream.write_all(&out).ok()?;
-    let mut long: Option<Vec<u8>> = None;
+    let mut long_data: Option<Vec<u8>> = None;
     loop {
         let command = read_packet(&mut stream)?;
         out.clear();
         match command[0] {
             0x18 => {
-                long.get_or_insert_default().extend_from_slice(&command[7..]);
+                long_data.get_or_insert_default().extend_from_slice(&command[7..]);
                 continue;
             }
             0x03 => {
-                habits.executed.fetch_add(1, Ordering::SeqCst);
+                behaviour.executed.fetch_add(1, Ordering::SeqCst);
                 let sum = crc32fast::hash(&command[1..]).to_string();
                 let row = [&[sum.len() as u8], sum.as_bytes()].concat();
                 for (at, payload) in [&[1][..], &column(), EOF, &row, EOF].iter().enumerate() {
@@ -105,22 +106,23 @@
                 }
             }
             0x16 => {
-                habits.prepared.fetch_add(1, Ordering::SeqCst);
+                behaviour.prepared.fetch_add(1, Ordering::SeqCst);
                 packet(&mut out, 1, &[0, 5, 0, 0, 0, 1, 0, 1, 0, 0, 0, 0]);
                 for (at, payload) in [column(), EOF.to_vec(), column(), EOF.to_vec()].iter().enumerate() {
                     packet(&mut out, 2 + at as u8, payload);
                 }
             }
             0x17 => {
-                habits.executed.fetch_add(1, Ordering::SeqCst);
-                if habits.silent.load(Ordering::SeqCst) {
+                behaviour.executed.fetch_add(1, Ordering::SeqCst);
+                if behaviour.silent.load(Ordering::SeqCst) {
                     continue;
                 }
-                if habits.dies.load(Ordering::SeqCst) || habits.dies_once.swap(false, Ordering::SeqCst) {
+                if behaviour.dies.load(Ordering::SeqCst) || behaviour.dies_once.swap(false, Ordering::SeqCst)
+                {
                     return None;
                 }
-                // One parameter: what stands before its value are 14 bytes.
-                let argument = match long.take() {
+                // With one parameter, 14 bytes precede its value.
+                let argument = match long_data.take() {
                     Some(value) => u64::from(crc32fast::hash(&value)).to_le_bytes().to_vec(),
                     None if command.len() == 14 + 8 => command[14..].to_vec(),
                     None => u64::from(crc32fast::hash(text_value(&command[14..]))).to_le_bytes().to_vec(),
@@ -137,8 +139,8 @@
     }
 }
 
-/// The platform's wire: every GET is answered with one row.
-fn resp(stream: TcpStream, habits: &Habits) -> Option<()> {
+/// Serves a connection of the platform's protocol: each GET is answered with one row.
+fn resp(stream: TcpStream, behaviour: &Behaviour) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut writer = stream;
     loop {
@@ -151,7 +153,7 @@
             values.push(value);
         }
         if values[0] == b"GET" {
-            habits.executed.fetch_add(1, Ordering::SeqCst);
+            behaviour.executed.fetch_add(1, Ordering::SeqCst);
             let id = String::from_utf8_lossy(&values[1]).into_owned();
             let answer =
                 format!("*4\r\n${}\r\n{id}\r\n$4\r\ndata\r\n$7\r\ntotal=1\r\n$6\r\n1\t2\t3\n\r\n", id.len());
@@ -166,25 +168,25 @@
     line.get(1..)?.trim().parse().ok()
 }
 
-fn serve(run: fn(TcpStream, &Habits) -> Option<()>, habits: &Arc<Habits>) -> SocketAddr {
+fn serve(run: fn(TcpStream, &Behaviour) -> Option<()>, behaviour: &Arc<Behaviour>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let habits = habits.clone();
+    let behaviour = behaviour.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let habits = habits.clone();
-            std::thread::spawn(move || run(stream, &habits));
+            let behaviour = behaviour.clone();
+            std::thread::spawn(move || run(stream, &behaviour));
         }
     });
     address
 }
 
 fn engine(id: &'static str) -> Engine {
-    let habits = Arc::new(Habits::default());
-    Engine { id, mysql: serve(session, &habits), resp: serve(resp, &habits), habits }
+    let behaviour = Arc::new(Behaviour::default());
+    Engine { id, mysql: serve(session, &behaviour), resp: serve(resp, &behaviour), behaviour }
 }
 
-struct World {
+struct Fixture {
     daemon: Daemon,
     names: UdpSocket,
 }
@@ -192,12 +194,12 @@
 /// Double SHA-256 of `secret`.
 const HASH: &str = "3881219d087dd9c634373fd33dfa33a2cb6bfc6c520b64b8bb60ef2ceb534ae7";
 
-/// The program knows the first engines at its start; the file has the addresses of all.
-fn world(first: &[&Engine], later: &[&Engine]) -> World {
-    world_with(first, later, &[])
+/// Starts the program with the engines `first`; `mysql.toml` also has the addresses of the engines `later`.
+fn fixture(first: &[&Engine], later: &[&Engine]) -> Fixture {
+    fixture_with(first, later, &[])
 }
 
-fn world_with(first: &[&Engine], later: &[&Engine], more: &[(&str, String)]) -> World {
+fn fixture_with(first: &[&Engine], later: &[&Engine], more: &[(&str, String)]) -> Fixture {
     let names = names();
     let engines = [first, later].concat();
     let known: Vec<_> = first.iter().map(|e| (e.id, e.resp)).collect();
@@ -209,16 +211,16 @@
         statement = [{{ starts = "select", class = "lookup" }}, {{ starts = "insert", class = "load" }}]
         engine = {{ port = 3306, user = "gateway", addresses = {{ {addresses} }} }}"#
     );
-    // Without engines that join, a directory goes on reporting those that there are: a slow machine must not outlast the lease
-    // on the endpoint set.
+    // If no engines join later, a directory keeps reporting the first ones, so that the lease on the endpoint
+    // set does not expire on a slow machine.
     let directory = if later.is_empty() { directory(&known) } else { names.local_addr().expect("bound") };
     let daemon = Daemon::start(&config(&known, directory), &[&[("mysql.toml", toml)], more].concat(), None);
-    World { daemon, names }
+    Fixture { daemon, names }
 }
 
-impl World {
+impl Fixture {
     fn session(&self) -> Conn {
-        let address = self.daemon.mysql.expect("the door is open");
+        let address = self.daemon.mysql.expect("the MySQL listener is open");
         let opts = OptsBuilder::new()
             .ip_or_hostname(Some(address.ip().to_string()))
             .tcp_port(address.port())
@@ -228,8 +230,8 @@
         Conn::new(opts).expect("a session")
     }
 
-    /// The directory tells: these drain, and those are ready.
-    fn tell(&self, serial: u32, draining: &[&Engine], ready: &[&Engine]) {
+    /// Waits for a directory query and responds with a list of draining and ready engines.
+    fn announce(&self, serial: u32, draining: &[&Engine], ready: &[&Engine]) {
         let name = |text: &str| {
             let labels = text.split('.').flat_map(|l| [&[l.len() as u8], l.as_bytes()].concat());
             labels.chain([0]).collect::<Vec<u8>>()
@@ -261,7 +263,7 @@
         self.names.send_to(&answer, asker).expect("sent");
     }
 
-    /// The counters from here on.
+    /// The counters of the program, requested with SIGUSR1.
     fn counters(&self) -> std::collections::BTreeMap<String, u64> {
         self.daemon.signal("USR1");
         let line = self.daemon.line("counters");
@@ -273,40 +275,40 @@
 fn code(result: mysql::Result<Option<u64>>) -> (u16, String, String) {
     match result.expect_err("an error") {
         mysql::Error::MySqlError(e) => (e.code, e.state, e.message),
-        other => panic!("not the server's error: {other}"),
+        other => panic!("expected an error from the server: {other}"),
     }
 }
 
 #[test]
-fn an_engine_drains_in_mid_session_and_each_execution_has_one_answer() {
+fn each_execution_has_one_answer_when_an_engine_drains_mid_session() {
     let (one, two) = (engine("e1"), engine("e2"));
-    let world = world(&[&one], &[&two]);
-    let mut session = world.session();
+    let fixture = fixture(&[&one], &[&two]);
+    let mut session = fixture.session();
     let statement = session.prep("SELECT n FROM sales_17.orders WHERE n = ?").expect("prepared");
     for n in 0..20u64 {
         assert_eq!(session.exec_first(&statement, (n,)).expect("served"), Some(n));
     }
     assert_eq!(
-        (one.habits.prepared.load(Ordering::SeqCst), one.habits.executed.load(Ordering::SeqCst)),
+        (one.behaviour.prepared.load(Ordering::SeqCst), one.behaviour.executed.load(Ordering::SeqCst)),
         (1, 20)
     );
-    world.tell(2, &[&one], &[&two]);
-    world.daemon.line("engine e1 is Draining");
+    fixture.announce(2, &[&one], &[&two]);
+    fixture.daemon.line("engine e1 is Draining");
     for n in 20..40u64 {
         assert_eq!(session.exec_first(&statement, (n,)).expect("served elsewhere"), Some(n));
     }
     assert_eq!(
-        (two.habits.prepared.load(Ordering::SeqCst), two.habits.executed.load(Ordering::SeqCst)),
+        (two.behaviour.prepared.load(Ordering::SeqCst), two.behaviour.executed.load(Ordering::SeqCst)),
         (1, 20)
     );
-    assert_eq!(one.habits.executed.load(Ordering::SeqCst), 20);
-    // Both drain: nothing can run, and the refusal says when to come back.
-    world.tell(3, &[&one, &two], &[]);
-    world.daemon.line("engine e2 is Draining");
+    assert_eq!(one.behaviour.executed.load(Ordering::SeqCst), 20);
+    // Both drain: nothing can run, and the rejection says when to retry.
+    fixture.announce(3, &[&one, &two], &[]);
+    fixture.daemon.line("engine e2 is Draining");
     let (number, state, message) = code(session.exec_first(&statement, (99u64,)));
     assert_eq!((number, state.as_str()), (3168, "HY000"));
     assert!(message.contains("retry after "), "{message}");
-    let counters = world.counters();
+    let counters = fixture.counters();
     let answers = counters["served"] + counters["refused"] + counters["failed"];
     assert_eq!((counters["taken"], answers), (41, 41), "one answer each");
     assert_eq!(counters["served"], 40);
@@ -315,56 +317,57 @@
 #[test]
 fn a_session_moves_to_the_other_engine_when_its_own_dies() {
     let (one, two) = (engine("e1"), engine("e2"));
-    let world = world(&[&one, &two], &[]);
-    let mut session = world.session();
+    let fixture = fixture(&[&one, &two], &[]);
+    let mut session = fixture.session();
     let statement = session.prep("SELECT n FROM sales_17.orders WHERE n = ?").expect("prepared");
-    one.habits.dies.store(true, Ordering::SeqCst);
+    one.behaviour.dies.store(true, Ordering::SeqCst);
     for n in 0..30u64 {
         assert_eq!(session.exec_first(&statement, (n,)).expect("served by the other"), Some(n));
     }
-    let counters = world.counters();
+    let counters = fixture.counters();
     assert_eq!((counters["taken"], counters["served"]), (30, 30));
-    assert_eq!(counters["reset"], u64::from(one.habits.executed.load(Ordering::SeqCst)));
-    assert!(two.habits.executed.load(Ordering::SeqCst) >= 30);
-    // A load without a key may have run where the engine died: it fails and is not repeated.
-    two.habits.dies.store(true, Ordering::SeqCst);
-    let before = one.habits.executed.load(Ordering::SeqCst) + two.habits.executed.load(Ordering::SeqCst);
+    assert_eq!(counters["reset"], u64::from(one.behaviour.executed.load(Ordering::SeqCst)));
+    assert!(two.behaviour.executed.load(Ordering::SeqCst) >= 30);
+    // A load without a key may have run on the engine that died: it fails and is not retried.
+    two.behaviour.dies.store(true, Ordering::SeqCst);
+    let before =
+        one.behaviour.executed.load(Ordering::SeqCst) + two.behaviour.executed.load(Ordering::SeqCst);
     let load = session.prep("INSERT INTO sales_17.orders SELECT ?").expect("prepared");
     let (number, state, _) = code(session.exec_first(&load, (1u64,)));
     assert_eq!((number, state.as_str()), (1317, "70100"));
-    let after = one.habits.executed.load(Ordering::SeqCst) + two.habits.executed.load(Ordering::SeqCst);
+    let after = one.behaviour.executed.load(Ordering::SeqCst) + two.behaviour.executed.load(Ordering::SeqCst);
     assert_eq!(after, before + 1);
 }
 
 #[test]
-fn a_silent_engine_ends_at_the_deadline_of_the_hint() {
+fn an_unanswered_execution_fails_at_the_deadline_of_its_hint() {
     let one = engine("e1");
-    let world = world(&[&one], &[]);
-    one.habits.silent.store(true, Ordering::SeqCst);
-    let mut session = world.session();
+    let fixture = fixture(&[&one], &[]);
+    one.behaviour.silent.store(true, Ordering::SeqCst);
+    let mut session = fixture.session();
     let load = "INSERT /*+ MAX_EXECUTION_TIME(300) */ /* dahliaspoke key=?1 */ INTO sales_17.orders SELECT ?";
     let statement = session.prep(load).expect("prepared");
     let (number, state, _) = code(session.exec_first(&statement, (1u64,)));
     assert_eq!((number, state.as_str()), (3024, "HY000"));
-    one.habits.silent.store(false, Ordering::SeqCst);
+    one.behaviour.silent.store(false, Ordering::SeqCst);
     assert_eq!(session.exec_first(&statement, (5u64,)).expect("served"), Some(5));
 }
 
 #[test]
-fn the_same_work_through_both_doors_has_the_same_figures() {
+fn mysql_and_http_count_the_same_work_equally() {
     const CALLS: u64 = 60;
     let figures = |by_mysql: bool| {
         let (one, two) = (engine("e1"), engine("e2"));
-        let world = world(&[&one, &two], &[]);
+        let fixture = fixture(&[&one, &two], &[]);
         if by_mysql {
-            let mut session = world.session();
+            let mut session = fixture.session();
             let text =
                 "SELECT /* dahliaspoke estimate_ms=120 memory_mb=96 */ n FROM sales_17.orders WHERE n = ?";
             let statement = session.prep(text).expect("prepared");
             (0..CALLS)
                 .for_each(|n| assert_eq!(session.exec_first(&statement, (n,)).expect("served"), Some(n)));
         } else {
-            let mut stream = TcpStream::connect(world.daemon.http.expect("open")).expect("connected");
+            let mut stream = TcpStream::connect(fixture.daemon.http.expect("open")).expect("connected");
             let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
             for n in 0..CALLS {
                 let head =
@@ -382,7 +385,7 @@
                 reader.read_exact(&mut [0; 24]).expect("the rows"); // {"page":[["1","2","3"]]}
             }
         }
-        let counters = world.counters();
+        let counters = fixture.counters();
         ["taken", "served", "refused", "failed", "withdrawn", "bad", "ok"].map(|name| counters[name])
     };
     assert_eq!(figures(true), figures(false));
@@ -398,18 +401,18 @@
     u64::from(crc32fast::hash(text.as_bytes()))
 }
 
-/// Memory alone, or files as well.
-fn keeps(files: bool) -> (&'static str, String) {
+/// Configures a body store in memory, optionally with a file tier.
+fn body_store_config(files: bool) -> (&'static str, String) {
     let files = if files { "files_mb = 256\nfolder = \"bodies\"\n" } else { "" };
     ("bodies.toml", format!("memory_mb = 64\nlargest_mb = 40\n{files}"))
 }
 
 #[test]
-fn parameters_and_texts_of_any_size_reach_the_engine_as_they_were() {
+fn parameters_and_texts_of_any_size_reach_the_engine_unchanged() {
     for files in [false, true] {
         let one = engine("e1");
-        let world = world_with(&[&one], &[], &[keeps(files)]);
-        let mut session = world.session();
+        let fixture = fixture_with(&[&one], &[], &[body_store_config(files)]);
+        let mut session = fixture.session();
         let statement =
             session.prep("INSERT /* dahliaspoke key=k1 */ INTO sales_17.orders SELECT ?").expect("prepared");
         for (seed, length) in [100, 200_000, MB, 0xff_ff_ff - 18, 17 * MB, 33 * MB].into_iter().enumerate() {
@@ -422,56 +425,57 @@
             let got: Option<u64> = session.query_first(&text).expect("served");
             assert_eq!(got, Some(sum(&text)), "a text of {length} bytes, files: {files}");
         }
-        // The session goes on as before.
-        assert_eq!(session.query_first("SELECT @@max_allowed_packet").expect("told"), Some(40 * MB));
+        // The session remains usable.
+        assert_eq!(session.query_first("SELECT @@max_allowed_packet").expect("answered"), Some(40 * MB));
         assert_eq!(session.exec_first(&statement, (5u64,)).expect("served"), Some(5u64));
-        let counters = world.counters();
+        let counters = fixture.counters();
         assert_eq!((counters["taken"], counters["served"]), (10, 10));
     }
 }
 
 #[test]
-fn a_long_parameter_is_sent_again_whole_where_its_engine_died() {
+fn a_long_parameter_is_resent_in_full_after_its_engine_dies() {
     for (files, length) in [(false, MB), (true, 20 * MB)] {
         let (one, two) = (engine("e1"), engine("e2"));
-        let world = world_with(&[&one, &two], &[], &[keeps(files)]);
-        let mut session = world.session();
+        let fixture = fixture_with(&[&one, &two], &[], &[body_store_config(files)]);
+        let mut session = fixture.session();
         let keyed =
             session.prep("INSERT /* dahliaspoke key=k1 */ INTO sales_17.orders SELECT ?").expect("prepared");
         let text = letters(length, 1);
-        one.habits.dies_once.store(true, Ordering::SeqCst);
-        two.habits.dies_once.store(true, Ordering::SeqCst);
+        one.behaviour.dies_once.store(true, Ordering::SeqCst);
+        two.behaviour.dies_once.store(true, Ordering::SeqCst);
         let got: Option<u64> = session.exec_first(&keyed, (&text,)).expect("served in the end");
         assert_eq!(got, Some(sum(&text)));
-        let ran = || one.habits.executed.load(Ordering::SeqCst) + two.habits.executed.load(Ordering::SeqCst);
-        let before = ran();
+        let executions =
+            || one.behaviour.executed.load(Ordering::SeqCst) + two.behaviour.executed.load(Ordering::SeqCst);
+        let before = executions();
         assert!(before > 1, "the first engine died");
-        // Without a key it has failed, at once, and is not sent again.
-        one.habits.dies.store(true, Ordering::SeqCst);
-        two.habits.dies.store(true, Ordering::SeqCst);
+        // Without a key it fails immediately and is not resent.
+        one.behaviour.dies.store(true, Ordering::SeqCst);
+        two.behaviour.dies.store(true, Ordering::SeqCst);
         let load = session.prep("INSERT INTO sales_17.orders SELECT ?").expect("prepared");
         let (number, state, _) = code(session.exec_first(&load, (&text,)));
         assert_eq!((number, state.as_str()), (1317, "70100"));
-        assert_eq!(ran(), before + 1);
+        assert_eq!(executions(), before + 1);
     }
 }
 
 #[test]
-fn what_is_larger_than_may_be_or_has_no_room_is_told_and_harms_nobody() {
+fn oversized_or_unstorable_parameters_fail_without_affecting_other_requests() {
     let one = engine("e1");
     let small = "memory_mb = 5\nlargest_mb = 2\n[class.load]\nmemory_share = 0.1\n";
-    let world = world_with(&[&one], &[], &[("bodies.toml", small.into())]);
-    let mut session = world.session();
+    let fixture = fixture_with(&[&one], &[], &[("bodies.toml", small.into())]);
+    let mut session = fixture.session();
     let load = session.prep("INSERT INTO sales_17.orders SELECT ?").expect("prepared");
     let (number, _, message) = code(session.exec_first(&load, (letters(MB, 1),)));
     assert_eq!(number, 3168, "{message}");
     assert!(message.contains("retry after"), "{message}");
-    assert_eq!(session.exec_first(&load, (7u64,)).expect("the session goes on"), Some(7u64));
+    assert_eq!(session.exec_first(&load, (7u64,)).expect("the session remains usable"), Some(7u64));
     let select = session.prep("SELECT n FROM sales_17.orders WHERE n = ?").expect("prepared");
     assert!(session.exec_first::<u64, _, _>(&select, (letters(3 * MB, 1),)).is_err());
-    let mut session = world.session();
+    let mut session = fixture.session();
     let got: Option<u64> = session.query_first(format!("SELECT '{}'", letters(MB, 2))).expect("served");
     assert!(got.is_some());
-    let counters = world.counters();
+    let counters = fixture.counters();
     assert_eq!((counters["served"], counters["failed"]), (2, 0));
 }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in engine on the platform's wire that checks what it is sent, and a client of the HTTP door.
+//! A stand-in engine that speaks the platform's protocol and records what it receives, and a client of the
+//! HTTP listener.
 #![allow(dead_code)]
 
 use super::daemon::{Daemon, PATIENCE};
@@ -9,33 +10,38 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What an engine took whole.
-pub struct Taken {
+/// A statement that an engine received in full.
+pub struct ReceivedStatement {
+    /// CRC-32 of its bytes.
     pub sum: u32,
     pub at: Instant,
+    /// Whether it has an idempotency key.
     pub keyed: bool,
-    /// It was turned away unseen.
+    /// Whether the engine answered that it is full, without executing it.
     pub full: bool,
 }
 
-/// What all engines of a run know.
+/// State shared by all engines of a run.
 #[derive(Default)]
-pub struct Ledger {
-    pub received: Mutex<HashMap<String, Vec<Taken>>>,
-    /// One in so many attempts is turned away; 0: none.
+pub struct SharedState {
+    /// The statements received, by request id.
+    pub received: Mutex<HashMap<String, Vec<ReceivedStatement>>>,
+    /// Every nth statement is answered with `full`; 0: none.
     pub full: AtomicU64,
+    /// Number of statements received in full.
     pub count: AtomicU64,
-    /// Nothing is answered.
+    /// Whether the engines leave statements unanswered.
     pub silent: AtomicBool,
 }
 
-/// A stand-in engine on the platform's wire, which can be killed and comes back on its address.
+/// A stand-in engine that speaks the platform's protocol. Killing it closes its connections; it accepts new
+/// ones on the same address.
 pub struct Engine {
     pub id: String,
     pub address: SocketAddr,
-    /// Its life: connections end once it has changed.
-    life: Arc<AtomicU64>,
-    /// Statements of which the beginning came.
+    /// Incremented by each kill; connections accepted under an earlier value end.
+    incarnation: Arc<AtomicU64>,
+    /// Number of statements whose length has been received; their bytes may still be incomplete.
     pub begun: Arc<AtomicU64>,
 }
 
@@ -53,11 +59,11 @@
 }
 
 /// Serves one connection until it ends or the engine is killed.
-fn serve(stream: TcpStream, ledger: &Ledger, life: &AtomicU64, begun: &AtomicU64) -> Option<()> {
-    let own = life.load(Ordering::SeqCst);
+fn serve(stream: TcpStream, state: &SharedState, incarnation: &AtomicU64, begun: &AtomicU64) -> Option<()> {
+    let accepted_in = incarnation.load(Ordering::SeqCst);
     stream.set_read_timeout(Some(Duration::from_millis(20))).ok()?;
     let mut writer = stream.try_clone().ok()?;
-    let mut reader = BufReader::with_capacity(64 << 10, Mortal { stream, life, own });
+    let mut reader = BufReader::with_capacity(64 << 10, KillableStream { stream, incarnation, accepted_in });
     loop {
         let count = line(&mut reader)?;
         let words: Vec<String> = (0..count.min(3)).map(|_| value(&mut reader)).collect::<Option<_>>()?;
@@ -69,20 +75,20 @@
         begun.fetch_add(1, Ordering::SeqCst);
         let (mut sum, mut left) = (crc32fast::Hasher::new(), length);
         while left > 0 {
-            let piece = reader.fill_buf().ok().filter(|piece| !piece.is_empty())?;
-            let count = piece.len().min(left);
-            sum.update(&piece[..count]);
+            let chunk = reader.fill_buf().ok().filter(|chunk| !chunk.is_empty())?;
+            let count = chunk.len().min(left);
+            sum.update(&chunk[..count]);
             reader.consume(count);
             left -= count;
         }
         reader.read_exact(&mut [0; 2]).ok()?;
-        let number = ledger.count.fetch_add(1, Ordering::SeqCst) + 1;
-        let every = ledger.full.load(Ordering::SeqCst);
+        let number = state.count.fetch_add(1, Ordering::SeqCst) + 1;
+        let every = state.full.load(Ordering::SeqCst);
         let full = every > 0 && number % every == 0;
         let (sum, keyed) = (sum.finalize(), words[2].contains("op="));
-        let received = Taken { sum, at: Instant::now(), keyed, full };
-        ledger.received.lock().expect("held").entry(words[1].clone()).or_default().push(received);
-        if ledger.silent.load(Ordering::SeqCst) {
+        let received = ReceivedStatement { sum, at: Instant::now(), keyed, full };
+        state.received.lock().expect("not poisoned").entry(words[1].clone()).or_default().push(received);
+        if state.silent.load(Ordering::SeqCst) {
             continue;
         }
         let (word, body) = if full { ("full", "") } else { ("data", "1\t2\t3\n") };
@@ -93,17 +99,17 @@
     }
 }
 
-/// A stream that ends with its engine's life.
-struct Mortal<'a> {
+/// A stream that reports end of file once its engine is killed.
+struct KillableStream<'a> {
     stream: TcpStream,
-    life: &'a AtomicU64,
-    own: u64,
+    incarnation: &'a AtomicU64,
+    accepted_in: u64,
 }
 
-impl Read for Mortal<'_> {
+impl Read for KillableStream<'_> {
     fn read(&mut self, into: &mut [u8]) -> std::io::Result<usize> {
         loop {
-            if self.life.load(Ordering::SeqCst) != self.own {
+            if self.incarnation.load(Ordering::SeqCst) != self.accepted_in {
                 return Ok(0);
             }
             match self.stream.read(into) {
@@ -115,47 +121,49 @@
 }
 
 impl Engine {
-    pub fn start(id: &str, ledger: &Arc<Ledger>) -> Self {
+    pub fn start(id: &str, state: &Arc<SharedState>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let life = Arc::new(AtomicU64::new(0));
+        let incarnation = Arc::new(AtomicU64::new(0));
         let begun = Arc::new(AtomicU64::new(0));
-        let (shared, lives, starts) = (ledger.clone(), life.clone(), begun.clone());
+        let (engine_state, engine_incarnation, engine_begun) =
+            (state.clone(), incarnation.clone(), begun.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (ledger, life, begun) = (shared.clone(), lives.clone(), starts.clone());
-                std::thread::spawn(move || serve(stream, &ledger, &life, &begun));
+                let (state, incarnation, begun) =
+                    (engine_state.clone(), engine_incarnation.clone(), engine_begun.clone());
+                std::thread::spawn(move || serve(stream, &state, &incarnation, &begun));
             }
         });
-        Self { id: id.into(), address, life, begun }
+        Self { id: id.into(), address, incarnation, begun }
     }
 
-    /// One that is in the list only.
+    /// An engine that appears only in the list: nothing is started for it.
     pub fn nowhere(id: &str, address: SocketAddr) -> Self {
-        Self { id: id.into(), address, life: Arc::default(), begun: Arc::default() }
+        Self { id: id.into(), address, incarnation: Arc::default(), begun: Arc::default() }
     }
 
-    /// Every connection ends, whatever is on it.
+    /// Closes every connection, even in the middle of a statement.
     pub fn kill(&self) {
-        self.life.fetch_add(1, Ordering::SeqCst);
+        self.incarnation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-pub fn engines(count: usize) -> (Vec<Engine>, Arc<Ledger>) {
-    let ledger = Arc::new(Ledger::default());
-    ((0..count).map(|n| Engine::start(&format!("e{n}"), &ledger)).collect(), ledger)
+pub fn engines(count: usize) -> (Vec<Engine>, Arc<SharedState>) {
+    let state = Arc::new(SharedState::default());
+    ((0..count).map(|n| Engine::start(&format!("e{n}"), &state)).collect(), state)
 }
 
-/// A client's connection.
+/// A client connection to the HTTP listener.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
     pub fn new(daemon: &Daemon) -> Self {
-        Self::at(daemon.http.expect("open"))
+        Self::at(daemon.http.expect("the HTTP listener is open"))
     }
 
-    pub fn at(door: SocketAddr) -> Self {
-        let stream = TcpStream::connect(door).expect("connected");
+    pub fn at(server: SocketAddr) -> Self {
+        let stream = TcpStream::connect(server).expect("connected");
         stream.set_read_timeout(Some(3 * PATIENCE)).expect("set");
         stream.set_nodelay(true).expect("set");
         Self(BufReader::new(stream))
@@ -174,24 +182,25 @@
         self.0.get_mut().write_all(bytes)
     }
 
-    /// The status of the answer, and whether the connection goes on. Anything else in place of one is a loss.
+    /// Reads an answer; returns its status and whether the connection stays open. Panics on anything but a
+    /// complete answer.
     pub fn answer(&mut self) -> (u16, bool) {
-        let mut first = String::new();
-        self.0.read_line(&mut first).expect("an answer");
-        let status = first.split(' ').nth(1).and_then(|s| s.parse().ok());
-        let (mut length, mut stays) = (0, true);
+        let mut status_line = String::new();
+        self.0.read_line(&mut status_line).expect("an answer");
+        let status = status_line.split(' ').nth(1).and_then(|s| s.parse().ok());
+        let (mut length, mut keep_alive) = (0, true);
         loop {
             let mut line = String::new();
             self.0.read_line(&mut line).expect("a field");
             match line.trim().split_once(": ") {
                 Some(("Content-Length", value)) => length = value.parse().expect("a length"),
-                Some(("Connection", "close")) => stays = false,
+                Some(("Connection", "close")) => keep_alive = false,
                 Some(_) => {}
                 None => break,
             }
         }
         let mut body = vec![0; length];
-        self.0.read_exact(&mut body).expect("all of it");
-        (status.unwrap_or_else(|| panic!("no status in {first:?}")), stays)
+        self.0.read_exact(&mut body).expect("the complete body");
+        (status.unwrap_or_else(|| panic!("no status in {status_line:?}")), keep_alive)
     }
 }
