--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -169,7 +169,7 @@
     assert!(statuses.keys().all(|status| [200, 502, 503].contains(status)), "{statuses:?}");
     assert!(2 * statuses[&200] > mix.requests, "at most half of the requests succeeded: {statuses:?}");
     let sums = sums.into_inner().expect("not poisoned");
-    let taken = engine_state.taken.lock().expect("not poisoned");
+    let taken = engine_state.received.lock().expect("not poisoned");
     for (id, taken) in taken.iter() {
         assert!(taken.iter().all(|t| t.sum == sums[id]), "{id} was altered");
         let number = u64::from_str_radix(id, 16).expect("a number");
@@ -231,7 +231,7 @@
     engines[0].kill();
     assert_eq!(clients[1].answer().0, 502);
     assert_eq!(clients[0].answer().0, 200);
-    let taken = engine_state.taken.lock().expect("not poisoned");
+    let taken = engine_state.received.lock().expect("not poisoned");
     let count = |number: u64| taken[&format!("{number:016x}")].len();
     assert_eq!((count(0), count(1)), (2, 1));
     for (number, body) in bodies.iter().enumerate() {
@@ -315,7 +315,7 @@
     client.send(&body[MB..]).expect("sent");
     assert_eq!(client.answer().0, 200);
     assert_eq!(engines[draining].begun.load(Ordering::SeqCst), 1);
-    assert_eq!(engine_state.taken.lock().expect("not poisoned").len(), 7);
+    assert_eq!(engine_state.received.lock().expect("not poisoned").len(), 7);
 }
 
 #[test]
@@ -331,7 +331,7 @@
         client.head("load", id, true, body.len()).expect("sent");
         client.send(&body).expect("sent");
         assert_eq!(client.answer().0, 200);
-        let taken = engine_state.taken.lock().expect("not poisoned");
+        let taken = engine_state.received.lock().expect("not poisoned");
         let taken = &taken[&format!("{id:016x}")];
         assert!(taken.len() == 1 && taken[0].sum == crc32fast::hash(&body));
     }
