--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -9,8 +9,8 @@
 pub struct Answers {
     /// Served.
     pub served: u64,
-    /// Rejected: nothing ran.
-    pub refused: u64,
+    /// Rejected: nothing ran; printed as `refused`.
+    pub rejected: u64,
     /// Failed: it may have run.
     pub failed: u64,
 }
@@ -19,7 +19,7 @@
     pub(super) fn count(&mut self, answer: &Answer) {
         *match answer {
             Answer::Served(_) => &mut self.served,
-            Answer::Rejected(_) => &mut self.refused,
+            Answer::Rejected(_) => &mut self.rejected,
             Answer::Failed => &mut self.failed,
         } += 1;
     }
@@ -84,7 +84,7 @@
             "taken={} served={} refused={} failed={} withdrawn={} bad={} sends={} notes={}",
             self.received,
             sum(|answers| answers.served),
-            sum(|answers| answers.refused),
+            sum(|answers| answers.rejected),
             sum(|answers| answers.failed),
             self.withdrawn,
             self.bad,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -150,7 +150,7 @@
             ListenerEvent::Request(request) => self.receive(now, request, routes),
             ListenerEvent::Rejected(class) => {
                 self.counters.received += 1;
-                self.counters.answers[class].refused += 1;
+                self.counters.answers[class].rejected += 1;
             }
             ListenerEvent::ClientGone(id) => {
                 if self.withdraw(&id) {
--- a/src/daemon/statistics.rs
+++ b/src/daemon/statistics.rs
@@ -36,7 +36,7 @@
     fn add_answers(&self, out: &mut StatisticsText) {
         for (class, answers) in self.class_names.iter().zip(&self.core.counters.answers) {
             out.add(format_args!("completed.{class}"), answers.served);
-            out.add(format_args!("rejected.{class}"), answers.refused);
+            out.add(format_args!("rejected.{class}"), answers.rejected);
             out.add(format_args!("failed.{class}"), answers.failed);
         }
     }
