--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -2,8 +2,8 @@
 //!
 //!     cargo bench --bench policy
 //!
-//! Rounds are short, and the fastest one is reported with the median: it excludes the effect of other load on
-//! the machine.
+//! Rounds are short. The fastest one is reported next to the median, because it is the least affected by
+//! other load on the machine.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -22,8 +22,8 @@
 const INTERVAL_S: f64 = 0.005;
 /// Number of queries in flight at the same time.
 const IN_FLIGHT: usize = 20;
-/// Number of queries between two housekeeping ticks.
-const QUERIES_PER_TICK: usize = 20;
+/// Number of queries between two runs of the policy's housekeeping.
+const QUERIES_PER_HOUSEKEEPING: usize = 20;
 
 fn policy_with_engines(engines: usize) -> Policy {
     let classes = vec![class("lookup", Idempotency::Always), class("load", Idempotency::WithKey)];
@@ -60,7 +60,7 @@
     for n in 0..QUERIES + IN_FLIGHT {
         now += INTERVAL_S;
         actions.clear();
-        if n % QUERIES_PER_TICK == 0 {
+        if n % QUERIES_PER_HOUSEKEEPING == 0 {
             policy.handle(now, Event::Timer(0), &mut actions);
         }
         if n < QUERIES {
--- a/src/core/derived_classes.rs
+++ b/src/core/derived_classes.rs
@@ -3,9 +3,9 @@
 use super::Request;
 use dahliaspoke::policy::{ClassSettings, Idempotency, Settings};
 
-/// For each class of the settings, the classes of those of its requests that must not run twice: requests
-/// without the idempotency key that the class requires, and requests with an unbuffered body, which is not
-/// retained and so cannot be sent again.
+/// Maps each class of the settings to the classes of its requests that must not run twice: those without the
+/// idempotency key that the class requires, and those with an unbuffered body, which is not retained and so
+/// cannot be sent again.
 ///
 /// A derived class is a copy of the original with [`Idempotency::Never`]; both cases share it.
 pub(super) struct DerivedClasses {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -111,7 +111,7 @@
         self.feed(now, Event::Shutdown, routes);
     }
 
-    /// Returns a check of whether settings can be applied in service; it does not borrow the core.
+    /// Returns a function that checks whether settings can be applied in service, without borrowing the core.
     pub fn settings_check(&self) -> impl Fn(&Settings) -> Result<(), FixedSettingsError> + 'static {
         let fixed_settings = self.fixed_settings.clone();
         move |settings| fixed_settings.check(settings)
--- a/src/endpoints/state.rs
+++ b/src/endpoints/state.rs
@@ -51,7 +51,7 @@
 }
 
 impl ListContext<'_> {
-    /// Whether the previous list reported a different life cycle state for this engine, or lacked it.
+    /// Whether the previous list reported a different lifecycle state for this engine, or lacked it.
     fn is_change(&self, listed: &Endpoint) -> bool {
         let previous = self.previous.get(&listed.entry.id);
         previous.is_none_or(|previous| previous.entry.lifecycle != listed.entry.lifecycle)
@@ -65,7 +65,7 @@
     started: Option<f64>,
     /// When it left.
     pub at: f64,
-    /// The engine was ready before the list with which it left, and no further list has agreed yet.
+    /// Whether the engine was ready before the list with which it left, and no further list has agreed yet.
     pub is_unconfirmed: bool,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,9 +2,9 @@
 //! retried, and which queries are rejected.
 //!
 //! They are made by one pure state machine, [`policy::Policy`]. Feed it [`policy::Event`]s with the time of
-//! your own clock and execute the [`policy::Action`]s that it appends. It does no I/O, starts no thread and
-//! reads no clock. [`endpoints`] decides how long the set of engines may be trusted, and [`settings`] reads
-//! the settings.
+//! your own clock and execute the [`policy::Action`]s that it appends to your list. It does no I/O, starts no
+//! thread and reads no clock. [`endpoints`] decides how long the set of engines may be trusted, and
+//! [`settings`] reads the settings.
 //!
 //! ```
 //! use dahliaspoke::policy::*;
@@ -72,8 +72,8 @@
 //! for action in &actions {
 //!     match action {
 //!         Action::Send { engine, .. } => assert_eq!(&**engine, "e1"), // send it with this timeout
-//!         Action::SetTimer { after, .. } => assert!(*after > 0.0),     // then feed an Event::Timer
-//!         Action::SetTerms { rank, .. } => assert!(*rank <= 3),           // forward to the engine
+//!         Action::SetTimer { after, .. } => assert!(*after > 0.0),    // then feed an Event::Timer
+//!         Action::SetTerms { rank, .. } => assert!(*rank <= 3),       // forward to the engine
 //!         other => panic!("unexpected action: {other:?}"),
 //!     }
 //! }
--- a/src/limits/discovery.rs
+++ b/src/limits/discovery.rs
@@ -5,10 +5,11 @@
 pub struct DiscoveryLimits {
     /// Interval between two DNS queries.
     pub poll_interval: f64,
-    /// DNS queries that may still be answered: those of the last 8 s. Responses may be late, but a change
-    /// counts as notified 7 s after it happened in any case.
+    /// Maximum number of DNS queries whose responses are still accepted: those of the last 8 s. Responses may
+    /// be late, but a change counts as notified 7 s after it happened in any case.
     pub max_outstanding_queries: usize,
-    /// Maximum size of a DNS answer: that of a datagram. The protocol says 8,000 bytes, about 75 engines.
+    /// Maximum size of a DNS response: that of a datagram. The protocol specifies 8,000 bytes, about 75
+    /// engines.
     pub max_datagram_bytes: usize,
     /// Maximum size of an answer from Consul.
     pub max_consul_answer_bytes: usize,
--- a/src/limits/engines.rs
+++ b/src/limits/engines.rs
@@ -8,7 +8,7 @@
 /// Descriptors that the daemon needs for itself: listeners, signals, the directory, standard streams.
 const RESERVED_DESCRIPTORS: usize = 24 + ADMIN_CONNECTIONS;
 /// Share of the engines' idle timeout after which the daemon closes a connection first, so that no request
-/// crosses an engine's close.
+/// is under way when the engine closes it.
 const ENGINE_IDLE_SHARE: f64 = 0.8;
 /// The second connection attempt starts after the settings' connect time divided by this. An undelayed
 /// connection is established in a small part of that time, and the rest of the connect time is enough for the
@@ -97,7 +97,7 @@
     pub max_frame_bytes: usize,
     /// Time limit for the rest of an answer after its first byte, or for the next page after a page.
     pub stall_timeout: f64,
-    /// An answer this close to its deadline is attributed to the deadline.
+    /// A failure that is answered this close to the request's deadline is reported as a timeout.
     pub deadline_margin: f64,
 }
 
--- a/src/limits/machine.rs
+++ b/src/limits/machine.rs
@@ -22,14 +22,14 @@
 }
 
 impl Machine {
-    /// Reads the machine's limits. `side_by_side_upgrades`: two processes run side by side during an upgrade,
-    /// so each plans with half of the machine.
+    /// Reads the machine's limits. `shares_listener`: an upgrade runs two processes that share the listening
+    /// socket, so each plans with half of the machine.
     pub(super) fn from_config(
         config: &Map<String, Value>,
-        side_by_side_upgrades: bool,
+        shares_listener: bool,
     ) -> Result<Self, SettingsError> {
         let machine = object_field(config, "limits")?;
-        let processes = if side_by_side_upgrades { PROCESSES_IN_UPGRADE } else { 1.0 };
+        let processes = if shares_listener { PROCESSES_IN_UPGRADE } else { 1.0 };
         Ok(Self {
             descriptors: number(machine, "sockets", DEFAULT_DESCRIPTORS)? / processes,
             memory_mb: number(machine, "memory_mb", DEFAULT_MEMORY)? / processes,
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -50,15 +50,15 @@
 }
 
 impl Limits {
-    /// Computes the limits from the platform's configuration. `side_by_side_upgrades`: an upgrade runs two
-    /// processes side by side.
+    /// Computes the limits from the platform's configuration. `shares_listener`: the listening socket is
+    /// inherited from the platform, and an upgrade runs two processes that share it.
     ///
     /// # Errors
     /// Names the setting that has the wrong type.
-    pub fn from_config(config: &Value, side_by_side_upgrades: bool) -> Result<Self, SettingsError> {
+    pub fn from_config(config: &Value, shares_listener: bool) -> Result<Self, SettingsError> {
         let config = object(config, "the configuration")?;
         let settings = object_field(config, "settings")?;
-        let machine = Machine::from_config(config, side_by_side_upgrades)?;
+        let machine = Machine::from_config(config, shares_listener)?;
         Ok(Self {
             clients: ClientLimits::new(&machine),
             http: HttpLimits::new(&machine),
@@ -70,7 +70,7 @@
             store: StoreLimits { max_connections: 32 },
             admin: AdminLimits { max_connections: ADMIN_CONNECTIONS },
             event_loop: EventLoopLimits { suspend_threshold: 0.5, catch_up_timeout: 0.1 },
-            shutdown: ShutdownLimits::from_settings(settings, side_by_side_upgrades)?,
+            shutdown: ShutdownLimits::from_settings(settings, shares_listener)?,
         })
     }
 
--- a/src/limits/shutdown.rs
+++ b/src/limits/shutdown.rs
@@ -14,7 +14,8 @@
 /// In an upgrade, how long before `force_after` the process may exit once no answer is pending (s): by then
 /// the clients' idle connections, which stay open for at most 4 s, are closed.
 const UPGRADE_EXIT_MARGIN: f64 = 0.7;
-/// How long connections from before SIGTERM are served at least (s), if no process runs beside this one.
+/// Minimum time (s) for which connections from before SIGTERM are still served, if no process runs beside
+/// this one.
 const GRACE_PERIOD: f64 = 1.0;
 
 /// Times of a graceful shutdown.
@@ -34,17 +35,16 @@
     /// margin.
     pub(super) fn from_settings(
         settings: &Map<String, Value>,
-        side_by_side_upgrades: bool,
+        shares_listener: bool,
     ) -> Result<Self, SettingsError> {
         let mut longest_deadline: f64 = 0.0;
         for class in list(settings, "classes")? {
             longest_deadline =
                 longest_deadline.max(number(object(class, "a class")?, "giveUp", DEFAULT_CLIENT_TIMEOUT)?);
         }
-        let max_wait = if side_by_side_upgrades { MAX_UPGRADE_WAIT } else { MAX_RESTART_WAIT };
+        let max_wait = if shares_listener { MAX_UPGRADE_WAIT } else { MAX_RESTART_WAIT };
         let force_after = longest_deadline.min(max_wait) + FORCE_MARGIN;
-        let grace_period =
-            if side_by_side_upgrades { force_after - UPGRADE_EXIT_MARGIN } else { GRACE_PERIOD };
+        let grace_period = if shares_listener { force_after - UPGRADE_EXIT_MARGIN } else { GRACE_PERIOD };
         Ok(Self { grace_period, force_after, flush_timeout: FLUSH_TIMEOUT })
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -47,7 +47,8 @@
     slow_start: SlowStart<'a>,
     capacity_share: f64,
     draw: f64,
-    /// Remaining capacity of the pool: what its engines' bounds leave (ms).
+    /// Remaining capacity of the pool: its engines' bounds and the allowance for deviations, minus the
+    /// backlog (ms).
     pool_capacity: f64,
 }
 
@@ -82,7 +83,8 @@
         self.fits_memory(engine) && (self.fits_idle_engine(engine) || self.fits_bound(engine))
     }
 
-    /// An engine that exceeds its memory pages and nearly stops, and no report shows that in time.
+    /// Whether the request's memory fits next to that of the attempts in flight. An engine that runs out of
+    /// memory pages and nearly stops, and load reports show that too late.
     fn fits_memory(&self, engine: &Engine) -> bool {
         let in_flight = engine.memory_in_flight();
         let required = self.request.query.memory.unwrap_or(0.0);
@@ -90,10 +92,10 @@
         !(in_flight > 0.0 && in_flight + required > limit)
     }
 
-    /// An engine without backlog accepts a request that has a rotation slot there, or of which a randomly
-    /// drawn share fits in the remaining pool capacity; expensive requests are accepted less often. The
-    /// backlog of a coordinator with little work varies relatively more. This evens out over all
-    /// coordinators, so the allowance for it does not overload engines while delays are short.
+    /// An engine without backlog accepts a request if this coordinator has a rotation slot there, or if a
+    /// randomly drawn share of the request fits in the remaining pool capacity; expensive requests are
+    /// accepted less often. The backlog of a coordinator with little work varies relatively more. This evens
+    /// out over all coordinators, so the allowance for it does not overload engines while delays are short.
     fn fits_idle_engine(&self, engine: &Engine) -> bool {
         if engine.backlog() != 0.0 {
             return false;
@@ -117,8 +119,8 @@
     }
 }
 
-/// Warm share of all cores (0 to 1). Delays show late that engines have restarted cold; discovery reports
-/// it at once.
+/// Warm share of all cores (0 to 1). Discovery reports restarts at once, whereas delays show only later that
+/// engines are cold.
 fn warm_share(slow_start: SlowStart, engines: &EngineTable) -> f64 {
     let warm_cores = |engine: &Engine| {
         let age = slow_start.now - engine.warm_up.started_at;
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -92,7 +92,8 @@
         } else {
             base_timeout.max(UNCANCELLABLE_TIMEOUT_OBJECTIVES * objective)
         };
-        // A request is sent where a load locks its tables for lack of a better engine; it waits there.
+        // For lack of a better engine, a request may be sent to one where a load locks its tables; it waits
+        // there.
         let waits_for_load = class.yields_to_loads && engine.has_locked(self.now, self.request.query.tables);
         let lock_wait = if waits_for_load { self.costs.load_duration(self.settings) } else { 0.0 };
         let timeout = timeout + lock_wait;
--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -9,7 +9,7 @@
 
 /// Period of the loop (seconds), as in the paper.
 const PERIOD_S: f64 = 1.0;
-/// A period with at most this much time left counts as over (seconds): sums of ticks are not exact.
+/// A period with at most this much time left counts as over (seconds): sums of timer delays are not exact.
 const PERIOD_TOLERANCE_S: f64 = 1e-6;
 
 /// State of the control loop over all engines.
@@ -131,7 +131,7 @@
 
     /// Traffic can be spread unevenly: a coordinator that serves more than an equal share of all cores may
     /// use a correspondingly larger share of each bound. Demand would be the wrong measure: in an overload
-    /// it would open all bounds.
+    /// it would raise the usable share of every bound.
     fn measure_traffic_share(&self, settings: &Settings, engines: usize, cores: f64) -> f64 {
         let outnumber_cores = settings.coordinators * engines as f64 > cores;
         let share = self.served_rate * settings.coordinators / (1000.0 * cores).max(1.0);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -46,7 +46,7 @@
         ANSWER_MARGIN_TICKS * self.settings.tick
     }
 
-    /// Sends a request, leaves it waiting for its key, or gives it up.
+    /// Sends a request, leaves it waiting for its key, or gives up on it.
     pub(super) fn dispatch(&mut self, now: f64, number: RequestNumber, out: &mut Vec<Action>) {
         self.order.remove_waiting(number);
         let Some(request) = self.requests.get(number) else { return };
--- a/src/policy/engine_state.rs
+++ b/src/policy/engine_state.rs
@@ -50,7 +50,7 @@
 pub struct Engine {
     /// What discovery reported.
     pub entry: EngineEntry,
-    /// Whether the current endpoint set contains it.
+    /// Whether the current endpoint set contains it, in any lifecycle state.
     pub listed: bool,
     /// Cores, at least 1.
     pub cores: f64,
@@ -116,7 +116,7 @@
         self.listed && self.entry.lifecycle == Lifecycle::Ready
     }
 
-    /// Whether the current endpoint set contains it, draining or not.
+    /// Whether the current endpoint set contains it as ready or draining.
     pub fn is_present(&self) -> bool {
         self.listed && self.entry.lifecycle != Lifecycle::Gone
     }
@@ -164,7 +164,7 @@
 pub struct EndpointUpdate {
     /// When it arrived (seconds).
     pub now: f64,
-    /// Whether the entries are the complete list.
+    /// Which part of the engine list the entries are.
     pub scope: ListScope,
     /// The entries.
     pub entries: Vec<EngineEntry>,
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -151,7 +151,7 @@
     WaitsForLoad,
 }
 
-/// An input of a policy.
+/// An input to a policy.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The set of engines, or changes to it.
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,5 +1,5 @@
 //! Load balancing: the engines that a request may be sent to are put in a weighted random order, and the
-//! first one with capacity is chosen.
+//! first one with capacity is selected.
 
 use super::admission::{Admission, AdmissionInput, LOW_PRIORITY_CAPACITY};
 use super::control_loop::ControlLoop;
@@ -27,11 +27,12 @@
 const CROSS_ZONE_EXPONENT: f64 = 25.0;
 /// Time after which an unused connection is assumed to be closed (seconds).
 const CONNECTION_IDLE_S: f64 = 10.0;
-/// Urgency of a warming engine (ratio) above which the costs of connections and zones are ignored.
+/// Urgency of a warming engine (coordinators per rotation slot times the initial capacity share) above which
+/// the costs of connections and zones are ignored.
 const MAX_PENALIZED_URGENCY: f64 = 3.0;
 /// Minimum number of engines in a coordinator's subset.
 const MIN_SUBSET_ENGINES: f64 = 10.0;
-/// Minimum number of coordinators that have an engine in their subset.
+/// Minimum number of coordinators whose subsets contain the same engine.
 const MIN_SUBSET_COORDINATORS: f64 = 20.0;
 
 /// Chooses the engine for the next attempt of a request.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -68,11 +68,11 @@
 use retry::RetryBudgetTracker;
 
 /// Period of housekeeping (seconds); a silent engine is detected at this granularity.
-const TICK_S: f64 = 0.1;
+const HOUSEKEEPING_PERIOD_S: f64 = 0.1;
 /// Delay before discovery is called again after a failure (seconds).
 const DISCOVERY_RETRY_S: f64 = 1.0;
 /// Token of the housekeeping timer. The timer of a request has the request's number, from 1, as its token.
-const TICK_TOKEN: u64 = 0;
+const HOUSEKEEPING_TOKEN: u64 = 0;
 /// Token of the timer for the next discovery call.
 const DISCOVERY_TOKEN: u64 = u64::MAX >> 1;
 
@@ -137,7 +137,7 @@
     /// appends the resulting actions to `out`.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         if self.control.start(now) {
-            out.push(Action::SetTimer { after: TICK_S, token: TICK_TOKEN });
+            out.push(Action::SetTimer { after: HOUSEKEEPING_PERIOD_S, token: HOUSEKEEPING_TOKEN });
             if self.settings.must_subscribe {
                 out.push(Action::Subscribe);
             }
@@ -197,15 +197,15 @@
 
     fn on_timer(&mut self, now: f64, token: u64, out: &mut Vec<Action>) {
         match token {
-            TICK_TOKEN => self.on_tick(now, out),
+            HOUSEKEEPING_TOKEN => self.on_housekeeping(now, out),
             DISCOVERY_TOKEN => out.push(Action::Subscribe),
-            number => self.give_up(number, out), // a request's time is up
+            number => self.give_up(number, out), // the request's deadline is near
         }
     }
 
     /// Housekeeping: drops expired state, ejects and readmits engines, and runs the control loop.
-    fn on_tick(&mut self, now: f64, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: TICK_S, token: TICK_TOKEN });
+    fn on_housekeeping(&mut self, now: f64, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer { after: HOUSEKEEPING_PERIOD_S, token: HOUSEKEEPING_TOKEN });
         for engine in self.engines.iter_mut() {
             engine.expire(now, self.settings.overload_window);
             let score = engine.outlier_score(now);
@@ -216,8 +216,8 @@
         }
         self.retry_budget.expire(now, &self.settings);
         self.order.drop_idle(now);
-        self.control.decay_served(TICK_S);
-        self.costs.decay_demand(TICK_S);
+        self.control.decay_served(HOUSEKEEPING_PERIOD_S);
+        self.costs.decay_demand(HOUSEKEEPING_PERIOD_S);
         self.control.update_if_due(now, &self.settings, &self.costs, &mut self.engines);
     }
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -153,7 +153,8 @@
             }
             _ => engine.health.last_received_at = now,
         }
-        // An engine that refuses connections is probably restarting; discovery may report that late (rule 4).
+        // An engine that refuses connections is probably restarting, which discovery may report late: it
+        // falls under slow start (rule 4).
         if ended.outcome == Outcome::Unreachable {
             engine.warm_up.unreachable_at = now;
         }
@@ -169,7 +170,7 @@
         let usual = self.costs.usual_service_time(&self.settings, class);
         // The deadline is based on reported work where there is any: estimates are noisy.
         let known = ended.work.map_or(estimated, |work| reported_service_time(class_settings, work));
-        // An attempt that was cancelled for its slow pace counts with the delay that it was heading for.
+        // An attempt that was cancelled for its slow pace counts with its projected delay.
         let cancelled = ended.outcome == Outcome::Cancelled && !request.finished;
         let projected = request.attempts[ended.attempt as usize].projected_delay;
         let delay = projected.filter(|_| cancelled).unwrap_or(delay);
--- a/src/policy/pi_controller.rs
+++ b/src/policy/pi_controller.rs
@@ -12,7 +12,8 @@
 const PROPORTIONAL_GAIN: f64 = 0.2;
 /// Integral gain relative to the proportional gain; low for the same reason.
 const INTEGRAL_GAIN: f64 = 0.5;
-/// Upper limit on the DDR of one request (ratio): a single runaway request must not close an engine.
+/// Upper limit on the DDR of one request (ratio): a single runaway request must not drive a bound to its
+/// minimum.
 const MAX_DDR: f64 = 3.0;
 /// Maximum growth of a bound in one period (share of the bound): anti-windup.
 const MAX_GROWTH: f64 = 0.25;
@@ -32,7 +33,7 @@
     pub mean_ddr: f64,
     /// Number of requests served.
     pub served: f64,
-    /// Peak backlog over the sum of bounds (ratio).
+    /// Peak backlog over the sum of bounds times `traffic_share` (ratio).
     pub usage: f64,
     /// This coordinator's traffic relative to an equal share of all cores (ratio, at least 1).
     pub traffic_share: f64,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budget: a limit on retries and hedged requests over a sliding window (rule 7).
+//! Retry budget (rule 7 on attempts): a limit on retries and hedged requests over a sliding window.
 
 use super::engine_state::{AttemptKey, EXPIRY_MARGIN_S};
 use super::Settings;
--- a/src/policy/send_guard.rs
+++ b/src/policy/send_guard.rs
@@ -6,7 +6,7 @@
 use super::slow_start::SlowStart;
 use super::{ClassSettings, DedupScope, EngineEntry, Idempotency, Settings};
 
-/// Whether the placement settings of a class allow an engine (rule 6).
+/// Whether the placement settings of a class, its zones and kinds, allow an engine (rule 6, allowed engines).
 pub fn is_placement_allowed(class: &ClassSettings, entry: &EngineEntry) -> bool {
     let zone = class.zones.as_ref().is_none_or(|zones| zones.iter().any(|zone| **zone == *entry.zone));
     zone && class.kinds.as_ref().is_none_or(|kinds| kinds.iter().any(|kind| **kind == *entry.kind))
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -136,9 +136,10 @@
     pub initial_capacity_share: f64,
     /// How long an engine warms up after its start (seconds).
     pub warmup_time: f64,
-    /// A warming engine breaks down under more work than this multiple of its current capacity (ratio) ...
+    /// A warming engine breaks down under more work in `overload_window` than this multiple of its current
+    /// capacity (ratio).
     pub overload_multiple: f64,
-    /// ... in a window of this length (seconds).
+    /// Length of the window in which a warming engine's work is limited (seconds).
     pub overload_window: f64,
     /// Pause of an order key after an attempt that may still be running (seconds).
     pub order_settle: f64,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -9,7 +9,8 @@
 use super::engine_state::Engine;
 use super::{EngineEntry, Settings};
 
-/// Share of a warming engine's budget that rotation slots use: queries of two windows can fall into one.
+/// Share of a warming engine's budget that rotation slots use: queries of two rotation windows can fall into
+/// one overload window.
 const SLOT_BUDGET_SHARE: f64 = 0.45;
 /// Share of the budget used where every coordinator sends in each window: each knows its own attempts in
 /// any window.
@@ -122,7 +123,8 @@
         (initial + (1.0 - initial) * WARM_UP_CREDIT * warmed) * engine.cores * 1000.0
     }
 
-    /// Whether a warming engine has capacity for an attempt of this class from this coordinator now (rule 4).
+    /// Whether slow start (rule 4) allows this coordinator to send an attempt of this class to an engine now; a
+    /// warm engine is not limited.
     pub fn has_capacity(&self, engine: &Engine, class: usize) -> bool {
         let Some(limit) = self.limit(engine, class) else { return true };
         if self.now < engine.warm_up.budget_spent_until || !self.has_slot(&engine.entry, limit.slots) {
