--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -123,8 +123,8 @@
         (initial + (1.0 - initial) * WARM_UP_CREDIT * warmed) * engine.cores * 1000.0
     }
 
-    /// Whether slow start (rule 4) allows this coordinator to send an attempt of this class to an engine now; a
-    /// warm engine is not limited.
+    /// Whether slow start (rule 4) allows this coordinator to send an attempt of this class to an engine now;
+    /// a warm engine is not limited.
     pub fn has_capacity(&self, engine: &Engine, class: usize) -> bool {
         let Some(limit) = self.limit(engine, class) else { return true };
         if self.now < engine.warm_up.budget_spent_until || !self.has_slot(&engine.entry, limit.slots) {
