--- a/crates/body-store/src/store/event.rs
+++ b/crates/body-store/src/store/event.rs
@@ -14,9 +14,9 @@
     CapacityAvailable(BodyId),
     /// The body is complete and stored: its request may start.
     Stored(BodyId),
-    /// The body can no longer be written to its file: it has to be passed through from now on,
-    /// beginning with its first byte.
-    PassedThrough(BodyId),
+    /// The body can no longer be written to its file and is passed through from now on, beginning
+    /// with its first byte.
+    FellBackToPassThrough(BodyId),
     /// The body cannot be stored after all. No byte of it was read.
     Lost(BodyId),
     /// Bytes of the body were dropped or cannot be read back: it is not available for retries.
--- a/crates/body-store/src/store/passing.rs
+++ b/crates/body-store/src/store/passing.rs
@@ -71,7 +71,7 @@
             self.events.push_back(BodyEvent::Lost(id));
             return;
         }
-        self.events.push_back(BodyEvent::PassedThrough(id));
+        self.events.push_back(BodyEvent::FellBackToPassThrough(id));
         if content.is_fully_received() {
             self.plan.mark_complete(id);
         }
--- a/crates/body-store/tests/store/faulty_disks.rs
+++ b/crates/body-store/tests/store/faulty_disks.rs
@@ -19,7 +19,7 @@
     fixture.disk.full.store(true, Ordering::SeqCst);
     let (body, tier) = fixture.admit(0, arriving_content.len()).expect("admitted");
     assert_eq!(tier, Tier::File);
-    assert_eq!(fixture.send(&body, &arriving_content), Some(BodyEvent::PassedThrough(body.id())));
+    assert_eq!(fixture.send(&body, &arriving_content), Some(BodyEvent::FellBackToPassThrough(body.id())));
     // It is passed through from its first byte: the chunks in the file first, then the bytes that
     // arrive.
     let reader = fixture.store.open_reader(0.0, &body).expect("nothing discarded yet");
@@ -75,11 +75,11 @@
     let event = loop {
         store.on_ready(0.0);
         match store.next_event() {
-            Some(event @ BodyEvent::PassedThrough(_)) => break event,
+            Some(event @ BodyEvent::FellBackToPassThrough(_)) => break event,
             _ => std::thread::sleep(Duration::from_micros(200)),
         }
     };
-    assert_eq!(event, BodyEvent::PassedThrough(body.id()));
+    assert_eq!(event, BodyEvent::FellBackToPassThrough(body.id()));
     let reader = store.open_reader(0.0, &body).expect("nothing discarded yet");
     assert!(store.read(0.0, &reader) == ReadOutcome::Bytes(Arc::new(random_bytes(5, CHUNK_BYTES))));
 }
--- a/crates/body-store/tests/store/fixture.rs
+++ b/crates/body-store/tests/store/fixture.rs
@@ -143,7 +143,7 @@
             self.store.append(self.now, body.id(), &bytes[..available]);
             bytes = &bytes[available..];
             while let Some(event) = self.store.next_event() {
-                if matches!(event, BodyEvent::Stored(id) | BodyEvent::PassedThrough(id) | BodyEvent::Lost(id) if id == body.id())
+                if matches!(event, BodyEvent::Stored(id) | BodyEvent::FellBackToPassThrough(id) | BodyEvent::Lost(id) if id == body.id())
                 {
                     return Some(event);
                 }
--- a/src/daemon/dispatch.rs
+++ b/src/daemon/dispatch.rs
@@ -38,7 +38,7 @@
             BodyEvent::BytesDropped(body) => self.core.on_body_dropped(now, *body, &mut routes.for_core()),
             BodyEvent::CapacityAvailable(body)
             | BodyEvent::Stored(body)
-            | BodyEvent::PassedThrough(body)
+            | BodyEvent::FellBackToPassThrough(body)
             | BodyEvent::Lost(body) => {
                 routes.wake_upload(now, *body, event);
             }
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -231,7 +231,7 @@
                 self.finish_upload(shared);
                 flow
             }
-            BodyEvent::PassedThrough(_) => {
+            BodyEvent::FellBackToPassThrough(_) => {
                 upload.passed_through = true;
                 self.receive_body(now, shared)
             }
--- a/src/listener/mysql/large/storing.rs
+++ b/src/listener/mysql/large/storing.rs
@@ -33,7 +33,7 @@
                 self.receive_large(now, shared)
             }
             BodyEvent::Stored(_) => self.on_body_written(body, shared),
-            BodyEvent::Lost(_) | BodyEvent::PassedThrough(_) => self.on_body_lost(now, body, shared),
+            BodyEvent::Lost(_) | BodyEvent::FellBackToPassThrough(_) => self.on_body_lost(now, body, shared),
             BodyEvent::BytesDropped(_) | BodyEvent::DataReady(_) => Flow::Open,
         }
     }
