--- a/crates/body-store/src/plan/admission.rs
+++ b/crates/body-store/src/plan/admission.rs
@@ -105,9 +105,9 @@
         if self.file_has_capacity(now, class, length) {
             return Some(Tier::File);
         }
-        let passes = self.usage.limits(class).pass_through
+        let may_pass_through = self.usage.limits(class).pass_through
             && self.usage.has_arrival_window(PASS_THROUGH_WINDOW_CHUNKS);
-        passes.then_some(Tier::PassThrough)
+        may_pass_through.then_some(Tier::PassThrough)
     }
 
     fn file_has_capacity(&self, now: f64, class: usize, length: u64) -> bool {
--- a/crates/body-store/src/plan/body.rs
+++ b/crates/body-store/src/plan/body.rs
@@ -1,4 +1,4 @@
-//! The state that the plan has of a body: numbers only, no content.
+//! The state of a body in the plan: sizes and flags, no content.
 
 /// Identifies a body. Identifiers are never reused.
 pub type BodyId = u64;
--- a/crates/body-store/src/store/mod.rs
+++ b/crates/body-store/src/store/mod.rs
@@ -4,7 +4,7 @@
 //! - `arrival`: admission of bodies and arrival of their bytes.
 //! - `memory_tier`: demotion of bodies to files while memory is short.
 //! - `file_tier`: writes of chunks, failed and hanging writes, release of slots.
-//! - `passing`: bodies that are passed through, and their windows.
+//! - `pass_through`: bodies that are passed through, and their windows.
 //! - `replay`: readers, and chunks that are read back.
 //! - `release`: release of bodies and readers whose handles were dropped.
 //!
@@ -17,7 +17,7 @@
 mod file_tier;
 mod handle;
 mod memory_tier;
-mod passing;
+mod pass_through;
 mod release;
 mod replay;
 
--- a/crates/simulator/src/engine/mod.rs
+++ b/crates/simulator/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! One engine: queries that share cores, disks and memory, a queue in front of the sessions, cached data,
 //! loads that lock their tables, and a warm-up after each start.
 //!
-//! Work is measured in milliseconds of one thread. Between two events the rate of every query is constant:
-//! the engine advances to the time of an event, applies it, and recomputes the rates.
+//! Work is counted in milliseconds of one thread. Between two events the rate of every query is constant: the
+//! engine advances to the time of an event, applies it, and recomputes the rates.
 
 mod query;
 mod sharing;
--- a/crates/simulator/src/engine/spec.rs
+++ b/crates/simulator/src/engine/spec.rs
@@ -21,7 +21,7 @@
     /// Threads per core beyond which they slow each other down.
     #[serde(rename = "knee")]
     pub contention_threshold: f64,
-    /// By how much: at twice the threshold everything is slower by a factor of 1 + this.
+    /// Slowdown beyond the threshold: at twice the threshold everything is slower by a factor of 1 + this.
     #[serde(rename = "thrash")]
     pub contention_slowdown: f64,
     /// Additional work of a query that gets none of the memory it needs, relative to its work with all of it.
@@ -39,10 +39,11 @@
     /// Time from a start until it has its full capacity (s).
     #[serde(rename = "cold_s")]
     pub warmup_s: f64,
-    /// A warming engine stops when it is sent more than its current capacity times this ...
+    /// A warming engine stops when the work sent to it within `overload_window_s` exceeds this multiple of
+    /// what its current capacity does in that time.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long (s).
+    /// Length of the window for `overload_multiple` (s).
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -2,7 +2,7 @@
 //! decision module or a baseline policy, and an auditor checks the platform's rules on every policy.
 //!
 //! A scenario and a seed determine a run bit for bit: time is counted in whole microseconds, all random
-//! numbers are derived from the seed, and events of the same time are processed in the order in which they
+//! numbers are derived from the seed, and events with equal times are processed in the order in which they
 //! were scheduled.
 //!
 //! - [`scenario`]: sizes, traffic, network and faults of a run; [`toml_file`] and [`file_error`]: reading
--- a/crates/simulator/src/load/mod.rs
+++ b/crates/simulator/src/load/mod.rs
@@ -54,7 +54,7 @@
 const MAX_TRIES: u32 = 5;
 /// The generator counts as late if a request is sent more than this long after it was due and a connection
 /// was free (us).
-pub const LATE: Micros = 10_000;
+pub const MAX_SEND_DELAY: Micros = 10_000;
 /// One request in this many may be late because of the generator itself.
 const LATE_TOLERANCE: usize = 1000;
 
@@ -123,7 +123,7 @@
     /// The class of each request, if figures are kept by class.
     class_of: Vec<usize>,
     summary: Summary,
-    /// Since when a connection has been free at all times (us).
+    /// The time since which at least one connection has always been free (us).
     free_since: Micros,
 }
 
@@ -204,7 +204,7 @@
         let state = &mut self.requests[waiting.request];
         // The generator itself is late only for the time in which a connection was free.
         let late = now - waiting.due.max(self.free_since).min(now);
-        if late > LATE {
+        if late > MAX_SEND_DELAY {
             self.summary.late += 1;
             self.summary.late_ms = self.summary.late_ms.max(late as f64 / 1000.0);
         }
--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -1,9 +1,9 @@
-//! The event queue: events ordered by time, and those of the same time in the order in which they were
+//! The event queue: events ordered by time, and events with equal times in the order in which they were
 //! scheduled.
 //!
 //! Two implementations with the same interface. [`Heap`] is a plain binary heap. [`Wheel`] suits this
 //! workload: nearly all events of a run are due within a few seconds, so they are put into slots by time, and
-//! each slot is sorted only when it becomes current. `benches/queue.rs` compares the two; runs use [`Queue`].
+//! each slot is sorted only when it is opened. `benches/queue.rs` compares the two; runs use [`Queue`].
 
 use crate::Micros;
 use std::cmp::{Ordering, Reverse};
@@ -85,7 +85,7 @@
 /// A timing wheel of one level, with a heap for events beyond its span.
 pub struct Wheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// The events of the current slot, the next one last.
+    /// The events of the open slot, the next one last.
     open: Vec<Entry<T>>,
     /// Number of the open slot, counted from time 0.
     open_slot: u64,
@@ -111,7 +111,7 @@
         let entry = Entry { at, sequence: self.scheduled, event };
         let slot = at >> SLOT_SHIFT;
         if slot <= self.open_slot {
-            // Keeps the open slot in descending order: behind all later events.
+            // Inserted behind all later events, which keeps the open slot in descending order.
             let index = self.open.partition_point(|other| *other > entry);
             self.open.insert(index, entry);
         } else if slot - self.open_slot < SLOTS as u64 {
--- a/crates/simulator/src/scenario/classes.rs
+++ b/crates/simulator/src/scenario/classes.rs
@@ -23,10 +23,10 @@
     pub threads: f64,
     /// Mean memory (MB).
     pub memory_mb: f64,
-    /// Requests earn their full weight within this time (s) ...
+    /// Fixed part of the latency objective, the time within which requests earn their full weight (s).
     #[serde(rename = "aim_s")]
     pub latency_objective_s: f64,
-    /// ... plus this factor times the work divided by the threads.
+    /// Variable part of the latency objective: factor on the work divided by the threads.
     #[serde(rename = "stretch")]
     pub objective_stretch: f64,
     /// How long a client waits in total, including retries (s).
@@ -38,21 +38,21 @@
     /// Share of the weight that it earns when served after the objective.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
-    /// Whether it may run more than once.
+    /// Whether its requests may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
     /// With an idempotency key: how long engines drop repeats (s).
     #[serde(rename = "window_s")]
     pub dedup_window_s: f64,
-    /// Whether it locks its group of tables while it runs.
+    /// Whether its requests lock their group of tables while they run.
     #[serde(rename = "load")]
     pub is_load: bool,
-    /// Whether it waits while a load locks its group.
+    /// Whether its requests wait while a load locks their group.
     #[serde(rename = "waits")]
     pub yields_to_loads: bool,
 }
 
-/// Whether a class may run more than once.
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum Idempotency {
     /// It may run any number of times.
--- a/src/bin/dahliaspoke-simhost/wire.rs
+++ b/src/bin/dahliaspoke-simhost/wire.rs
@@ -192,6 +192,7 @@
             "knock" => Event::Query(self.query(row)?),
             "opened" => Event::StreamStarted { id: row.text(2)?.into() },
             "ended" => {
+                // One number with the work (ms) times 4096, plus the memory in units of 4 MB.
                 let used = row.optional(8, Value::as_u64, "a whole number")?.filter(|u| *u > 0);
                 Event::AttemptEnded(AttemptEnd {
                     id: row.text(2)?.into(),
@@ -212,7 +213,7 @@
                     2 => Progress::Spills(value),
                     3 if value == 2.0 => Progress::WaitsForLoad,
                     3 => Progress::WaitsForMemory,
-                    _ => return Ok(None), // unknown topics are ignored
+                    _ => return Ok(None), // unknown kinds of progress are ignored
                 };
                 Event::Progress { id: row.text(2)?.into(), attempt: row.integer(3)? as u32, progress }
             }
--- a/src/body_store.rs
+++ b/src/body_store.rs
@@ -117,8 +117,8 @@
     memory_mb: Spanned<f64>,
     /// Maximum size of a body of any class (MB).
     largest_mb: Spanned<f64>,
-    /// Larger bodies go to the body store (KB); if absent, only those that exceed the HTTP
-    /// listener's own body limit.
+    /// Bodies larger than this are received into the body store (KB); if absent, only those that
+    /// exceed the HTTP listener's own body limit.
     above_kb: Option<Spanned<f64>>,
     /// File space for bodies (MB); without it, no files are used.
     files_mb: Option<Spanned<f64>>,
--- a/src/listener/http/codec/decode.rs
+++ b/src/listener/http/codec/decode.rs
@@ -90,7 +90,7 @@
     /// The value of a header field that may be sent at most once.
     ///
     /// # Errors
-    /// [`status::BAD_REQUEST`] if the field was sent more than once: two readers could use different values.
+    /// [`status::BAD_REQUEST`] if the field was sent more than once: two parsers could use different values.
     pub fn unique_header(&self, name: &str) -> Result<Option<&str>, HttpError> {
         let mut values = self.header_values(name);
         match (values.next(), values.next()) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The length of the body (bytes), 0 without the field. Fields that disagree are an error: two readers
-    /// would see two different requests.
+    /// The length of the body (bytes), 0 without the field. Fields that disagree are an error: two parsers
+    /// could see different requests.
     fn content_length(&self) -> Result<usize, HttpError> {
         let mut length = None;
         for value in self.header_values("Content-Length") {
--- a/src/listener/http/connection.rs
+++ b/src/listener/http/connection.rs
@@ -133,8 +133,8 @@
 impl HttpConnection {
     /// Sends the final answer to the open request.
     pub(super) fn answer(&mut self, now: Time, answer: Answer, shared: &mut Shared) -> Flow {
-        // If the body is still arriving, the rest of it is useless and nothing after it is read: the
-        // connection closes.
+        // If the body is still arriving, the rest of it is not needed and nothing after it can be read, so
+        // the connection is closed.
         let body_is_arriving = self.is_uploading();
         self.finish_upload(shared);
         self.become_idle(now, shared);
@@ -274,8 +274,8 @@
         shared.state.submit(self.token, request);
     }
 
-    /// Answers an HTTP request that cannot be accepted, or not completely, and closes the connection. If its
-    /// request was already submitted because the body is passed through, the request is abandoned.
+    /// Answers an HTTP request that is unacceptable or incomplete with an error, and closes the connection.
+    /// If its request was already submitted because the body is passed through, the request is abandoned.
     pub(super) fn reject(&mut self, now: Time, status: u16, shared: &mut Shared) -> Flow {
         shared.state.bad_requests += 1;
         self.abandon_request(shared);
@@ -283,7 +283,8 @@
         self.finish(now, shared)
     }
 
-    /// Stops receiving the body, and reports an open request's client as gone: it will not receive an answer.
+    /// Stops receiving the body. If a request is open, reports to the core that its client is gone, so that
+    /// it gets no answer.
     fn abandon_request(&mut self, shared: &mut Shared) {
         self.finish_upload(shared);
         if let State::AwaitingAnswer(id) = std::mem::replace(&mut self.state, State::Idle) {
--- a/src/listener/mysql/error.rs
+++ b/src/listener/mysql/error.rs
@@ -118,8 +118,8 @@
         Self::new(code::SERVER_ISNT_AVAILABLE, sql_state::GENERAL, message)
     }
 
-    /// The error for a prepared statement that does not exist. `function` is the server function that should
-    /// have used it.
+    /// The error for a prepared statement that does not exist. `function` is the server function that the
+    /// message names.
     pub fn unknown_statement(id: u32, function: &str) -> Self {
         let message = format!("Unknown prepared statement handler ({id}) given to {function}");
         Self::new(code::UNKNOWN_STMT_HANDLER, sql_state::GENERAL, message)
--- a/src/listener/mysql/large/storing.rs
+++ b/src/listener/mysql/large/storing.rs
@@ -11,15 +11,15 @@
 use dahliaspoke_body_store::plan::BodyId;
 use dahliaspoke_body_store::BodyEvent;
 
-/// A complete request, to be submitted once the body store has written its bodies.
+/// A complete request, to be submitted once its bodies are stored.
 pub struct PendingRequest {
     request: Box<Request>,
     /// How long its client waits (s), from `received_at`.
     timeout: f64,
     /// When the last byte arrived.
     received_at: Time,
-    /// Bodies that have not been written yet.
-    unwritten: Vec<BodyId>,
+    /// Bodies that are not completely stored yet.
+    unstored: Vec<BodyId>,
 }
 
 impl UploadConnection for Session {
@@ -32,7 +32,7 @@
                 }
                 self.receive_large(now, shared)
             }
-            BodyEvent::Stored(_) => self.on_body_written(body, shared),
+            BodyEvent::Stored(_) => self.on_body_stored(body, shared),
             BodyEvent::Lost(_) | BodyEvent::FellBackToPassThrough(_) => self.on_body_lost(now, body, shared),
             BodyEvent::BytesDropped(_) | BodyEvent::DataReady(_) => Flow::Open,
         }
@@ -40,7 +40,7 @@
 }
 
 impl Session {
-    /// Submits a request once the body store has written all of its bodies.
+    /// Submits a request once all of its bodies are stored.
     pub fn submit_when_stored(
         &mut self,
         now: Time,
@@ -48,21 +48,21 @@
         timeout: f64,
         shared: &mut Shared,
     ) -> Flow {
-        let mut unwritten = Vec::new();
+        let mut unstored = Vec::new();
         for body in request.payload.stored_bodies() {
             let Some(store) = shared.state.uploads.store() else { continue };
             store.borrow_mut().finish(now, body.id());
             if !store.borrow().is_stored(body.id()) {
                 shared.state.uploads.add_receiver(body.id(), self.token);
-                unwritten.push(body.id());
+                unstored.push(body.id());
             }
         }
-        self.state = SessionState::Storing(PendingRequest { request, timeout, received_at: now, unwritten });
+        self.state = SessionState::Storing(PendingRequest { request, timeout, received_at: now, unstored });
         self.submit_if_stored(shared)
     }
 
     fn submit_if_stored(&mut self, shared: &mut Shared) -> Flow {
-        if !matches!(&self.state, SessionState::Storing(pending) if pending.unwritten.is_empty()) {
+        if !matches!(&self.state, SessionState::Storing(pending) if pending.unstored.is_empty()) {
             return Flow::Open;
         }
         if let SessionState::Storing(pending) = std::mem::replace(&mut self.state, SessionState::Idle) {
@@ -71,9 +71,9 @@
         Flow::Open
     }
 
-    fn on_body_written(&mut self, body: BodyId, shared: &mut Shared) -> Flow {
+    fn on_body_stored(&mut self, body: BodyId, shared: &mut Shared) -> Flow {
         if let SessionState::Storing(pending) = &mut self.state {
-            pending.unwritten.retain(|unwritten| *unwritten != body);
+            pending.unstored.retain(|unstored| *unstored != body);
         }
         if !self.parameters.values().any(|value| value.is_body(body)) {
             shared.state.uploads.remove_receiver(body);
@@ -93,7 +93,7 @@
             return self.receive_large(now, shared);
         }
         match &self.state {
-            SessionState::Storing(pending) if pending.unwritten.contains(&body) => {
+            SessionState::Storing(pending) if pending.unstored.contains(&body) => {
                 let class = pending.request.class;
                 self.reject_pending(now, class, shared)
             }
@@ -139,7 +139,7 @@
         match &self.state {
             SessionState::Receiving(payload) => payload.release(shared),
             SessionState::Storing(pending) => {
-                for body in &pending.unwritten {
+                for body in &pending.unstored {
                     shared.state.uploads.remove_receiver(*body);
                 }
             }
--- a/src/listener/mysql/large/values.rs
+++ b/src/listener/mysql/large/values.rs
@@ -19,7 +19,7 @@
 /// Scans an execution's values as they arrive: checks that they are well formed, and extracts the idempotency
 /// key.
 pub struct ValueScanner {
-    /// Values of which at most a part of the length has arrived.
+    /// Values of which no byte has arrived, except perhaps part of the first one's length prefix.
     expected: VecDeque<ExpectedValue>,
     /// The part of the next value's length that has arrived.
     length_prefix: Vec<u8>,
--- a/src/listener/mysql/login.rs
+++ b/src/listener/mysql/login.rs
@@ -7,8 +7,8 @@
 use crate::mysql::packet::{self, capability, Reader};
 
 const PROTOCOL_VERSION: u8 = 10;
-/// Number of challenge bytes in the first part of the greeting.
-const CHALLENGE_START: usize = 8;
+/// Length of the first part of the challenge (bytes).
+const FIRST_CHALLENGE_PART_BYTES: usize = 8;
 /// Reserved bytes in the greeting.
 const RESERVED: [u8; 10] = [0; 10];
 /// Bytes of the login between flags and account: packet size, character set, reserved bytes.
@@ -37,7 +37,7 @@
     out.extend_from_slice(SERVER_VERSION.as_bytes());
     out.push(0);
     out.extend_from_slice(&connection.to_le_bytes());
-    out.extend_from_slice(&challenge[..CHALLENGE_START]);
+    out.extend_from_slice(&challenge[..FIRST_CHALLENGE_PART_BYTES]);
     out.push(0);
     out.extend_from_slice(&capabilities[..2]);
     out.push(packet::CHARSET);
@@ -45,7 +45,7 @@
     out.extend_from_slice(&capabilities[2..]);
     out.push(auth::CHALLENGE_BYTES as u8 + 1);
     out.extend_from_slice(&RESERVED);
-    out.extend_from_slice(&challenge[CHALLENGE_START..]);
+    out.extend_from_slice(&challenge[FIRST_CHALLENGE_PART_BYTES..]);
     out.push(0);
     out.extend_from_slice(auth::CACHING_SHA2.as_bytes());
     out.push(0);
--- a/src/listener/mysql/mod.rs
+++ b/src/listener/mysql/mod.rs
@@ -41,7 +41,7 @@
     pub owner: u8,
     /// Index of the listener's route, set in each request.
     pub route: usize,
-    /// The content of the file that enables the listener.
+    /// The content of `deploy/mysql.toml`, which enables the listener.
     pub config: Rc<Mysql>,
     /// The policy's settings, of which the listener uses the classes.
     pub settings: &'a Settings,
@@ -56,7 +56,7 @@
 /// A class of requests.
 struct Class {
     name: Arc<str>,
-    /// How long clients wait (s), unless the file or a hint overrides it.
+    /// How long clients wait (s), unless `deploy/mysql.toml` or a hint overrides it.
     client_timeout: f64,
 }
 
@@ -74,7 +74,7 @@
 pub type MysqlListener = Server<Session>;
 
 impl MysqlListener {
-    /// Opens the listener on the address in its file.
+    /// Opens the listener on the address in `deploy/mysql.toml`.
     ///
     /// # Errors
     /// The operating system refuses the address, or to watch the socket.
--- a/src/listener/mysql/session.rs
+++ b/src/listener/mysql/session.rs
@@ -28,7 +28,7 @@
     Idle,
     /// Receiving a large payload or long data.
     Receiving(LargePayload),
-    /// Waiting until the body store has written the bodies of a request.
+    /// Waiting until the bodies of a request are stored.
     Storing(PendingRequest),
     /// A request is open in the core.
     Running(RequestId),
--- a/src/listener/mysql/statement.rs
+++ b/src/listener/mysql/statement.rs
@@ -1,4 +1,4 @@
-//! Classifies statements by the rules in the file, and applies their hints.
+//! Classifies statements by the rules in `deploy/mysql.toml`, and applies their hints.
 
 use super::error::{code, sql_state, MysqlError};
 use super::{sql, Shared};
@@ -13,7 +13,7 @@
 /// The table group of a statement that does not name one.
 const NO_TABLE_GROUP: i64 = -1;
 
-/// A statement with its properties from the file and its hints.
+/// A statement with its properties from `deploy/mysql.toml` and its hints.
 #[derive(Clone)]
 pub struct Statement {
     /// The SQL text.
@@ -89,7 +89,7 @@
     }
 }
 
-/// The class of the first rule that matches.
+/// Position of the class that the first matching rule names.
 fn class_position(text: &str, shared: &Shared) -> Option<usize> {
     let first_words = sql::first_words(text, COMPARED_WORDS).join(" ");
     let lower_case = text.to_ascii_lowercase();
--- a/src/listener/server/client.rs
+++ b/src/listener/server/client.rs
@@ -5,7 +5,7 @@
 use crate::net::{BufferedStream, Connection, Flow, Time, Token};
 
 /// The order in which idle connections are evicted, lowest first: connections that have never sent a request
-/// before those that have, and the longest idle first among each.
+/// before those that have, and within each group the longest idle first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct EvictionRank {
     /// Whether the connection has sent a request.
--- a/src/listener/server/mod.rs
+++ b/src/listener/server/mod.rs
@@ -137,7 +137,7 @@
     }
 
     /// Schedules the next check, at the latest after `request_timeout`: a request that starts to arrive in
-    /// the meantime moves the deadline of an idle connection forward.
+    /// the meantime may make the deadline of an idle connection earlier.
     fn schedule_next_check(&mut self, now: Time, token: Token, deadline: Option<Time>) {
         let state = self.state();
         let clients = &state.limits.clients;
--- a/src/listener/server/uploads.rs
+++ b/src/listener/server/uploads.rs
@@ -13,7 +13,7 @@
     store: Option<body_store::SharedBodyStore>,
     /// The connection that receives the body store's events of a body.
     receivers: HashMap<BodyId, Token>,
-    /// Number of bodies that are being received.
+    /// Number of uploads in progress.
     open_count: usize,
     /// When uploads stop being accepted, because the process is about to end.
     cutoff: Time,
@@ -35,12 +35,12 @@
         now < self.cutoff
     }
 
-    /// Counts a body whose upload starts.
+    /// Records that an upload has started.
     pub fn begin(&mut self) {
         self.open_count += 1;
     }
 
-    /// Uncounts a body whose upload has ended.
+    /// Records that an upload has ended.
     pub fn end(&mut self) {
         self.open_count -= 1;
     }
--- a/src/mysql/packet.rs
+++ b/src/mysql/packet.rs
@@ -5,7 +5,7 @@
 pub struct Malformed;
 
 /// The result of decoding bytes that may be malformed.
-pub type Res<T> = Result<T, Malformed>;
+pub type DecodeResult<T> = Result<T, Malformed>;
 
 /// Capability flags in greeting and login. Results end with EOF packets towards both clients and engines, so
 /// that an engine's response can be forwarded unchanged.
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 /// As [`decode`].
-pub fn read(input: &[u8], max_length: usize) -> Res<Option<(u8, &[u8], usize)>> {
+pub fn decode_tuple(input: &[u8], max_length: usize) -> DecodeResult<Option<(u8, &[u8], usize)>> {
     let packet = decode(input, max_length)?;
     Ok(packet.map(|Packet { sequence, payload, length }| (sequence, payload, length)))
 }
@@ -235,7 +235,7 @@
 ///
 /// # Errors
 /// The payload is too short.
-pub fn error_number(payload: &[u8]) -> Result<u16, Malformed> {
+pub fn error_code(payload: &[u8]) -> Result<u16, Malformed> {
     let mut reader = Reader(payload);
     reader.read_bytes(1)?;
     Ok(reader.number(2)? as u16)
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// The flags out of `flags` that are set for a descriptor right now, along with errors and hang-ups. Empty if
-/// the kernel cannot report them.
+/// The subset of `flags` that is set for a descriptor right now, along with errors and hang-ups. Empty if the
+/// kernel cannot report them.
 pub fn poll_now(fd: &impl AsFd, flags: PollFlags) -> PollFlags {
     let mut fds = [PollFd::new(fd, flags)];
     match poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })) {
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -78,7 +78,7 @@
     Ok(Some((values, at)))
 }
 
-/// The length in a prefix of a type and a length.
+/// A decoded prefix: the count of an array or the length of a bulk string.
 struct LengthPrefix {
     number: usize,
     /// Offset of the first byte after the prefix.
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -127,7 +127,7 @@
     /// Writes queued output until the socket would block.
     ///
     /// # Errors
-    /// If the socket accepts no more bytes.
+    /// If the connection is broken.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.is_connecting() {
             return Ok(());
--- a/src/upstream/engines.rs
+++ b/src/upstream/engines.rs
@@ -50,35 +50,35 @@
         engine.drain_deadline.filter(|_| is_new)
     }
 
-    /// Other engines that are still recorded under that address.
+    /// The other engines that are still recorded under this address.
     pub fn others_at(&self, id: &EngineId, address: SocketAddr) -> Vec<EngineId> {
         let others = self.0.iter().filter(|(other, engine)| *other != id && engine.address == address);
         others.map(|(other, _)| other.clone()).collect()
     }
 
-    /// Forbids new sends to that engine from now on.
+    /// Forbids new sends to an engine from now on.
     pub fn close(&mut self, now: Time, id: &EngineId) {
         if let Some(engine) = self.0.get_mut(id) {
             engine.drain_deadline = Some(engine.drain_deadline.map_or(now, |deadline| deadline.min(now)));
         }
     }
 
-    /// The engine of that id, closed or not.
+    /// The engine with this id, closed or not.
     pub fn get(&self, id: &EngineId) -> Option<&Engine> {
         self.0.get(id)
     }
 
-    /// The engine of that id, closed or not.
+    /// The engine with this id, closed or not.
     pub fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
         self.0.get_mut(id)
     }
 
-    /// The engine of that id, unless it is closed.
+    /// The engine with this id, unless it is closed.
     pub fn get_open(&self, now: Time, id: &EngineId) -> Option<&Engine> {
         self.0.get(id).filter(|engine| !engine.is_closed(now))
     }
 
-    /// The time from which nothing new may be sent to that engine; infinity if it is not draining.
+    /// The time from which nothing new may be sent to an engine; infinity if it is not draining.
     pub fn drain_deadline(&self, id: &EngineId) -> Time {
         self.0.get(id).and_then(|engine| engine.drain_deadline).unwrap_or(Time::INFINITY)
     }
--- a/src/upstream/events.rs
+++ b/src/upstream/events.rs
@@ -37,7 +37,7 @@
         self.0.push_back(UpstreamEvent::AttemptEnd { id, attempt: number, outcome, report });
     }
 
-    /// Passes on a progress report of a running attempt.
+    /// Reports the progress of a running attempt.
     pub fn progress(&mut self, key: AttemptKey, progress: Progress) {
         self.0.push_back(UpstreamEvent::Progress { id: key.id, attempt: key.number, progress });
     }
--- a/src/upstream/mysql/connection.rs
+++ b/src/upstream/mysql/connection.rs
@@ -76,7 +76,7 @@
     }
 
     /// Withdraws the command that runs the attempt if no byte of it has been written. Returns whether there
-    /// is an attempt and its command is unsent; a PREPARE does not count, because it runs nothing.
+    /// is an attempt and this command is unsent; a PREPARE may have been sent, because it runs nothing.
     pub fn withdraw(&mut self) -> bool {
         let Some(running) = &self.running else { return false };
         running.message_tag.is_none_or(|tag| self.stream.withdraw(tag))
@@ -126,7 +126,7 @@
         self.stream.push(packet::encode(0, &command::prepare(statement)));
     }
 
-    /// Ends the sending of a command in parts, complete or not.
+    /// Stops sending a command in parts, whether or not all of it is queued.
     fn end_large_command(&mut self, shared: &mut Shared) {
         if self.large_command.take().is_some() {
             shared.bodies.remove_connection(self.token);
@@ -185,7 +185,7 @@
     /// If the connection is unusable.
     fn read_packet(&mut self, now: Time, shared: &mut Shared) -> Result<bool, Malformed> {
         let max_bytes = shared.limits.mysql.max_result_bytes;
-        let Some((sequence, payload, length)) = packet::read(&self.stream.input, max_bytes)? else {
+        let Some((sequence, payload, length)) = packet::decode_tuple(&self.stream.input, max_bytes)? else {
             return Ok(false);
         };
         let payload = payload.to_vec();
--- a/src/upstream/mysql/handshake.rs
+++ b/src/upstream/mysql/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake: the engine's greeting, our response, and the engine's verdict on it.
+//! The handshake: the engine's greeting, our response, and the engine's reply to it.
 
 use super::connection::{ConnectionState, MysqlConnection};
 use super::shared::Shared;
--- a/src/upstream/mysql/large_command.rs
+++ b/src/upstream/mysql/large_command.rs
@@ -134,7 +134,7 @@
                     self.message_tag = Some(output.stream.push(started.first_bytes));
                 }
                 if body.is_none() {
-                    output.stream.push_counted(Vec::new()); // counted as sent after its command
+                    output.stream.push_counted(Vec::new()); // counts the attempt as sent after its command
                 }
                 body.clone()
             }
--- a/src/upstream/mysql/prepared.rs
+++ b/src/upstream/mysql/prepared.rs
@@ -42,7 +42,7 @@
 pub struct Preparation {
     /// The statement's id, once the first packet has arrived.
     number: Option<u32>,
-    /// Definition packets of parameters and columns that are still to come.
+    /// Definition packets of parameters and columns that have not arrived yet.
     missing: usize,
 }
 
--- a/src/upstream/mysql/query_result.rs
+++ b/src/upstream/mysql/query_result.rs
@@ -52,13 +52,13 @@
 /// another engine would return the same.
 ///
 /// # Errors
-/// If there is no packet, or the error has no number.
+/// If there is no packet, or the error has no code.
 pub fn outcome_of_result(packets: ResultParts) -> Result<AttemptOutcome, Malformed> {
     let last = packets.last().ok_or(Malformed)?;
     if last.first() != Some(&packet::ERR) {
         return Ok(AttemptOutcome::Served(packets));
     }
-    let error = packet::error_number(last)?;
+    let error = packet::error_code(last)?;
     Ok(if REJECT_ERRORS.contains(&error) {
         AttemptOutcome::Full
     } else if ENGINE_ERRORS.contains(&error) {
--- a/src/upstream/resp/connect.rs
+++ b/src/upstream/resp/connect.rs
@@ -40,7 +40,7 @@
 
 impl RespUpstream {
     /// Chooses a connection for the attempt: an idle one, a new one, or else the least loaded one. Whatever
-    /// ends a connection ends all attempts on it, so each attempt has its own connection while there is
+    /// ends a connection ends all attempts sent on it, so each attempt has its own connection while there is
     /// capacity.
     ///
     /// # Errors
--- a/src/upstream/resp/connection.rs
+++ b/src/upstream/resp/connection.rs
@@ -42,7 +42,7 @@
     pub reply_deadline: Time,
     /// The time at which bytes were last received.
     pub last_received: Time,
-    /// An attempt was abandoned here after no reply or only part of one: nothing more is sent on this
+    /// An attempt was abandoned here after no reply or only part of one: no further attempt is sent on this
     /// connection.
     pub is_suspect: bool,
     /// The large body that is being sent; nothing else can be sent until it is complete.
@@ -73,22 +73,22 @@
         }
     }
 
-    /// Whether the body of that request is being sent here and is incomplete.
+    /// Whether the body of this request is still being sent here.
     pub fn sends_body_of(&self, id: &RequestId) -> bool {
         self.outgoing_body.as_ref().is_some_and(|body| body.id == *id)
     }
 
-    /// Bars that id on this connection until no late reply to the current attempt can arrive any more.
+    /// Bars an id on this connection until no late reply to its current attempt can arrive any more.
     pub fn bar_id(&mut self, now: Time, id: &RequestId, limits: &EngineLimits) {
         self.barred_ids.push(BarredId { id: id.clone(), until: now + limits.late_answer_window });
     }
 
-    /// Whether a late reply to an earlier attempt of that id may still arrive.
+    /// Whether a late reply to an earlier attempt with this id may still arrive.
     pub fn is_barred(&self, now: Time, id: &RequestId) -> bool {
         self.barred_ids.iter().any(|barred| barred.until > now && barred.id == *id)
     }
 
-    /// Whether another attempt, with that id, may be queued here; `has_body` if its statement is a large
+    /// Whether another attempt, with this id, may be queued here; `has_body` if its statement is a large
     /// body, which needs the connection to itself.
     pub fn accepts(&mut self, now: Time, id: &RequestId, has_body: bool, limits: &EngineLimits) -> bool {
         self.barred_ids.retain(|barred| barred.until > now);
@@ -99,7 +99,7 @@
         has_capacity && is_usable && !self.attempts.contains_key(id) && !self.is_barred(now, id)
     }
 
-    /// Ends the sending of the body, complete or not.
+    /// Stops sending the body, whether or not all of it is queued.
     fn end_body(&mut self, shared: &mut Shared) {
         if let Some(body) = self.outgoing_body.take() {
             shared.bodies.remove(body.reader.id);
--- a/src/upstream/resp/reply.rs
+++ b/src/upstream/resp/reply.rs
@@ -91,7 +91,7 @@
     Ok(Reply { id: text(id)?.into(), kind, report: fields.attempt_report()?, body: body.to_vec() })
 }
 
-/// Whether the body consists of complete rows of three text columns: corrupt rows must not be passed on.
+/// Whether the body consists of complete rows of three text columns: corrupt rows must not reach the client.
 fn is_table(body: &str) -> bool {
     let is_complete = body.is_empty() || body.ends_with('\n');
     let is_row = |row: &str| row.matches('\t').count() == ROW_COLUMNS - 1;
