--- a/crates/raft/src/disk/recovery.rs
+++ b/crates/raft/src/disk/recovery.rs
@@ -37,7 +37,7 @@
     let numbered = |name: String| segment_number(&name).map(|number| SegmentFile { number, name });
     let mut segments: Vec<SegmentFile> = names.into_iter().filter_map(numbered).collect();
     segments.sort_unstable();
-    // The latest segment with a complete checkpoint; a later one was being written when the program ended.
+    // Find the latest segment with a complete checkpoint. Any later one was still being written when the program ended.
     while let Some(SegmentFile { number, name }) = segments.pop() {
         let bytes = disk.read(&name).map_err(|error| OpenErrorKind::Io(error).in_file(&name))?;
         if let Some(replayed) = replay(disk, &name, &bytes)? {
--- a/crates/raft/src/raft/events.rs
+++ b/crates/raft/src/raft/events.rs
@@ -86,7 +86,7 @@
         /// The caller's id for the proposal, if it was made at this member.
         proposal_id: Option<u64>,
     },
-    /// Replace the state machine by this snapshot.
+    /// Replace the state machine's state with this snapshot.
     Restore(Arc<Snapshot>),
     /// Carry out a read now: all entries up to `index` have been applied by earlier actions.
     Read {
--- a/src/daemon/event_loop.rs
+++ b/src/daemon/event_loop.rs
@@ -19,8 +19,8 @@
     pub fn run(mut self) -> Result<(), DaemonError> {
         let mut ready = Vec::new();
         loop {
-            // The process may be suspended between any two lines. Its state is then out of date, and pending
-            // input is handled first.
+            // The process may be suspended between any two statements. Its state is then out of date, and
+            // pending input is handled first.
             if self.was_suspended(None) {
                 self.catch_up(&mut ready)?;
                 self.handle_ready(&mut ready);
--- a/src/daemon/maintenance.rs
+++ b/src/daemon/maintenance.rs
@@ -44,7 +44,8 @@
         self.local.since(engine).is_some() || self.stored.contains(engine)
     }
 
-    /// Since when an engine is in maintenance.
+    /// When an engine's maintenance started; `now` if it is set only in the store, which has no start time, and
+    /// `None` if the engine is not in maintenance.
     pub fn since(&self, now: Time, engine: &EngineId) -> Option<Time> {
         // The clock of the process that wrote the file may be ahead of this one's: a start is never later
         // than now.
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -65,10 +65,10 @@
     }
 
     /// The state of a body has changed: resumes the listener that receives it.
-    pub fn wake_upload(&mut self, now: Time, body: BodyId, wake: &BodyEvent) {
-        self.http.on_body_change(now, body, wake);
+    pub fn wake_upload(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
+        self.http.on_body_change(now, body, event);
         if let Some(mysql) = &mut self.mysql {
-            mysql.listener.on_body_change(now, body, wake);
+            mysql.listener.on_body_change(now, body, event);
         }
     }
 
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -93,8 +93,9 @@
         self.core.shut_down(now, &mut self.handlers.routes.for_core());
     }
 
-    /// Whether the process may exit: every answer has been written, and no input from clients is unread. New
-    /// connections are accepted until the end: one that only the kernel has accepted would be lost.
+    /// Whether the process may exit: every answer has been written and no input from clients is unread, or the
+    /// deadline for writing the answers has passed. New connections are accepted until the end: one that only the
+    /// kernel has accepted would be lost.
     ///
     /// # Errors
     /// If epoll fails.
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -8,7 +8,7 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// Bytes read from a socket pair at once. It only wakes the loop; the number of bytes does not matter.
+/// Maximum bytes read from a socket pair at once. They only wake the loop; their number does not matter.
 const WAKE_BYTES: usize = 64;
 
 /// A signal that the daemon handles.
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -218,8 +218,9 @@
     Names { classes: class_names(settings), tenants }
 }
 
-/// Divides the descriptors among the listeners that this deployment has.
-fn divide_limits(config: &mut Config) {
+/// Reserves the descriptors that this deployment's `MySQL` listener and store need, and divides the rest among the
+/// upstreams.
+fn divide_descriptors(config: &mut Config) {
     let exists = |file: &str| Path::new(file).exists();
     config.limits.reserve_descriptors(exists(mysql::config::FILE), exists(store::CONFIG_FILE));
 }
@@ -233,7 +234,7 @@
     pub fn start(mut config: Config) -> Result<Self, DaemonError> {
         let clock = Clock::new();
         let now = clock.now();
-        divide_limits(&mut config);
+        divide_descriptors(&mut config);
         let trace = Trace::from_file()?;
         let resources = Resources::open(now, &mut config)?;
         let OpenHandlers { handlers, address } = resources.open_handlers(&mut config)?;
--- a/src/discovery/consul/mod.rs
+++ b/src/discovery/consul/mod.rs
@@ -74,6 +74,7 @@
     /// The latest query failed: the next one must not block, so that its response renews the lease at once.
     has_failed: bool,
     endpoints: EndpointSet,
+    /// A registration was sent and has not failed so far.
     is_registered: bool,
     lease: Lease,
     changes: Option<EndpointChanges>,
--- a/src/discovery/consul/watch.rs
+++ b/src/discovery/consul/watch.rs
@@ -2,8 +2,8 @@
 
 use crate::net::{Time, Token};
 
-/// Factor on the wait time after which a query has failed. The agent itself adds up to a sixteenth to the
-/// wait time.
+/// Multiple of the wait time after which the response to a query is overdue. The agent itself adds up to a
+/// sixteenth to the wait time.
 const WAIT_TOLERANCE: f64 = 1.25;
 
 /// The state of the watch.
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -23,7 +23,7 @@
 }
 
 impl EndpointChanges {
-    /// Adds changes to those that are not collected yet. All of them are treated as notified at the earliest
+    /// Adds changes to those that have not been collected yet. All of them are treated as notified at the earliest
     /// time, which is that of the first.
     fn add(pending: &mut Option<Self>, notified_at: Time, endpoints: Vec<Endpoint>) {
         let changes = pending.get_or_insert(Self { notified_at, endpoints: Vec::new() });
--- a/src/store/member/connections.rs
+++ b/src/store/member/connections.rs
@@ -31,7 +31,7 @@
 }
 
 impl Connections {
-    /// No connections yet. `owner` is the store's event-handler number.
+    /// No connections yet. `owner` is the store's owner number in tokens.
     pub fn new(owner: u8, poller: Rc<Poller>, max_unsent_bytes: usize) -> Self {
         Self { slab: ConnectionSlab::new(owner, poller), received: VecDeque::new(), max_unsent_bytes }
     }
--- a/src/store/member/requests.rs
+++ b/src/store/member/requests.rs
@@ -65,8 +65,8 @@
         Ok(())
     }
 
-    /// Another member has identified itself, on a connection that either end may have opened. If that end opened it, this
-    /// member identifies itself in return.
+    /// Another member has identified itself, on a connection that either of the two may have opened. If the other one
+    /// opened it, this member identifies itself in return.
     fn on_hello(&mut self, now: Time, connection: Token, hello: Hello) {
         if !self.is_known(&hello.name) {
             return self.answer(now, connection, &Err(CallError::UnknownPeer(hello.name)));
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -31,12 +31,13 @@
 /// The prefix of the keys of engines in maintenance; the engine's id follows it.
 pub const MAINTENANCE_PREFIX: &str = "maintenance/";
 
-/// Checks whether a text is a valid value of a key. Its arguments are the key and the text.
-pub type ValueCheck = Box<dyn Fn(&str, &str) -> Result<(), String>>; // a `String` until the callers have typed errors
+/// Checks whether a text is a valid value of a key. Its arguments are the key and the text; its error is the reason, as
+/// sent to the client.
+pub type ValueCheck = Box<dyn Fn(&str, &str) -> Result<(), String>>;
 
 /// What the store needs from the event loop.
 pub struct LoopContext {
-    /// The store's event-handler number, part of the tokens of its descriptors.
+    /// The store's owner number in tokens.
     pub owner: u8,
     /// The current time.
     pub now: Time,
@@ -47,7 +48,7 @@
 }
 
 impl LoopContext {
-    /// The context of the event handler with number `owner`.
+    /// The context of the event handler with the owner number `owner`.
     pub fn new(owner: u8, now: Time, poller: &Rc<Poller>, limits: &Rc<Limits>) -> Self {
         Self { owner, now, poller: poller.clone(), limits: limits.clone() }
     }
@@ -68,7 +69,7 @@
 
 /// How up to date a daemon's copy of the store is.
 struct Freshness {
-    /// The version of the last change in the copy.
+    /// All changes up to this version are in the copy.
     version: Index,
     /// Time (s) since the copy was last confirmed; `None` if it never was or, on a member, if no leader is known.
     age: Option<Time>,
--- a/src/store/watcher/view.rs
+++ b/src/store/watcher/view.rs
@@ -71,7 +71,7 @@
     }
 
     /// The member has sent all changes up to a version. Ends a resync: keys that were not sent again are removed. Returns
-    /// whether the member is at least as far as this copy.
+    /// whether the member is at least as up to date as this copy.
     pub fn advance(&mut self, now: Time, progress: WatchProgress) -> bool {
         for key in self.unconfirmed.take().into_iter().flatten() {
             self.values.remove(&key);
