--- a/src/daemon/store_updates.rs
+++ b/src/daemon/store_updates.rs
@@ -84,7 +84,7 @@
     fn apply_stored_settings(&mut self, now: Time, text: &str) {
         let version = self.handlers.store.as_ref().map_or(0, |store| store.version(store::SETTINGS_KEY));
         match self.change_settings(now, text) {
-            Ok(()) => tracing::info!(at = now, part = "store", "settings of version {version} count"),
+            Ok(()) => tracing::info!(at = now, part = "store", "settings of version {version} are applied"),
             // The coordinator that proposed them has checked them, but its classes may differ from this
             // one's.
             Err(error) => tracing::info!(at = now, part = "store", "settings are not applied here: {error}"),
--- a/tests/agreement_load.rs
+++ b/tests/agreement_load.rs
@@ -34,7 +34,7 @@
         }
         let version = set(&mut fleet, &n.to_string(), "settings", &settings(n));
         let started = Instant::now();
-        let expected_line = format!("settings of version {version} count");
+        let expected_line = format!("settings of version {version} are applied");
         for at in (0..6).filter(|at| n % 4 != 0 || *at != down) {
             let is_logged = || {
                 fleet.processes[at].output().iter().any(|line| line.contains(&expected_line)).then_some(())
