--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A member has no address to listen on.
-    #[error("listen: required for a member (`folder` is set)")]
+    #[error("listen: a member (`folder` is set) needs an address to listen on")]
     MemberWithoutListen,
     /// A watcher has no member to watch.
     #[error("peers: a watcher (no `folder`) needs at least one member to watch")]
