--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -53,8 +53,8 @@
 pub struct Core {
     policy: Policy,
     fixed_settings: FixedSettings,
-    /// Whether bodies may be unbuffered: forwarded without being retained.
-    may_have_unbuffered: bool,
+    /// Whether bodies may be passed through: forwarded to the engine as they arrive instead of being stored.
+    may_pass_through: bool,
     derived_classes: DerivedClasses,
     requests: RequestTable,
     timers: TimerQueue<TimerEvent>,
@@ -71,15 +71,15 @@
 
 impl Core {
     /// Creates a core without engines. `seed` is the seed of the policy's random numbers;
-    /// `may_have_unbuffered`: whether bodies may be unbuffered, that is, not retained.
-    pub fn new(mut settings: Settings, seed: u64, may_have_unbuffered: bool, trace: Trace) -> Self {
+    /// `may_pass_through`: whether bodies may be passed through instead of being stored.
+    pub fn new(mut settings: Settings, seed: u64, may_pass_through: bool, trace: Trace) -> Self {
         let answers = vec![Answers::default(); settings.classes.len()];
         let fixed_settings = FixedSettings::of(&settings);
-        let derived_classes = DerivedClasses::append_to(&mut settings, may_have_unbuffered);
+        let derived_classes = DerivedClasses::append_to(&mut settings, may_pass_through);
         Self {
             policy: Policy::new(settings, seed),
             fixed_settings,
-            may_have_unbuffered,
+            may_pass_through,
             derived_classes,
             requests: RequestTable::default(),
             timers: TimerQueue::default(),
@@ -128,7 +128,7 @@
         routes: &mut [Route],
     ) -> Result<(), FixedSettingsError> {
         self.fixed_settings.check(&settings)?;
-        self.derived_classes = DerivedClasses::append_to(&mut settings, self.may_have_unbuffered);
+        self.derived_classes = DerivedClasses::append_to(&mut settings, self.may_pass_through);
         self.feed(now, Event::Settings(Box::new(settings)), routes);
         Ok(())
     }
--- a/src/daemon/endpoint_updates.rs
+++ b/src/daemon/endpoint_updates.rs
@@ -61,10 +61,10 @@
 
     /// Applies changes to the endpoint set.
     pub(super) fn apply_endpoint_changes(&mut self, now: Time, scope: ListScope, changes: EndpointChanges) {
-        let EndpointChanges { notified_at: notified, endpoints } = changes;
+        let EndpointChanges { notified_at, endpoints } = changes;
         self.endpoints.apply(now, &endpoints, self.limits.discovery.departed_retention);
         self.publish_endpoints(now);
-        self.distribute_endpoints(now, notified, scope, endpoints);
+        self.distribute_endpoints(now, notified_at, scope, endpoints);
     }
 
     /// Writes the endpoint set to the store. A coordinator that knows no endpoints writes nothing, so as not
@@ -92,32 +92,32 @@
         self.distribute_endpoints(now, now, ListScope::Changes, self.endpoints.all());
     }
 
-    /// Updates upstreams and core with these endpoints. `notified` is the time from which the change is
+    /// Updates upstreams and core with these endpoints. `notified_at` is the time from which the change is
     /// treated as known.
     pub(super) fn distribute_endpoints(
         &mut self,
         now: Time,
-        notified: Time,
+        notified_at: Time,
         scope: ListScope,
         endpoints: Vec<Endpoint>,
     ) {
         let mut entries = Vec::with_capacity(endpoints.len());
         for endpoint in endpoints {
-            entries.push(self.update_upstreams(now, notified, endpoint));
+            entries.push(self.update_upstreams(now, notified_at, endpoint));
         }
         self.core.update_engines(now, scope, entries, &mut self.handlers.routes.for_core());
     }
 
     /// Updates the upstreams with an endpoint. An engine in maintenance drains from the start of the
     /// maintenance, whatever discovery reports. Returns the entry for the core.
-    fn update_upstreams(&mut self, now: Time, notified: Time, mut endpoint: Endpoint) -> EngineEntry {
+    fn update_upstreams(&mut self, now: Time, notified_at: Time, mut endpoint: Endpoint) -> EngineEntry {
         let maintenance = self.maintenance.since(now, &endpoint.entry.id);
         let maintenance = maintenance.filter(|_| endpoint.entry.lifecycle == Lifecycle::Ready);
         if maintenance.is_some() {
             endpoint.entry.lifecycle = Lifecycle::Draining;
         }
         // Upstreams are updated for departed engines as well: their attempts may still be in flight.
-        self.handlers.routes.update_endpoint(now, maintenance.unwrap_or(notified), &endpoint);
+        self.handlers.routes.update_endpoint(now, maintenance.unwrap_or(notified_at), &endpoint);
         let mut entry = endpoint.entry;
         if entry.lifecycle != Lifecycle::Ready {
             tracing::info!(at = now, "engine {} is {:?}", entry.id, entry.lifecycle);
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -66,9 +66,9 @@
 
     /// The state of a body has changed: resumes the listener that receives it.
     pub fn wake_upload(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
-        self.http.on_body_change(now, body, event);
+        self.http.on_body_event(now, body, event);
         if let Some(mysql) = &mut self.mysql {
-            mysql.listener.on_body_change(now, body, event);
+            mysql.listener.on_body_event(now, body, event);
         }
     }
 
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Updates one engine at the upstreams. `notified` is the time from which the change is treated as known.
-    pub fn update_endpoint(&mut self, now: Time, notified: Time, endpoint: &Endpoint) {
+    /// Updates one engine at the upstreams. `notified_at` is the time from which the change is treated as known.
+    pub fn update_endpoint(&mut self, now: Time, notified_at: Time, endpoint: &Endpoint) {
         let Endpoint { entry, address } = endpoint;
-        self.resp.update_engine(now, notified, &entry.id, entry.lifecycle, *address);
+        self.resp.update_engine(now, notified_at, &entry.id, entry.lifecycle, *address);
         if let Some(mysql) = &mut self.mysql {
             let ip = address.map(|address| address.ip());
-            mysql.upstream.update_engine(notified, &entry.id, entry.lifecycle, ip);
+            mysql.upstream.update_engine(notified_at, &entry.id, entry.lifecycle, ip);
         }
     }
 
--- a/src/limits/engines.rs
+++ b/src/limits/engines.rs
@@ -87,11 +87,11 @@
 /// Limits on engines' results.
 #[derive(Clone, Debug)]
 pub struct ResultLimits {
-    /// Maximum number of rows in one result.
-    pub max_rows: usize,
-    /// Maximum number of rows in one page.
-    pub page_rows: usize,
-    /// Maximum number of pages in one result. Eight full pages reach `max_rows`; pages need not be full.
+    /// Maximum size of one result, as the protocol specifies.
+    pub max_bytes: usize,
+    /// Maximum size of one page of a result, as the protocol specifies.
+    pub max_page_bytes: usize,
+    /// Maximum number of pages in one result. Eight full pages reach `max_bytes`; pages need not be full.
     pub max_pages: usize,
     /// Maximum size of one framed answer of an engine.
     pub max_frame_bytes: usize,
@@ -104,8 +104,8 @@
 impl ResultLimits {
     pub(super) fn new() -> Self {
         Self {
-            max_rows: 48_000,
-            page_rows: 6_000,
+            max_bytes: 48_000,
+            max_page_bytes: 6_000,
             max_pages: 64,
             max_frame_bytes: 16 << 10,
             stall_timeout: 0.5,
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -219,7 +219,7 @@
 }
 
 impl UploadConnection for HttpConnection {
-    fn on_body_change(&mut self, now: Time, _: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
+    fn on_body_event(&mut self, now: Time, _: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
         match event {
             BodyEvent::CapacityAvailable(_) => {
--- a/src/listener/mysql/large/storing.rs
+++ b/src/listener/mysql/large/storing.rs
@@ -23,7 +23,7 @@
 }
 
 impl UploadConnection for Session {
-    fn on_body_change(&mut self, now: Time, body: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
+    fn on_body_event(&mut self, now: Time, body: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
         match event {
             BodyEvent::CapacityAvailable(_) => {
                 if let SessionState::Receiving(payload) = &mut self.state {
--- a/src/listener/server/uploads.rs
+++ b/src/listener/server/uploads.rs
@@ -64,7 +64,7 @@
 /// A connection that receives bodies into the body store.
 pub trait UploadConnection: ClientConnection {
     /// Handles an event of the body store about a body.
-    fn on_body_change(
+    fn on_body_event(
         &mut self,
         now: Time,
         body: BodyId,
@@ -75,9 +75,9 @@
 
 impl<C: UploadConnection> Server<C> {
     /// Dispatches an event of the body store to the connection that receives the body.
-    pub fn on_body_change(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
+    pub fn on_body_event(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
         let Some(token) = self.state().uploads.receivers.get(&body).copied() else { return };
-        self.reply(now, token, |connection, shared| connection.on_body_change(now, body, event, shared));
+        self.reply(now, token, |connection, shared| connection.on_body_event(now, body, event, shared));
     }
 
     /// Accepts no new uploads from `at` on.
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -114,8 +114,8 @@
     pub memory: Option<f64>,
     /// Group of tables that it reads or writes.
     pub tables: i64,
-    /// Whether its body is forwarded while the client is still sending it: the delay of an attempt is
-    /// then no measure of the engine.
+    /// Whether its body is passed through, that is, forwarded while the client is still sending it: the delay
+    /// of an attempt is then no measure of the engine.
     pub uploading: bool,
 }
 
--- a/src/upstream/resp/mod.rs
+++ b/src/upstream/resp/mod.rs
@@ -72,16 +72,16 @@
     }
 
     /// Applies an engine's lifecycle and address from the endpoint set. The drain grace is counted from
-    /// `notified`. `address` is `None` if the endpoint set does not name one.
+    /// `notified_at`. `address` is `None` if the endpoint set does not name one.
     pub fn update_engine(
         &mut self,
         now: Time,
-        notified: Time,
+        notified_at: Time,
         id: &EngineId,
         lifecycle: Lifecycle,
         address: Option<SocketAddr>,
     ) {
-        let drain_deadline = notified + self.shared.limits.engines.drain_grace;
+        let drain_deadline = notified_at + self.shared.limits.engines.drain_grace;
         if let Some(deadline) = self.pool.update_engine(id, lifecycle, address, drain_deadline) {
             self.shared.timers.set(deadline, TimerEvent::DrainDeadline(id.clone()));
         }
--- a/src/upstream/resp/result_pages.rs
+++ b/src/upstream/resp/result_pages.rs
@@ -56,7 +56,7 @@
             return Ok(PageStatus::Incomplete);
         }
         self.size += page.len();
-        if page.len() > limits.page_rows || self.size > limits.max_rows {
+        if page.len() > limits.max_page_bytes || self.size > limits.max_bytes {
             return Err(Malformed);
         }
         *slot = Some(page);
--- a/tests/core_state.rs
+++ b/tests/core_state.rs
@@ -111,16 +111,16 @@
     parse_settings(object(&value, "settings").expect("an object")).expect("valid settings")
 }
 
-/// For each class: the class applied to a request with a key, without a key, and with an unbuffered body.
-fn derived(may_have_unbuffered: bool) -> (Settings, Vec<[usize; 3]>) {
+/// For each class: the class applied to a request with a key, without a key, and with a body that is passed through.
+fn derived(may_pass_through: bool) -> (Settings, Vec<[usize; 3]>) {
     let mut settings = settings();
-    let classes = DerivedClasses::append_to(&mut settings, may_have_unbuffered);
+    let classes = DerivedClasses::append_to(&mut settings, may_pass_through);
     let class_of = |class: usize| {
         let without_key = request("r1", class);
         let mut with_key = request("r1", class);
         with_key.payload.idempotency_key = Some("key".into());
-        let unbuffered = Request { uploading: true, ..with_key.clone() };
-        [with_key, without_key, unbuffered].map(|request| classes.class_of(&request))
+        let passed_through = Request { uploading: true, ..with_key.clone() };
+        [with_key, without_key, passed_through].map(|request| classes.class_of(&request))
     };
     let by_class = (0..3).map(class_of).collect();
     (settings, by_class)
@@ -128,13 +128,13 @@
 
 #[test]
 fn requests_that_must_not_run_twice_get_a_class_that_forbids_repeats() {
-    let (with_unbuffered, classes) = derived(true);
+    let (with_pass_through, classes) = derived(true);
     assert_eq!(classes, [[0, 0, 3], [1, 4, 4], [2, 2, 2]]);
-    let names: Vec<&str> = with_unbuffered.classes.iter().map(|class| class.name.as_str()).collect();
+    let names: Vec<&str> = with_pass_through.classes.iter().map(|class| class.name.as_str()).collect();
     assert_eq!(names, ["always", "keyed", "never", "always", "keyed"]);
-    assert!(with_unbuffered.classes[3..].iter().all(|class| class.idempotency == Idempotency::Never));
+    assert!(with_pass_through.classes[3..].iter().all(|class| class.idempotency == Idempotency::Never));
 
-    let (buffered, classes) = derived(false);
+    let (without_pass_through, classes) = derived(false);
     assert_eq!(classes, [[0, 0, 0], [1, 3, 3], [2, 2, 2]]);
-    assert_eq!(buffered.classes.len(), 4);
+    assert_eq!(without_pass_through.classes.len(), 4);
 }
