--- a/crates/body-store/benches/tiers.rs
+++ b/crates/body-store/benches/tiers.rs
@@ -172,7 +172,7 @@
             black_box(buffer.to_vec());
         });
         for (name, mode, reads) in [
-            ("passed on", Mode::PassThrough, 1),
+            ("pass-through", Mode::PassThrough, 1),
             ("memory", Mode::Memory, 1),
             ("memory, replayed", Mode::Memory, 2),
         ] {
--- a/src/core/request.rs
+++ b/src/core/request.rs
@@ -85,8 +85,8 @@
     pub estimated_memory: Option<f64>,
     /// Group of tables that it reads or writes; -1 if unknown.
     pub table_group: i64,
-    /// Whether its body is passed through, that is, forwarded to the engine as it arrives and not retained.
-    /// The request must then not run twice, whatever its class.
+    /// Whether its body is in the body store's pass-through tier: forwarded to the engine as it arrives and
+    /// not retained. The request must then not run twice, whatever its class.
     pub uploading: bool,
     /// The query to run.
     pub payload: QueryPayload,
--- a/src/daemon/routes.rs
+++ b/src/daemon/routes.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The state of a body has changed: resumes the listener that receives it.
+    /// The body store reports an event about a body: resumes the listener that receives it.
     pub fn wake_upload(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
         self.http.on_body_event(now, body, event);
         if let Some(mysql) = &mut self.mysql {
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Updates one engine at the upstreams. `notified_at` is the time from which the change is treated as known.
+    /// Updates one engine at the upstreams. `notified_at` is the time from which the change is treated as
+    /// known.
     pub fn update_endpoint(&mut self, now: Time, notified_at: Time, endpoint: &Endpoint) {
         let Endpoint { entry, address } = endpoint;
         self.resp.update_engine(now, notified_at, &entry.id, entry.lifecycle, *address);
--- a/src/limits/clients.rs
+++ b/src/limits/clients.rs
@@ -77,10 +77,10 @@
     }
 }
 
-/// Limits on bodies that pass through the body store.
+/// Limits on bodies that are received into the body store.
 #[derive(Clone, Debug)]
 pub struct BodyLimits {
-    /// A body larger than this passes through the body store, if there is one.
+    /// A body larger than this is received into the body store, if there is one.
     pub max_inline_bytes: usize,
     /// The largest body that the store accepts; 0 without a store.
     pub max_bytes: usize,
@@ -93,7 +93,7 @@
 }
 
 impl BodyLimits {
-    /// Limits without a body store: no body passes through it. They are overwritten if the store's
+    /// Limits without a body store, into which no body is received. They are overwritten if the store's
     /// configuration file is present.
     pub(super) fn without_store() -> Self {
         Self { max_inline_bytes: 0, max_bytes: 0, stall_timeout: 0.0, upload_timeout: 0.0, retry_after: None }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -29,7 +29,7 @@
     pub clients: ClientLimits,
     /// Messages that are read into memory as a whole.
     pub http: HttpLimits,
-    /// Bodies that pass through the body store.
+    /// Bodies that are received into the body store.
     pub bodies: BodyLimits,
     /// The `MySQL` listener.
     pub mysql: MysqlLimits,
--- a/src/policy/control_loop.rs
+++ b/src/policy/control_loop.rs
@@ -7,7 +7,7 @@
 use super::slow_start::warm_up_factor;
 use super::Settings;
 
-/// Period of the loop (seconds), as in the paper.
+/// Period of the loop (seconds), as in the paper that `pi_controller` follows.
 const PERIOD_S: f64 = 1.0;
 /// A period with at most this much time left counts as over (seconds): sums of timer delays are not exact.
 const PERIOD_TOLERANCE_S: f64 = 1e-6;
--- a/src/policy/pi_controller.rs
+++ b/src/policy/pi_controller.rs
@@ -2,8 +2,10 @@
 //! delay-to-deadline ratio (DDR) of finished requests at the set-point.
 //!
 //! Each second, `increment += K_P ((K_I + 1) e(k) - e(k - 1))` and `bound += increment`, with `e` the
-//! set-point minus the mean DDR (velocity form), as in the paper. Exceptions are documented where they are
-//! implemented.
+//! set-point minus the mean DDR (velocity form). Exceptions are documented where they are implemented.
+//!
+//! The controller follows a paper: Yan Zhou and Kyoung-Don Kang, "Deadline Assignment and Feedback Control
+//! for Differentiated Real-Time Data Services". Comments below refer to it as "the paper".
 
 /// Target of the mean DDR (ratio), as in the paper.
 const SET_POINT: f64 = 0.9;
--- a/src/policy/send_guard.rs
+++ b/src/policy/send_guard.rs
@@ -1,4 +1,16 @@
-//! All rules on attempts: whether a request may be sent to an engine at all.
+//! Rules on attempts: whether a request may be sent to an engine at all.
+//!
+//! | rule | an attempt is allowed only if | enforced by |
+//! | --- | --- | --- |
+//! | open request | it is neither answered nor expired, no answer streams, its body is not dropped | `request_state` |
+//! | attempt limit | its request has had fewer than `max_attempts` attempts | `request_state` |
+//! | retry budget (rule 7) | it is the first of its request, or the budget allows one more retry | `retry` |
+//! | draining | its engine is ready; upstreams send nothing after the drain grace | `SendGuard`, upstreams |
+//! | one attempt at a time | hedging is allowed, or none is in flight and none may still run on its engine | `SendGuard` |
+//! | idempotency | its class allows repeats of the attempts that may have run, if there are any | `SendGuard` |
+//! | allowed engines (rule 6) | the zones and kinds of its class include its engine | [`is_placement_allowed`] |
+//! | slow start (rule 4) | its engine is warm, or this coordinator's limit for it has capacity | `slow_start` |
+//! | order by key | its request is the first of its key, if the class is ordered; a pause of the key delays only first attempts | `ordering` |
 
 use super::engine_state::{Engine, EngineTable};
 use super::request_state::{Attempt, AttemptState, Request};
@@ -12,7 +24,7 @@
     zone && class.kinds.as_ref().is_none_or(|kinds| kinds.iter().any(|kind| **kind == *entry.kind))
 }
 
-/// Applies the rules on attempts to the next attempt of one request.
+/// Applies the rules on attempts, except order by key, to the next attempt of one request.
 pub struct SendGuard<'a> {
     /// The request.
     pub request: &'a Request,
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -178,7 +178,9 @@
         }
         let token = self.connection_for(now, &attempt);
         let Some(connection) = token.and_then(|token| self.pool.slab.get(token)) else {
-            // A full pool says nothing about whether the engine is reachable.
+            // There is no connection: the pool has no capacity, the engine is closed or not in the pool,
+            // connecting failed at once, or the poller refused the socket. All of these are reported as a full
+            // engine: the attempt never ran, and a full pool is no sign that the engine is unreachable.
             return self.shared.events.attempt_ended(&key.id, key.number, AttemptOutcome::Full);
         };
         let token = connection.token;
--- a/tests/core_state.rs
+++ b/tests/core_state.rs
@@ -111,7 +111,7 @@
     parse_settings(object(&value, "settings").expect("an object")).expect("valid settings")
 }
 
-/// For each class: the class applied to a request with a key, without a key, and with a body that is passed through.
+/// For each class: the class applied to a request with a key, without a key, and with a pass-through body.
 fn derived(may_pass_through: bool) -> (Settings, Vec<[usize; 3]>) {
     let mut settings = settings();
     let classes = DerivedClasses::append_to(&mut settings, may_pass_through);
