--- a/src/policy/send_guard.rs
+++ b/src/policy/send_guard.rs
@@ -1,16 +1,21 @@
 //! Rules on attempts: whether a request may be sent to an engine at all.
 //!
-//! | rule | an attempt is allowed only if | enforced by |
-//! | --- | --- | --- |
-//! | open request | it is neither answered nor expired, no answer streams, its body is not dropped | `request_state` |
-//! | attempt limit | its request has had fewer than `max_attempts` attempts | `request_state` |
-//! | retry budget (rule 7) | it is the first of its request, or the budget allows one more retry | `retry` |
-//! | draining | its engine is ready; upstreams send nothing after the drain grace | `SendGuard`, upstreams |
-//! | one attempt at a time | hedging is allowed, or none is in flight and none may still run on its engine | `SendGuard` |
-//! | idempotency | its class allows repeats of the attempts that may have run, if there are any | `SendGuard` |
-//! | allowed engines (rule 6) | the zones and kinds of its class include its engine | [`is_placement_allowed`] |
-//! | slow start (rule 4) | its engine is warm, or this coordinator's limit for it has capacity | `slow_start` |
-//! | order by key | its request is the first of its key, if the class is ordered; a pause of the key delays only first attempts | `ordering` |
+//! Enforced by [`SendGuard`]:
+//!
+//! - open request: it is neither answered nor expired, no answer is being streamed, and its body has not been
+//!   dropped (`Request::may_be_sent`);
+//! - attempt limit: it has had fewer than `max_attempts` attempts (`Request::may_be_sent`);
+//! - retry budget (rule 7): an attempt other than the first needs capacity in the budget (`retry`);
+//! - drains: its engine is ready, not draining;
+//! - one attempt at a time: without hedging, no attempt is in flight, and none may still run on the engine;
+//! - idempotency: attempts that may have run allow a repeat only as far as the class does;
+//! - allowed engines (rule 6): the zones and kinds of the class include the engine;
+//! - slow start (rule 4): a warming engine has capacity for an attempt of this coordinator (`slow_start`).
+//!
+//! Enforced elsewhere:
+//!
+//! - order by key: requests of an ordered class with the same key run one at a time (`ordering`);
+//! - drain grace: an attempt that still waits when its engine's drain grace ends is not sent (the upstreams).
 
 use super::engine_state::{Engine, EngineTable};
 use super::request_state::{Attempt, AttemptState, Request};
@@ -24,7 +29,7 @@
     zone && class.kinds.as_ref().is_none_or(|kinds| kinds.iter().any(|kind| **kind == *entry.kind))
 }
 
-/// Applies the rules on attempts, except order by key, to the next attempt of one request.
+/// Applies the rules on attempts to the next attempt of one request.
 pub struct SendGuard<'a> {
     /// The request.
     pub request: &'a Request,
