--- a/src/policy/send_guard.rs
+++ b/src/policy/send_guard.rs
@@ -1,4 +1,21 @@
-//! All rules on attempts: whether a request may be sent to an engine at all.
+//! Rules on attempts: whether a request may be sent to an engine at all.
+//!
+//! Enforced by [`SendGuard`]:
+//!
+//! - open request: it is neither answered nor expired, no answer is being streamed, and its body has not been
+//!   dropped (`Request::may_be_sent`);
+//! - attempt limit: it has had fewer than `max_attempts` attempts (`Request::may_be_sent`);
+//! - retry budget (rule 7): an attempt other than the first needs capacity in the budget (`retry`);
+//! - drains: its engine is ready, not draining;
+//! - one attempt at a time: without hedging, no attempt is in flight, and none may still run on the engine;
+//! - idempotency: attempts that may have run allow a repeat only as far as the class does;
+//! - allowed engines (rule 6): the zones and kinds of the class include the engine;
+//! - slow start (rule 4): a warming engine has capacity for an attempt of this coordinator (`slow_start`).
+//!
+//! Enforced elsewhere:
+//!
+//! - order by key: requests of an ordered class with the same key run one at a time (`ordering`);
+//! - drain grace: an attempt that still waits when its engine's drain grace ends is not sent (the upstreams).
 
 use super::engine_state::{Engine, EngineTable};
 use super::request_state::{Attempt, AttemptState, Request};
