--- a/src/limits/engines.rs
+++ b/src/limits/engines.rs
@@ -8,7 +8,7 @@
 /// Descriptors that the daemon needs for itself: listeners, signals, the directory, standard streams.
 const RESERVED_DESCRIPTORS: usize = 24 + ADMIN_CONNECTIONS;
 /// Share of the engines' idle timeout after which the daemon closes a connection first, so that no request
-/// crosses an engine's close.
+/// is under way when the engine closes it.
 const ENGINE_IDLE_SHARE: f64 = 0.8;
 /// The second connection attempt starts after the settings' connect time divided by this. An undelayed
 /// connection is established in a small part of that time, and the rest of the connect time is enough for the
@@ -87,25 +87,25 @@
 /// Limits on engines' results.
 #[derive(Clone, Debug)]
 pub struct ResultLimits {
-    /// Maximum number of rows in one result.
-    pub max_rows: usize,
-    /// Maximum number of rows in one page.
-    pub page_rows: usize,
-    /// Maximum number of pages in one result. Eight full pages reach `max_rows`; pages need not be full.
+    /// Maximum size of one result, as the protocol specifies.
+    pub max_bytes: usize,
+    /// Maximum size of one page of a result, as the protocol specifies.
+    pub max_page_bytes: usize,
+    /// Maximum number of pages in one result. Eight full pages reach `max_bytes`; pages need not be full.
     pub max_pages: usize,
     /// Maximum size of one framed answer of an engine.
     pub max_frame_bytes: usize,
     /// Time limit for the rest of an answer after its first byte, or for the next page after a page.
     pub stall_timeout: f64,
-    /// An answer this close to its deadline is attributed to the deadline.
+    /// A failure that is answered this close to the request's deadline is reported as a timeout.
     pub deadline_margin: f64,
 }
 
 impl ResultLimits {
     pub(super) fn new() -> Self {
         Self {
-            max_rows: 48_000,
-            page_rows: 6_000,
+            max_bytes: 48_000,
+            max_page_bytes: 6_000,
             max_pages: 64,
             max_frame_bytes: 16 << 10,
             stall_timeout: 0.5,
--- a/src/listener/http/upload.rs
+++ b/src/listener/http/upload.rs
@@ -219,7 +219,7 @@
 }
 
 impl UploadConnection for HttpConnection {
-    fn on_body_change(&mut self, now: Time, _: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
+    fn on_body_event(&mut self, now: Time, _: BodyId, event: &BodyEvent, shared: &mut Shared) -> Flow {
         let State::Uploading(upload) = &mut self.state else { return Flow::Open };
         match event {
             BodyEvent::CapacityAvailable(_) => {
@@ -231,7 +231,7 @@
                 self.finish_upload(shared);
                 flow
             }
-            BodyEvent::PassedThrough(_) => {
+            BodyEvent::FellBackToPassThrough(_) => {
                 upload.passed_through = true;
                 self.receive_body(now, shared)
             }
--- a/src/listener/server/uploads.rs
+++ b/src/listener/server/uploads.rs
@@ -13,7 +13,7 @@
     store: Option<body_store::SharedBodyStore>,
     /// The connection that receives the body store's events of a body.
     receivers: HashMap<BodyId, Token>,
-    /// Number of bodies that are being received.
+    /// Number of uploads in progress.
     open_count: usize,
     /// When uploads stop being accepted, because the process is about to end.
     cutoff: Time,
@@ -35,12 +35,12 @@
         now < self.cutoff
     }
 
-    /// Counts a body whose upload starts.
+    /// Records that an upload has started.
     pub fn begin(&mut self) {
         self.open_count += 1;
     }
 
-    /// Uncounts a body whose upload has ended.
+    /// Records that an upload has ended.
     pub fn end(&mut self) {
         self.open_count -= 1;
     }
@@ -64,7 +64,7 @@
 /// A connection that receives bodies into the body store.
 pub trait UploadConnection: ClientConnection {
     /// Handles an event of the body store about a body.
-    fn on_body_change(
+    fn on_body_event(
         &mut self,
         now: Time,
         body: BodyId,
@@ -75,9 +75,9 @@
 
 impl<C: UploadConnection> Server<C> {
     /// Dispatches an event of the body store to the connection that receives the body.
-    pub fn on_body_change(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
+    pub fn on_body_event(&mut self, now: Time, body: BodyId, event: &BodyEvent) {
         let Some(token) = self.state().uploads.receivers.get(&body).copied() else { return };
-        self.reply(now, token, |connection, shared| connection.on_body_change(now, body, event, shared));
+        self.reply(now, token, |connection, shared| connection.on_body_event(now, body, event, shared));
     }
 
     /// Accepts no new uploads from `at` on.
--- a/src/policy/pi_controller.rs
+++ b/src/policy/pi_controller.rs
@@ -2,8 +2,10 @@
 //! delay-to-deadline ratio (DDR) of finished requests at the set-point.
 //!
 //! Each second, `increment += K_P ((K_I + 1) e(k) - e(k - 1))` and `bound += increment`, with `e` the
-//! set-point minus the mean DDR (velocity form), as in the paper. Exceptions are documented where they are
-//! implemented.
+//! set-point minus the mean DDR (velocity form). Exceptions are documented where they are implemented.
+//!
+//! The controller follows a paper: Yan Zhou and Kyoung-Don Kang, "Deadline Assignment and Feedback Control
+//! for Differentiated Real-Time Data Services". Comments below refer to it as "the paper".
 
 /// Target of the mean DDR (ratio), as in the paper.
 const SET_POINT: f64 = 0.9;
@@ -12,7 +14,8 @@
 const PROPORTIONAL_GAIN: f64 = 0.2;
 /// Integral gain relative to the proportional gain; low for the same reason.
 const INTEGRAL_GAIN: f64 = 0.5;
-/// Upper limit on the DDR of one request (ratio): a single runaway request must not close an engine.
+/// Upper limit on the DDR of one request (ratio): a single runaway request must not drive a bound to its
+/// minimum.
 const MAX_DDR: f64 = 3.0;
 /// Maximum growth of a bound in one period (share of the bound): anti-windup.
 const MAX_GROWTH: f64 = 0.25;
@@ -32,7 +35,7 @@
     pub mean_ddr: f64,
     /// Number of requests served.
     pub served: f64,
-    /// Peak backlog over the sum of bounds (ratio).
+    /// Peak backlog over the sum of bounds times `traffic_share` (ratio).
     pub usage: f64,
     /// This coordinator's traffic relative to an equal share of all cores (ratio, at least 1).
     pub traffic_share: f64,
--- a/src/upstream/mysql/mod.rs
+++ b/src/upstream/mysql/mod.rs
@@ -64,16 +64,16 @@
     }
 
     /// Applies an engine's lifecycle and address from the endpoint set. The drain grace is counted from
-    /// `notified`. `address` is `None` if the endpoint set does not name one.
+    /// `notified_at`. `address` is `None` if the endpoint set does not name one.
     pub fn update_engine(
         &mut self,
-        notified: Time,
+        notified_at: Time,
         id: &EngineId,
         lifecycle: Lifecycle,
         address: Option<IpAddr>,
     ) {
         let address = self.shared.config.engine.address(id, address);
-        let drain_deadline = notified + self.shared.limits.engines.drain_grace;
+        let drain_deadline = notified_at + self.shared.limits.engines.drain_grace;
         if let Some(deadline) = self.pool.update_engine(id, lifecycle, address, drain_deadline) {
             self.shared.timers.set(deadline, TimerEvent::DrainDeadline(id.clone()));
         }
@@ -178,7 +178,9 @@
         }
         let token = self.connection_for(now, &attempt);
         let Some(connection) = token.and_then(|token| self.pool.slab.get(token)) else {
-            // A full pool says nothing about whether the engine is reachable.
+            // There is no connection: the pool has no capacity, the engine is closed or not in the pool,
+            // connecting failed at once, or the poller refused the socket. All of these are reported as a full
+            // engine: the attempt never ran, and a full pool is no sign that the engine is unreachable.
             return self.shared.events.attempt_ended(&key.id, key.number, AttemptOutcome::Full);
         };
         let token = connection.token;
